--- a/src/side/abandon.ts
+++ b/src/side/abandon.ts
@@ -5,7 +5,7 @@
  */
 import type {AbandonReq, AbandonRes} from '../types/peer_messages.js';
 import {SIDE_EVENTS} from '../utils/events.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import type {Lifecycle} from './lifecycle.js';
 import type {Run} from './run.js';
 
--- a/src/side/audit.ts
+++ b/src/side/audit.ts
@@ -8,7 +8,7 @@
 import type {OnyxError} from '../types/errors.js';
 import type {EngineRunInfo} from '../types/upstream.js';
 import {SIDE_EVENTS} from '../utils/events.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import type {Lifecycle} from './lifecycle.js';
 import {isOver} from './run.js';
 
--- a/src/side/channels.ts
+++ b/src/side/channels.ts
@@ -7,7 +7,7 @@
 import type {DispatchId} from '../types/ids.js';
 import type {RunDown} from '../types/peer_messages.js';
 import type {RunServerChannel} from '../types/transport.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import {isOver} from './run.js';
 import type {Run} from './run.js';
 
--- a/src/side/engine_events.ts
+++ b/src/side/engine_events.ts
@@ -5,7 +5,7 @@
 import {OnyxError} from '../types/errors.js';
 import type {EngineEvent} from '../types/upstream.js';
 import type {Channels} from './channels.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import type {Lifecycle} from './lifecycle.js';
 import {prefillLeft} from './run.js';
 import type {Run} from './run.js';
--- a/src/side/frames.ts
+++ b/src/side/frame_handler.ts
@@ -11,7 +11,7 @@
 import type {Ran} from '../types/errors.js';
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {Channels} from './channels.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import type {Lifecycle} from './lifecycle.js';
 import {isHold, isOver} from './run.js';
 import type {Run} from './run.js';
--- a/src/side/lifecycle.ts
+++ b/src/side/lifecycle.ts
@@ -6,7 +6,7 @@
 import type {RunFailed} from '../types/peer_messages.js';
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {Channels} from './channels.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import {isOver, ranOf} from './run.js';
 import type {Run, RunState} from './run.js';
 
--- a/src/side/offers.ts
+++ b/src/side/offers.ts
@@ -10,8 +10,8 @@
   RefusalReason,
 } from '../types/peer_messages.js';
 import {SIDE_EVENTS} from '../utils/events.js';
-import type {SideCore} from './core.js';
-import {isUpstreamDown} from './core.js';
+import type {SideCore} from './side_core.js';
+import {isUpstreamDown} from './side_core.js';
 import type {FairShares} from './fair_shares.js';
 import type {Prediction} from './prediction.js';
 import {memoryFreeMs, placeFreeMs, predict} from './prediction.js';
--- a/src/side/orders.ts
+++ b/src/side/orders.ts
@@ -9,7 +9,7 @@
 import type {OnyxError} from '../types/errors.js';
 import type {OrderReq, OrderRes} from '../types/peer_messages.js';
 import {SIDE_EVENTS} from '../utils/events.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import {isOver} from './run.js';
 
 const REMEMBERED_ORDERS = 256;
--- a/src/side/peers_service.ts
+++ b/src/side/peers_service.ts
@@ -2,7 +2,7 @@
 import type {Address} from '../types/ids.js';
 import type {ServiceSpec} from '../types/kernel.js';
 import type {PeerHandlers, Transport} from '../types/transport.js';
-import {createSideHandlers} from './handlers.js';
+import {createSideHandlers} from './peer_handlers.js';
 
 export interface SidePeersOptions {
   readonly transport: Transport;
--- a/src/side/prediction.ts
+++ b/src/side/prediction.ts
@@ -4,8 +4,8 @@
  */
 import type {OfferReq} from '../types/peer_messages.js';
 import type {OrganisationId} from '../types/ids.js';
-import type {SideCore} from './core.js';
-import {classesOf, placesOf} from './core.js';
+import type {SideCore} from './side_core.js';
+import {classesOf, placesOf} from './side_core.js';
 import type {QueueItem, QueueView} from './queue_policy.js';
 import {classIndexOf} from './queue_policy.js';
 import {isHold, memoryOf, prefillLeft} from './run.js';
--- a/src/side/owners.ts
+++ b/src/side/run_owners.ts
@@ -4,7 +4,7 @@
  */
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {Channels} from './channels.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import type {Lifecycle} from './lifecycle.js';
 import {isOver} from './run.js';
 import type {Run} from './run.js';
--- a/src/side/scheduler.ts
+++ b/src/side/scheduler.ts
@@ -1,7 +1,7 @@
 /** Starts waiting runs as the queue policy says, and logs each decision. */
 import {SIDE_EVENTS} from '../utils/events.js';
-import type {SideCore} from './core.js';
-import {isUpstreamDown} from './core.js';
+import type {SideCore} from './side_core.js';
+import {isUpstreamDown} from './side_core.js';
 import type {FairShares} from './fair_shares.js';
 import type {Lifecycle} from './lifecycle.js';
 import {itemOf, viewOf} from './prediction.js';
--- a/src/side/answers.ts
+++ b/src/side/state_reports.ts
@@ -5,8 +5,8 @@
   SideHeartbeatRes,
   SideLoad,
 } from '../types/peer_messages.js';
-import type {SideCore} from './core.js';
-import {classesOf, isUpstreamDown} from './core.js';
+import type {SideCore} from './side_core.js';
+import {classesOf, isUpstreamDown} from './side_core.js';
 import type {SideStatus} from './messages.js';
 import {modelName} from '../utils/model_name.js';
 import {classIndexOf} from './queue_policy.js';
--- a/src/side/upstream_watch.ts
+++ b/src/side/upstream_poller.ts
@@ -1,7 +1,7 @@
 /** Keeps the view of the upstream by its own report. */
 import type {Either} from 'purify-ts';
 import type {OnyxError} from '../types/errors.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import type {UpstreamReport} from './messages.js';
 
 export interface UpstreamWatch {
--- a/src/side/upstream_runner.ts
+++ b/src/side/upstream_runner.ts
@@ -8,7 +8,7 @@
 import type {CallEvent, EngineEvent} from '../types/upstream.js';
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {Channels} from './channels.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import {createEngineEvents} from './engine_events.js';
 import type {Lifecycle} from './lifecycle.js';
 import {stopListening} from './lifecycle.js';
--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -34,7 +34,7 @@
 import type {RoutingPolicy} from './policy/routing.js';
 import {createRoutingPolicies} from './policy/routing_policies.js';
 import {classQueue} from './policy/side_queue.js';
-import type {SideUpstream} from './side/core.js';
+import type {SideUpstream} from './side/side_core.js';
 import type {QueuePolicy} from './side/queue_policy.js';
 import type {SideStatus} from './side/messages.js';
 import {createSidePeersService} from './side/peers_service.js';
--- a/test/support/side_rig.ts
+++ b/test/support/side_rig.ts
@@ -7,8 +7,8 @@
 import {createKernel} from '../../src/kernel/kernel.js';
 import type {Kernel} from '../../src/kernel/kernel.js';
 import {classQueue} from '../../src/policy/side_queue.js';
-import type {RunsOptions} from '../../src/side/core.js';
-import {createSideHandlers} from '../../src/side/handlers.js';
+import type {RunsOptions} from '../../src/side/side_core.js';
+import {createSideHandlers} from '../../src/side/peer_handlers.js';
 import {createRunsService} from '../../src/side/runs_service.js';
 import type {SideStatus} from '../../src/side/messages.js';
 import type {
