--- a/src/side/abandon.ts
+++ b/src/side/abandon.ts
@@ -9,9 +9,12 @@
 import type {Lifecycle} from './lifecycle.js';
 import type {Run} from './run.js';
 
-export type Abandon = (req: AbandonReq) => AbandonRes;
+export type AbandonHandler = (req: AbandonReq) => AbandonRes;
 
-export function createAbandon(core: SideCore, lifecycle: Lifecycle): Abandon {
+export function createAbandonHandler(
+  core: SideCore,
+  lifecycle: Lifecycle,
+): AbandonHandler {
   const {ctx, table, tombstones, incarnation} = core;
 
   const ofUnknown = (req: AbandonReq): AbandonRes['state'] => {
--- a/src/side/audit.ts
+++ b/src/side/audit.ts
@@ -10,19 +10,19 @@
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {SideCore} from './side_core.js';
 import type {Lifecycle} from './lifecycle.js';
-import {isOver} from './run.js';
+import {isFinished} from './run.js';
 
 /** One list may have been made just before a run came to the engine. */
-const MISSED_MOST = 2;
+const MISSED_AUDIT_LIMIT = 2;
 
 export interface Audit {
   /** Asks the engine for its list. */
-  ask(): void;
-  listed(
+  requestList(): void;
+  handleList(
     sentAt: number,
     outcome: Either<OnyxError, readonly EngineRunInfo[]>,
   ): void;
-  freed(dispatchId: string, outcome: Either<OnyxError, void>): void;
+  handleFreed(dispatchId: string, outcome: Either<OnyxError, void>): void;
 }
 
 export function createAudit(core: SideCore, lifecycle: Lifecycle): Audit {
@@ -44,7 +44,7 @@
         state: orphan.state,
         memoryTokens: orphan.memoryTokens,
       });
-      lifecycle.free(orphan.runId);
+      lifecycle.cancelAtEngine(orphan.runId);
     }
     return orphans.length;
   };
@@ -60,7 +60,7 @@
   const releaseUnlisted = (listed: ReadonlySet<string>) => {
     for (const id of memory.holders()) {
       const run = table.get(id);
-      const over = run === undefined || isOver(run);
+      const over = run === undefined || isFinished(run);
       if (!over || listed.has(id)) continue;
       memory.release(id);
       core.queueChanged = true;
@@ -68,12 +68,12 @@
   };
 
   const failMissing = (listed: ReadonlySet<string>, sentAt: number) => {
-    for (const run of table.placed()) {
+    for (const run of table.occupyingSlots()) {
       // A beat only says that the connection lives, not that the run does.
       const quiet = run.progress.lastProgressAt < sentAt;
       const missed = !listed.has(run.id) && run.startedAt < sentAt && quiet;
       run.missedAudits = missed ? run.missedAudits + 1 : 0;
-      if (run.missedAudits < MISSED_MOST) continue;
+      if (run.missedAudits < MISSED_AUDIT_LIMIT) continue;
       ctx.log(SIDE_EVENTS.runMissing, {dispatchId: run.id});
       lifecycle.fail(run, {
         code: 'upstream-lost',
@@ -90,7 +90,7 @@
   };
 
   return {
-    ask: () => {
+    requestList: () => {
       if (client.kind !== 'engine') return;
       const sentAt = ctx.clock.now();
       client.client
@@ -98,7 +98,7 @@
         .then(outcome => ctx.send('runs', {kind: 'listed', sentAt, outcome}))
         .catch(cause => ctx.fail(cause));
     },
-    listed: (sentAt, outcome) => {
+    handleList: (sentAt, outcome) => {
       outcome
         .ifLeft(err =>
           ctx.log(SIDE_EVENTS.auditFailed, {
@@ -108,7 +108,7 @@
         )
         .ifRight(list => compare(list, sentAt));
     },
-    freed: (dispatchId, outcome) => {
+    handleFreed: (dispatchId, outcome) => {
       outcome
         .ifLeft(err =>
           ctx.log(SIDE_EVENTS.freeFailed, {
--- a/src/side/channels.ts
+++ b/src/side/channels.ts
@@ -8,7 +8,7 @@
 import type {RunDown} from '../types/peer_messages.js';
 import type {RunServerChannel} from '../types/transport.js';
 import type {SideCore} from './side_core.js';
-import {isOver} from './run.js';
+import {isFinished} from './run.js';
 import type {Run} from './run.js';
 
 interface OpenChannel {
@@ -21,31 +21,31 @@
   busy: boolean;
   outcomeSent: boolean;
   /** It is closed once the last frame has gone; nothing more is heard. */
-  dismissed: boolean;
-  heardAt: number;
+  closing: boolean;
+  lastFrameAt: number;
   /** Since when a go or attach is awaited. */
-  awaitedSince: number;
+  unboundSince: number;
 }
 
 export interface Channels {
   open(channel: RunServerChannel): void;
   /** Notes that a frame came; undefined when the channel is closed. */
-  heard(channelId: number): OpenChannelView | undefined;
+  recordFrame(channelId: number): OpenChannelView | undefined;
   /** Makes this the run's channel; an earlier one is closed. */
   bind(channelId: number, run: Run, fromSeq: number): void;
   /** Says something out of turn and closes. */
-  dismiss(channelId: number, frame: RunDown | undefined): void;
+  closeWith(channelId: number, frame: RunDown | undefined): void;
   /** Sends `started` on the run's channel. */
   sendStarted(run: Run): void;
   /** Sends what the run has and its channel can take. */
-  pump(run: Run): void;
-  ready(channelId: number): DispatchId | undefined;
+  sendPending(run: Run): void;
+  markReady(channelId: number): DispatchId | undefined;
   /** Forgets a closed channel; the run it belonged to. */
-  closed(channelId: number): ClosedChannel | undefined;
+  remove(channelId: number): ClosedChannel | undefined;
   /** Beats on all; gives the ids of the silent and the idle ones. */
   sweep(): readonly number[];
   /** After a freeze of this process: silence proves nothing. */
-  forgive(): void;
+  resetSilence(): void;
   closeAll(): void;
   count(): number;
 }
@@ -88,7 +88,7 @@
   };
 
   const sendChunk = (open: OpenChannel, run: Run) => {
-    const chunk = run.log.get(open.nextSeq);
+    const chunk = run.chunkLog.get(open.nextSeq);
     if (chunk === undefined) return;
     ctx.invariant(chunk.seq === open.nextSeq, 'chunk-seq-without-gap', {
       dispatchId: run.id,
@@ -106,13 +106,14 @@
     const open =
       run.channelId === undefined ? undefined : channels.get(run.channelId);
     if (open === undefined || open.busy) return;
-    if (open.nextSeq < run.log.count()) {
+    if (open.nextSeq < run.chunkLog.count()) {
       sendChunk(open, run);
       return;
     }
-    if (!isOver(run) || open.outcomeSent || run.outcome === undefined) return;
+    if (!isFinished(run) || open.outcomeSent || run.outcome === undefined)
+      return;
     open.outcomeSent = true;
-    run.toldAt = ctx.clock.now();
+    run.outcomeSentAt = ctx.clock.now();
     say(open, run.outcome);
   };
 
@@ -121,7 +122,7 @@
   // time limit there; closed, it attaches anew on another.
   const isIdle = (open: OpenChannel, now: number) =>
     open.dispatchId === undefined &&
-    now - open.awaitedSince > timing.channelSilenceMs;
+    now - open.unboundSince > timing.channelSilenceMs;
 
   return {
     open: channel => {
@@ -133,16 +134,16 @@
         nextSeq: 0,
         busy: false,
         outcomeSent: false,
-        dismissed: false,
-        heardAt: ctx.clock.now(),
-        awaitedSince: ctx.clock.now(),
+        closing: false,
+        lastFrameAt: ctx.clock.now(),
+        unboundSince: ctx.clock.now(),
       });
       observe(id, channel);
     },
-    heard: id => {
+    recordFrame: id => {
       const open = channels.get(id);
-      if (open === undefined || open.dismissed) return undefined;
-      open.heardAt = ctx.clock.now();
+      if (open === undefined || open.closing) return undefined;
+      open.lastFrameAt = ctx.clock.now();
       return open;
     },
     bind: (id, run, fromSeq) => {
@@ -152,14 +153,14 @@
         drop(run.channelId);
       }
       run.channelId = id;
-      run.toldAt = undefined;
+      run.outcomeSentAt = undefined;
       open.dispatchId = run.id;
       open.nextSeq = fromSeq;
     },
-    dismiss: (id, frame) => {
+    closeWith: (id, frame) => {
       const open = channels.get(id);
       if (open === undefined || frame === undefined) return drop(id);
-      open.dismissed = true;
+      open.closing = true;
       // A frame still on its way would be lost by the close.
       const gone = () => drop(id);
       open.channel.send(frame).then(gone, gone);
@@ -169,13 +170,13 @@
         run.channelId === undefined ? undefined : channels.get(run.channelId);
       if (open !== undefined) say(open, {kind: 'started'});
     },
-    pump,
-    ready: id => {
+    sendPending: pump,
+    markReady: id => {
       const open = channels.get(id);
       if (open !== undefined) open.busy = false;
       return open?.dispatchId;
     },
-    closed: id => {
+    remove: id => {
       const open = channels.get(id);
       drop(id);
       return open;
@@ -184,16 +185,16 @@
       const now = ctx.clock.now();
       const silent: number[] = [];
       for (const open of channels.values()) {
-        const isSilent = now - open.heardAt > timing.channelSilenceMs;
+        const isSilent = now - open.lastFrameAt > timing.channelSilenceMs;
         if (isSilent || isIdle(open, now)) silent.push(open.id);
         else say(open, {kind: 'beat'});
       }
       return silent;
     },
-    forgive: () => {
+    resetSilence: () => {
       for (const open of channels.values()) {
-        open.heardAt = ctx.clock.now();
-        open.awaitedSince = ctx.clock.now();
+        open.lastFrameAt = ctx.clock.now();
+        open.unboundSince = ctx.clock.now();
       }
     },
     closeAll: () => {
--- a/src/side/engine_events.ts
+++ b/src/side/engine_events.ts
@@ -7,21 +7,21 @@
 import type {Channels} from './channels.js';
 import type {SideCore} from './side_core.js';
 import type {Lifecycle} from './lifecycle.js';
-import {prefillLeft} from './run.js';
+import {prefillTokensLeft} from './run.js';
 import type {Run} from './run.js';
 
 type TokensEvent = EngineEvent & {readonly kind: 'tokens'};
 type DoneEvent = EngineEvent & {readonly kind: 'done'};
 
-export type EngineEvents = (run: Run, event: EngineEvent) => void;
+export type EngineEventHandler = (run: Run, event: EngineEvent) => void;
 
 /** `broke` is called when the stream can not be trusted any further. */
-export function createEngineEvents(
+export function createEngineEventHandler(
   core: SideCore,
   channels: Channels,
   lifecycle: Lifecycle,
   broke: (run: Run, error: OnyxError) => void,
-): EngineEvents {
+): EngineEventHandler {
   const {ctx, rates} = core;
 
   const gap = (run: Run, got: number) =>
@@ -34,16 +34,16 @@
     });
 
   const prefilled = (run: Run, done: number) => {
-    const count = done - run.progress.prefillDone;
+    const count = done - run.progress.prefilledTokens;
     if (count <= 0) return;
-    run.progress.prefillDone = done;
-    rates.prefilled(count, ctx.clock.now());
+    run.progress.prefilledTokens = done;
+    rates.recordPrefill(count, ctx.clock.now());
   };
 
   const learnStep = (run: Run, count: number) => {
     const now = ctx.clock.now();
     const {lastTokenAt} = run.progress;
-    if (lastTokenAt !== undefined) rates.decoded(count, now - lastTokenAt);
+    if (lastTokenAt !== undefined) rates.recordDecode(count, now - lastTokenAt);
     run.progress.lastTokenAt = now;
   };
 
@@ -53,13 +53,13 @@
     if (isCopy && event.count > 0) return;
     // A gap or a half copy would cut or mix the answer: ask for what is due.
     if (event.index !== nextToken) return broke(run, gap(run, event.index));
-    if (prefillLeft(run) > 0) prefilled(run, run.offer.promptTokens);
+    if (prefillTokensLeft(run) > 0) prefilled(run, run.offer.promptTokens);
     learnStep(run, event.count);
     run.progress.nextToken = nextToken + event.count;
     run.stream.resumes = 0;
     const {data, count} = event;
-    run.log.append({dispatchId: run.id, data, tokens: count});
-    channels.pump(run);
+    run.chunkLog.append({dispatchId: run.id, data, tokens: count});
+    channels.sendPending(run);
   };
 
   const done = (run: Run, event: DoneEvent) => {
@@ -72,7 +72,7 @@
   return (run, event) => {
     // A resume that only beats says nothing of the run yet.
     if (event.kind !== 'beat') {
-      run.progress.seen = true;
+      run.progress.eventSeen = true;
       run.progress.lastProgressAt = ctx.clock.now();
     }
     switch (event.kind) {
--- a/src/side/fair_shares.ts
+++ b/src/side/fair_shares.ts
@@ -9,7 +9,7 @@
    * An organisation without open runs sends one. It starts at the least of the
    * active ones: time in which it asked for nothing is no credit.
    */
-  arrive(id: OrganisationId, active: readonly OrganisationId[]): void;
+  join(id: OrganisationId, active: readonly OrganisationId[]): void;
   charge(id: OrganisationId, cost: number, weight: number): void;
   served(): ReadonlyMap<OrganisationId, number>;
 }
@@ -18,7 +18,7 @@
   const served = new Map<OrganisationId, number>();
 
   return {
-    arrive: (id, active) => {
+    join: (id, active) => {
       if (active.includes(id)) return;
       const others = active.map(other => served.get(other) ?? 0);
       const least = others.length === 0 ? 0 : Math.min(...others);
--- a/src/side/frame_handler.ts
+++ b/src/side/frame_handler.ts
@@ -13,15 +13,15 @@
 import type {Channels} from './channels.js';
 import type {SideCore} from './side_core.js';
 import type {Lifecycle} from './lifecycle.js';
-import {isHold, isOver} from './run.js';
+import {isHoldOnly, isFinished} from './run.js';
 import type {Run} from './run.js';
 
-export interface Frames {
+export interface FrameHandler {
   handle(channelId: number, frame: RunUp): void;
   /** The channel is gone; its run goes on unless its prompt is not whole. */
-  closed(channelId: number, clean: boolean): void;
+  channelClosed(channelId: number, clean: boolean): void;
   /** Missing prompt frames had their time. */
-  promptGap(run: Run): void;
+  promptGapExpired(run: Run): void;
 }
 
 export interface FrameActions {
@@ -31,12 +31,12 @@
   readonly startReserved: (run: Run) => void;
 }
 
-export function createFrames(
+export function createFrameHandler(
   core: SideCore,
   channels: Channels,
   lifecycle: Lifecycle,
   actions: FrameActions,
-): Frames {
+): FrameHandler {
   const {ctx, table, tombstones, timing} = core;
 
   const failed = (
@@ -59,7 +59,7 @@
       code: frame.code,
       ran: frame.ran,
     });
-    channels.dismiss(channelId, frame);
+    channels.closeWith(channelId, frame);
   };
 
   /** A go without an accepted offer never runs, nor does a later copy. */
@@ -79,9 +79,9 @@
   /** A second go: the run is in other hands or over. */
   const refuseCopyOfGo = (channelId: number, run: Run) => {
     if (run.channelId === channelId) return;
-    if (run.started || !isOver(run)) {
+    if (run.started || !isFinished(run)) {
       // Saying "not run" of a run that may run would let it run twice.
-      channels.dismiss(channelId, undefined);
+      channels.closeWith(channelId, undefined);
       return;
     }
     const message = 'the offer of this dispatch is over';
@@ -113,23 +113,23 @@
     const now = ctx.clock.now();
     run.state = 'receiving';
     run.call = frame.call;
-    run.ownerHeardAt = now;
+    run.ownerLastSeenAt = now;
     run.deadlineAt = Math.min(run.deadlineAt, now + frame.timeLeftMs);
     actions.watchDeadline(run);
     channels.bind(channelId, run, 0);
-    if (isHold(run.offer)) actions.startReserved(run);
+    if (isHoldOnly(run.offer)) actions.startReserved(run);
   };
 
   const promptWhole = (run: Run) => {
-    if (run.state !== 'receiving' || !run.prompt.isWhole()) return;
+    if (run.state !== 'receiving' || !run.prompt.isComplete()) return;
     run.state = 'queued';
     core.queueChanged = true;
     if (run.offer.group !== undefined) actions.startReserved(run);
   };
 
   const promptEnd = (run: Run, frame: PromptEnd) => {
-    if (run.state !== 'receiving' || run.prompt.ended()) return;
-    run.prompt.end(frame.count);
+    if (run.state !== 'receiving' || run.prompt.hasFrameCount()) return;
+    run.prompt.setFrameCount(frame.count);
     promptWhole(run);
     if (run.state !== 'receiving') return;
     run.timers.push(
@@ -137,7 +137,7 @@
         ctx.send('runs', {
           kind: 'due',
           dispatchId: run.id,
-          what: 'prompt-gap',
+          timer: 'prompt-gap',
         }),
       ),
     );
@@ -151,7 +151,7 @@
 
   const bound = (channelId: number, run: Run, frame: RunUp) => {
     if (run.channelId !== channelId) return;
-    run.ownerHeardAt = ctx.clock.now();
+    run.ownerLastSeenAt = ctx.clock.now();
     switch (frame.kind) {
       case 'prompt':
         if (run.state !== 'receiving') return;
@@ -171,7 +171,7 @@
 
   const notFound = (channelId: number, id: string) => {
     const message = 'there is no such run here';
-    channels.dismiss(channelId, failed(id, 'not-found', 'unknown', message));
+    channels.closeWith(channelId, failed(id, 'not-found', 'unknown', message));
   };
 
   const attachBuried = (channelId: number, frame: Attach) => {
@@ -185,7 +185,7 @@
       ? 'the answer is no longer kept'
       : 'the dispatch was refused, lapsed or abandoned';
     const outcome = failed(frame.dispatchId, 'tombstoned', ran, message);
-    channels.dismiss(channelId, outcome);
+    channels.closeWith(channelId, outcome);
   };
 
   const superseded = (run: Run) => {
@@ -205,11 +205,11 @@
       // first entry only sees a broken channel and attaches again; let in, it
       // would take the run back and cancel it as a run without a caller.
       if (frame.takeOver !== true) {
-        channels.dismiss(channelId, superseded(run));
+        channels.closeWith(channelId, superseded(run));
         return;
       }
       if (run.channelId !== undefined) {
-        channels.dismiss(run.channelId, superseded(run));
+        channels.closeWith(run.channelId, superseded(run));
         run.channelId = undefined;
       }
       ctx.log(SIDE_EVENTS.runTakenOver, {
@@ -220,7 +220,7 @@
       });
     }
     run.owner = frame.entry;
-    run.ownerHeardAt = ctx.clock.now();
+    run.ownerLastSeenAt = ctx.clock.now();
     run.delivered = false;
     channels.bind(channelId, run, frame.fromSeq);
     // The prompt came only in part and can not be sent again.
@@ -229,7 +229,7 @@
       return;
     }
     if (run.started) channels.sendStarted(run);
-    channels.pump(run);
+    channels.sendPending(run);
   };
 
   const failUnwhole = (run: Run) =>
@@ -241,7 +241,7 @@
 
   return {
     handle: (channelId, frame) => {
-      const open = channels.heard(channelId);
+      const open = channels.recordFrame(channelId);
       if (open === undefined) return;
       if (open.dispatchId !== undefined) {
         const run = table.get(open.dispatchId);
@@ -252,8 +252,8 @@
         attach(channelId, frame);
       }
     },
-    closed: (channelId, clean) => {
-      const channel = channels.closed(channelId);
+    channelClosed: (channelId, clean) => {
+      const channel = channels.remove(channelId);
       if (channel?.dispatchId === undefined) return;
       const run = table.get(channel.dispatchId);
       if (run === undefined || run.channelId !== channelId) return;
@@ -261,7 +261,7 @@
       run.delivered ||= clean && channel.outcomeSent;
       if (run.state === 'receiving') failUnwhole(run);
     },
-    promptGap: run => {
+    promptGapExpired: run => {
       if (run.state === 'receiving') failUnwhole(run);
     },
   };
--- a/src/side/learned_rates.ts
+++ b/src/side/learned_rates.ts
@@ -61,25 +61,25 @@
 
 export interface LearnedRates {
   /** Whether any prompt is in prefill; idle time is no sample. */
-  prefillBusy(busy: boolean, now: number): void;
-  prefilled(tokens: number, now: number): void;
+  setPrefillBusy(busy: boolean, now: number): void;
+  recordPrefill(tokens: number, now: number): void;
   /** `count` tokens of one run came `elapsedMs` after its last ones. */
-  decoded(count: number, elapsedMs: number): void;
+  recordDecode(count: number, elapsedMs: number): void;
   /** A call to a plain service took so long. */
-  called(elapsedMs: number): void;
+  recordCall(elapsedMs: number): void;
   /** Work was refused as too late. */
-  refused(now: number): void;
+  recordRefusal(now: number): void;
   prefillTokensPerSec(): number;
   stepMs(): number;
   callMs(): number;
   /** Predicted time to prefill so many tokens, nothing else running. */
   prefillMs(tokens: number): number;
   /** The least that it may take: the prediction, less what is in doubt. */
-  leastPrefillMs(tokens: number, now: number): number;
+  minPrefillMs(tokens: number, now: number): number;
   /** The same for one decode step. */
-  leastStepMs(now: number): number;
+  minStepMs(now: number): number;
   /** The same for a call. */
-  leastCallMs(now: number): number;
+  minCallMs(now: number): number;
 }
 
 export function createLearnedRates(priors: RatePriors): LearnedRates {
@@ -121,7 +121,7 @@
     (count / perSec) * 1_000 + priors.contextMsPerTokenSquared * count * count;
 
   return {
-    prefillBusy: (busy, now) => {
+    setPrefillBusy: (busy, now) => {
       if (busy) {
         busySince ??= now;
         return;
@@ -130,30 +130,30 @@
       busySince = undefined;
       tokens = 0;
     },
-    prefilled: (count, now) => {
+    recordPrefill: (count, now) => {
       tokens += count;
       sample(now);
     },
-    decoded: (count, elapsedMs) => {
+    recordDecode: (count, elapsedMs) => {
       if (count === 0) return;
       step = blend(step, elapsedMs / count);
       refusingSince = undefined;
     },
-    called: elapsedMs => {
+    recordCall: elapsedMs => {
       call = blend(call, elapsedMs);
       seenCalls += 1;
       refusingSince = undefined;
     },
-    refused: now => {
+    recordRefusal: now => {
       refusingSince ??= now;
     },
     prefillTokensPerSec: () => perSec,
     stepMs: () => step,
     callMs: () => call,
     prefillMs,
-    leastPrefillMs: (count, now) =>
+    minPrefillMs: (count, now) =>
       prefillMs(count) / doubt(seenTokens >= LEARNED_TOKENS, now),
-    leastStepMs: now => step / doubt(true, now),
-    leastCallMs: now => call / doubt(seenCalls >= LEARNED_CALLS, now),
+    minStepMs: now => step / doubt(true, now),
+    minCallMs: now => call / doubt(seenCalls >= LEARNED_CALLS, now),
   };
 }
--- a/src/side/lifecycle.ts
+++ b/src/side/lifecycle.ts
@@ -7,10 +7,10 @@
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {Channels} from './channels.js';
 import type {SideCore} from './side_core.js';
-import {isOver, ranOf} from './run.js';
+import {isFinished, ranOf} from './run.js';
 import type {Run, RunState} from './run.js';
 
-export interface Failure {
+export interface RunFailure {
   readonly code: string;
   readonly message: string;
   /** @default what the run's progress shows */
@@ -19,10 +19,10 @@
 
 export interface Lifecycle {
   end(run: Run, finishReason: string, cachedTokens: number): void;
-  fail(run: Run, failure: Failure): void;
+  fail(run: Run, failure: RunFailure): void;
   cancel(run: Run, code: string, message: string): void;
   /** Asks the engine to end a run and free its memory. */
-  free(dispatchId: string): void;
+  cancelAtEngine(dispatchId: string): void;
   /** Forgets a run that is over; its id stays remembered. */
   forget(run: Run): void;
 }
@@ -75,10 +75,10 @@
     if (!run.started) bury(run);
     core.queueChanged = true;
     ctx.metrics.count('onyxloft_side_runs_total', {outcome: state});
-    channels.pump(run);
+    channels.sendPending(run);
   };
 
-  const failed = (run: Run, failure: Failure): RunFailed => ({
+  const failed = (run: Run, failure: RunFailure): RunFailed => ({
     kind: 'failed',
     dispatchId: run.id,
     ran: failure.ran ?? ranOf(run),
@@ -87,13 +87,13 @@
     retryAfterMs: 0,
   });
 
-  const closeFailed = (run: Run, state: RunState, failure: Failure) => {
-    if (isOver(run)) return;
+  const closeFailed = (run: Run, state: RunState, failure: RunFailure) => {
+    if (isFinished(run)) return;
     const outcome = failed(run, failure);
     // Left out, answers too long for their time would be forgotten, and the
     // side would go on taking more of them.
     if (failure.code === 'deadline-exceeded') {
-      core.lengths.ended(run.progress.nextToken);
+      core.lengths.record(run.progress.nextToken);
     }
     stopUpstream(run);
     close(run, state, outcome);
@@ -110,21 +110,21 @@
     end: (run, finishReason, cachedTokens) => {
       stopListening(run);
       memory.release(run.id);
-      core.lengths.ended(run.progress.nextToken);
+      core.lengths.record(run.progress.nextToken);
       ctx.invariant(!memory.holds(run.id), 'memory-released-at-end', {
         dispatchId: run.id,
       });
       close(run, 'ended', {
         kind: 'end',
         dispatchId: run.id,
-        count: run.log.count(),
-        digest: run.log.digest(),
+        count: run.chunkLog.count(),
+        digest: run.chunkLog.digest(),
         finishReason,
         cachedTokens,
       });
       ctx.log(SIDE_EVENTS.runEnded, {
         dispatchId: run.id,
-        chunks: run.log.count(),
+        chunks: run.chunkLog.count(),
         tokens: run.progress.nextToken,
         ms: Math.round(run.endedAt - run.startedAt),
       });
@@ -132,7 +132,7 @@
     fail: (run, failure) => closeFailed(run, 'failed', failure),
     cancel: (run, code, message) =>
       closeFailed(run, 'cancelled', {code, message}),
-    free,
+    cancelAtEngine: free,
     forget: run => {
       bury(run);
       table.remove(run.id);
@@ -144,5 +144,5 @@
 export function stopListening(run: Run): void {
   run.stream.unsubscribe?.();
   run.stream.unsubscribe = undefined;
-  run.stream.number += 1;
+  run.stream.generation += 1;
 }
--- a/src/side/messages.ts
+++ b/src/side/messages.ts
@@ -81,18 +81,18 @@
   | {
       readonly kind: 'upstream';
       readonly dispatchId: DispatchId;
-      readonly stream: number;
+      readonly streamGeneration: number;
       readonly event: UpstreamEvent;
     }
   | {
       readonly kind: 'due';
       readonly dispatchId: DispatchId;
-      readonly what: 'lapse' | 'deadline' | 'prompt-gap' | 'late-call';
+      readonly timer: 'lapse' | 'deadline' | 'prompt-gap' | 'late-call';
     }
   | {
       readonly kind: 'resume-due';
       readonly dispatchId: DispatchId;
-      readonly stream: number;
+      readonly streamGeneration: number;
     }
   | {readonly kind: 'tick'}
   | {readonly kind: 'audit'}
--- a/src/side/offers.ts
+++ b/src/side/offers.ts
@@ -14,8 +14,8 @@
 import {isUpstreamDown} from './side_core.js';
 import type {FairShares} from './fair_shares.js';
 import type {Prediction} from './prediction.js';
-import {memoryFreeMs, placeFreeMs, predict} from './prediction.js';
-import {createRun, isOver, memoryOf} from './run.js';
+import {timeToFreeMemoryMs, timeToFreeSlotMs, predict} from './prediction.js';
+import {createRun, isFinished, memoryTokensOf} from './run.js';
 import type {Run} from './run.js';
 
 /** Least time to come back where nothing better is known. */
@@ -83,16 +83,16 @@
   };
 
   const refuseRoom = (req: OfferReq): Refusal | undefined => {
-    const need = memoryOf(req);
+    const need = memoryTokensOf(req);
     if (need > memory.capacity() && req.kind === 'completion') {
       return {reason: 'full', retryAfterMs: NEVER_MS};
     }
     if (req.group !== undefined && need > memory.free()) {
-      const afterMs = Math.max(COME_BACK_MS, memoryFreeMs(core, need));
+      const afterMs = Math.max(COME_BACK_MS, timeToFreeMemoryMs(core, need));
       return {reason: 'full', retryAfterMs: afterMs};
     }
     if (isQueueFull(req)) {
-      const afterMs = Math.max(COME_BACK_MS, placeFreeMs(core));
+      const afterMs = Math.max(COME_BACK_MS, timeToFreeSlotMs(core));
       return {reason: 'queue-full', retryAfterMs: afterMs};
     }
     return undefined;
@@ -102,10 +102,10 @@
     req: OfferReq,
     prediction: Prediction,
   ): Refusal | undefined => {
-    if (prediction.leastEndMs <= req.timeLeftMs) return undefined;
-    const fitsAlone = prediction.leastAloneMs <= req.timeLeftMs;
-    const excess = prediction.leastEndMs - req.timeLeftMs;
-    if (!fitsAlone) core.rates.refused(ctx.clock.now());
+    if (prediction.minEndMs <= req.timeLeftMs) return undefined;
+    const fitsAlone = prediction.minAloneMs <= req.timeLeftMs;
+    const excess = prediction.minEndMs - req.timeLeftMs;
+    if (!fitsAlone) core.rates.recordRefusal(ctx.clock.now());
     return {reason: 'too-late', retryAfterMs: fitsAlone ? excess : NEVER_MS};
   };
 
@@ -140,7 +140,7 @@
   const activeOrganisations = () =>
     table
       .all()
-      .filter(run => !isOver(run))
+      .filter(run => !isFinished(run))
       .map(run => run.offer.organisation);
 
   const accept = (req: OfferReq, prediction: Prediction): OfferAccepted => {
@@ -151,7 +151,7 @@
       lapseMs: timing.offerLapseMs,
     };
     const run = createRun({offer: req, answer, now: ctx.clock.now()});
-    shares.arrive(req.organisation, activeOrganisations());
+    shares.join(req.organisation, activeOrganisations());
     table.add(run);
     // Members of a group are all or nothing: what a member promised must still
     // be free when its lead goes, or two groups could wait for each other.
--- a/src/side/operator_handlers.ts
+++ b/src/side/operator_handlers.ts
@@ -4,7 +4,7 @@
 import type {ServiceContext} from '../types/kernel.js';
 import type {SideStatus} from './messages.js';
 
-export interface SideHandlersOptions {
+export interface SideOperatorHandlersOptions {
   readonly node: NodeId;
   /** Starts the drain of the process and returns at once. */
   readonly drain: () => void;
@@ -12,7 +12,7 @@
 
 export function createSideOperatorHandlers(
   ctx: Pick<ServiceContext<'operators'>, 'ask'>,
-  options: SideHandlersOptions,
+  options: SideOperatorHandlersOptions,
 ): OperatorHandlers {
   const runs = () =>
     ctx.ask('runs', (reply: (status: SideStatus) => void) => ({
--- a/src/side/orders.ts
+++ b/src/side/orders.ts
@@ -10,9 +10,9 @@
 import type {OrderReq, OrderRes} from '../types/peer_messages.js';
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {SideCore} from './side_core.js';
-import {isOver} from './run.js';
+import {isFinished} from './run.js';
 
-const REMEMBERED_ORDERS = 256;
+const MAX_REMEMBERED_ORDERS = 256;
 
 type Reply = (res: OrderRes) => void;
 
@@ -22,12 +22,12 @@
 }
 
 export interface Orders {
-  order(req: OrderReq, reply: Reply): void;
-  done(orderId: string, outcome: Either<OnyxError, void>): void;
-  fenceSeen(fence: number): void;
-  fenceRead(outcome: Either<OnyxError, number>): void;
+  submit(req: OrderReq, reply: Reply): void;
+  handleOutcome(orderId: string, outcome: Either<OnyxError, void>): void;
+  observeFence(fence: number): void;
+  handleFence(outcome: Either<OnyxError, number>): void;
   /** Asks for the highest fencing number. */
-  askFence(): void;
+  requestFence(): void;
 }
 
 export function createOrders(core: SideCore): Orders {
@@ -49,7 +49,7 @@
 
   const inUse = (req: OrderReq) =>
     req.action === 'unload' &&
-    table.all().some(run => !isOver(run) && run.offer.model === req.model);
+    table.all().some(run => !isFinished(run) && run.offer.model === req.model);
 
   const refusal = (req: OrderReq): string | undefined => {
     if (upstream.kind !== 'engine') return 'not-an-engine';
@@ -71,7 +71,7 @@
 
   const remember = (orderId: string, res: OrderRes) => {
     outcomes.set(orderId, res);
-    if (outcomes.size <= REMEMBERED_ORDERS) return;
+    if (outcomes.size <= MAX_REMEMBERED_ORDERS) return;
     const [oldest] = outcomes.keys();
     if (oldest !== undefined) outcomes.delete(oldest);
   };
@@ -141,7 +141,7 @@
   };
 
   return {
-    order: (req, reply) => {
+    submit: (req, reply) => {
       const pending = {req, reply};
       const reason = refusal(req);
       const stale = reason !== undefined && reason !== 'in-use';
@@ -153,22 +153,22 @@
       waiting.push(pending);
       passNext();
     },
-    done: (orderId, outcome) => {
+    handleOutcome: (orderId, outcome) => {
       const pending = passed;
       if (pending?.req.orderId !== orderId) return;
       passed = undefined;
       settle(pending, outcome);
       passNext();
     },
-    fenceSeen,
-    askFence: () => {
+    observeFence: fenceSeen,
+    requestFence: () => {
       if (upstream.kind !== 'engine' || core.fenceKnown) return;
       options
         .readFence()
         .then(outcome => ctx.send('runs', {kind: 'fence-read', outcome}))
         .catch(cause => ctx.fail(cause));
     },
-    fenceRead: outcome => {
+    handleFence: outcome => {
       outcome
         .ifRight(fence => {
           core.fenceKnown = true;
--- a/src/side/output_lengths.ts
+++ b/src/side/output_lengths.ts
@@ -13,14 +13,14 @@
 
 export interface OutputLengths {
   /** An answer ended, or was cut by its time limit, after so many tokens. */
-  ended(tokens: number): void;
-  isLearned(): boolean;
+  record(tokens: number): void;
+  hasEnoughAnswers(): boolean;
   /**
    * Tokens still to come, in all but few cases, of an answer that has so many
    * already and may have `most`; all that are allowed until enough answers
    * were seen.
    */
-  likelyLeft(most: number, already: number): number;
+  predictRemaining(most: number, already: number): number;
 }
 
 export function createOutputLengths(): OutputLengths {
@@ -58,5 +58,9 @@
     return Math.min(allowed, 2 ** index - already);
   };
 
-  return {ended, isLearned, likelyLeft};
+  return {
+    record: ended,
+    hasEnoughAnswers: isLearned,
+    predictRemaining: likelyLeft,
+  };
 }
--- a/src/side/peer_handlers.ts
+++ b/src/side/peer_handlers.ts
@@ -4,12 +4,12 @@
 import './messages.js';
 
 /** The part of a service context or kernel that handlers need. */
-export type SideHandlerContext = Pick<
+export type PeerHandlerContext = Pick<
   ServiceContext<ServiceName>,
   'ask' | 'send'
 >;
 
-export function createSideHandlers(ctx: SideHandlerContext): PeerHandlers {
+export function createSidePeerHandlers(ctx: PeerHandlerContext): PeerHandlers {
   return {
     offer: req => ctx.ask('runs', reply => ({kind: 'offer', req, reply})),
     abandon: req => ctx.ask('runs', reply => ({kind: 'abandon', req, reply})),
--- a/src/side/peers_service.ts
+++ b/src/side/peers_service.ts
@@ -2,7 +2,7 @@
 import type {Address} from '../types/ids.js';
 import type {ServiceSpec} from '../types/kernel.js';
 import type {PeerHandlers, Transport} from '../types/transport.js';
-import {createSideHandlers} from './peer_handlers.js';
+import {createSidePeerHandlers} from './peer_handlers.js';
 
 export interface SidePeersOptions {
   readonly transport: Transport;
@@ -21,7 +21,10 @@
   return {
     name: 'peers',
     start: async ctx => {
-      const handlers = {...options.extraHandlers, ...createSideHandlers(ctx)};
+      const handlers = {
+        ...options.extraHandlers,
+        ...createSidePeerHandlers(ctx),
+      };
       const listener = await options.transport.listen(address, handlers);
       ctx.own(() => listener.close());
       // Peers know this address: a restart listens where the first one did.
--- a/src/side/prediction.ts
+++ b/src/side/prediction.ts
@@ -5,10 +5,10 @@
 import type {OfferReq} from '../types/peer_messages.js';
 import type {OrganisationId} from '../types/ids.js';
 import type {SideCore} from './side_core.js';
-import {classesOf, placesOf} from './side_core.js';
+import {lengthClassesOf, maxConcurrentRuns} from './side_core.js';
 import type {QueueItem, QueueView} from './queue_policy.js';
 import {classIndexOf} from './queue_policy.js';
-import {isHold, memoryOf, prefillLeft} from './run.js';
+import {isHoldOnly, memoryTokensOf, prefillTokensLeft} from './run.js';
 import type {Run} from './run.js';
 
 const DEFAULT_AGEING_MS = 10_000;
@@ -18,9 +18,9 @@
   /** Time to the end, the queue included. */
   readonly endMs: number;
   /** The same at the least that its own work may take. */
-  readonly leastEndMs: number;
+  readonly minEndMs: number;
   /** The least time to the end if nothing were ahead. */
-  readonly leastAloneMs: number;
+  readonly minAloneMs: number;
 }
 
 /** Time from start to end of a run with so much prefill and decode left. */
@@ -35,7 +35,7 @@
 }
 
 function wholeMs(core: SideCore, offer: OfferReq): number {
-  const tokens = core.lengths.likelyLeft(offer.maxTokens, 0);
+  const tokens = core.lengths.predictRemaining(offer.maxTokens, 0);
   return serviceMs(core, offer, offer.promptTokens, tokens);
 }
 
@@ -54,17 +54,17 @@
 function leastServiceMs(core: SideCore, offer: OfferReq): number {
   const {rates, lengths} = core;
   const now = core.ctx.clock.now();
-  if (offer.kind === 'call') return rates.leastCallMs(now);
+  if (offer.kind === 'call') return rates.minCallMs(now);
   const prefillMs =
-    rates.leastPrefillMs(offer.promptTokens, now) / (offer.group?.size ?? 1);
-  if (!lengths.isLearned()) return prefillMs;
-  const tokens = Math.max(0, lengths.likelyLeft(offer.maxTokens, 0));
-  return prefillMs + tokens * rates.leastStepMs(now);
+    rates.minPrefillMs(offer.promptTokens, now) / (offer.group?.size ?? 1);
+  if (!lengths.hasEnoughAnswers()) return prefillMs;
+  const tokens = Math.max(0, lengths.predictRemaining(offer.maxTokens, 0));
+  return prefillMs + tokens * rates.minStepMs(now);
 }
 
-export function itemOf(core: SideCore, run: Run): QueueItem {
-  const left = prefillLeft(run);
-  const tokensLeft = core.lengths.likelyLeft(
+export function toQueueItem(core: SideCore, run: Run): QueueItem {
+  const left = prefillTokensLeft(run);
+  const tokensLeft = core.lengths.predictRemaining(
     run.offer.maxTokens,
     run.progress.nextToken,
   );
@@ -73,7 +73,7 @@
     organisation: run.offer.organisation,
     weight: run.offer.weight,
     priority: run.offer.priority,
-    classIndex: classIndexOf(classesOf(core), run.offer.promptTokens),
+    classIndex: classIndexOf(lengthClassesOf(core), run.offer.promptTokens),
     memoryTokens: run.memoryTokens,
     prefillTokens: left,
     enqueuedAt: run.offeredAt,
@@ -83,7 +83,7 @@
 }
 
 /** The queue as a policy sees it. */
-export function viewOf(
+export function toQueueView(
   core: SideCore,
   waiting: readonly Run[],
   served: ReadonlyMap<OrganisationId, number>,
@@ -91,15 +91,15 @@
   const {memory, config, ctx, table} = core;
   return {
     now: ctx.clock.now(),
-    waiting: waiting.map(run => itemOf(core, run)),
+    waiting: waiting.map(run => toQueueItem(core, run)),
     running: table
-      .placed()
-      .filter(run => !isHold(run.offer))
-      .map(run => itemOf(core, run)),
+      .occupyingSlots()
+      .filter(run => !isHoldOnly(run.offer))
+      .map(run => toQueueItem(core, run)),
     capacityTokens: memory.capacity(),
     freeTokens: memory.free(),
-    maxRunning: placesOf(core),
-    classes: classesOf(core),
+    maxRunning: maxConcurrentRuns(core),
+    classes: lengthClassesOf(core),
     ageingMs: config?.declarations.policy.ageingMs ?? DEFAULT_AGEING_MS,
     served,
   };
@@ -120,7 +120,7 @@
   const now = core.ctx.clock.now();
   const holds = core.table
     .all()
-    .filter(run => isHold(run.offer) && core.memory.holds(run.id))
+    .filter(run => isHoldOnly(run.offer) && core.memory.holds(run.id))
     .map(run => ({
       memoryTokens: run.memoryTokens,
       leftMs: Math.max(0, holdMs(core, run) - (now - run.offeredAt)),
@@ -167,15 +167,15 @@
 
 const sum = (numbers: readonly number[]) => numbers.reduce((a, b) => a + b, 0);
 
-function itemOfOffer(core: SideCore, offer: OfferReq): QueueItem {
+function offerToQueueItem(core: SideCore, offer: OfferReq): QueueItem {
   const now = core.ctx.clock.now();
   return {
     dispatchId: offer.dispatchId,
     organisation: offer.organisation,
     weight: offer.weight,
     priority: offer.priority,
-    classIndex: classIndexOf(classesOf(core), offer.promptTokens),
-    memoryTokens: memoryOf(offer),
+    classIndex: classIndexOf(lengthClassesOf(core), offer.promptTokens),
+    memoryTokens: memoryTokensOf(offer),
     prefillTokens: offer.promptTokens,
     enqueuedAt: now,
     deadlineAt: now + offer.timeLeftMs,
@@ -184,8 +184,8 @@
 }
 
 export function predict(core: SideCore, offer: OfferReq): Prediction {
-  const item = itemOfOffer(core, offer);
-  const view = viewOf(core, core.table.waiting(), new Map());
+  const item = offerToQueueItem(core, offer);
+  const view = toQueueView(core, core.table.waiting(), new Map());
   const waitingAhead = view.waiting.filter(other =>
     core.options.queuePolicy.waitsFor(view, item, other),
   );
@@ -211,19 +211,22 @@
   return {
     firstTokenMs: waitMs + ownMs,
     endMs: waitMs + item.serviceMs,
-    leastEndMs: waitMs + leastMs,
-    leastAloneMs: leastMs,
+    minEndMs: waitMs + leastMs,
+    minAloneMs: leastMs,
   };
 }
 
 /** Time until so much memory is free, as predicted. */
-export function memoryFreeMs(core: SideCore, memoryTokens: number): number {
-  const view = viewOf(core, [], new Map());
+export function timeToFreeMemoryMs(
+  core: SideCore,
+  memoryTokens: number,
+): number {
+  const view = toQueueView(core, [], new Map());
   return freedAfterMs(core, view, 0, memoryTokens);
 }
 
 /** Time until a place is free, as predicted. */
-export function placeFreeMs(core: SideCore): number {
-  const view = viewOf(core, [], new Map());
+export function timeToFreeSlotMs(core: SideCore): number {
+  const view = toQueueView(core, [], new Map());
   return freedAfterMs(core, view, 1, 0);
 }
--- a/src/side/prompt_buffer.ts
+++ b/src/side/prompt_buffer.ts
@@ -8,10 +8,10 @@
   /** Copies of a frame are dropped. */
   put(seq: number, data: Uint8Array): void;
   /** The number of frames is known. */
-  end(count: number): void;
-  ended(): boolean;
+  setFrameCount(count: number): void;
+  hasFrameCount(): boolean;
   /** All frames are here. */
-  isWhole(): boolean;
+  isComplete(): boolean;
   /** Hands the frames over, in order, and keeps none. */
   take(): AsyncIterable<Uint8Array>;
   /** Drops all frames. */
@@ -40,11 +40,11 @@
     put: (seq, data) => {
       if (!frames.has(seq)) frames.set(seq, data);
     },
-    end: total => {
+    setFrameCount: total => {
       count ??= total;
     },
-    ended: () => count !== undefined,
-    isWhole,
+    hasFrameCount: () => count !== undefined,
+    isComplete: isWhole,
     take: () => {
       const pieces: Uint8Array[] = [];
       for (let seq = 0; seq < (count ?? 0); seq++) {
--- a/src/side/run.ts
+++ b/src/side/run.ts
@@ -32,11 +32,11 @@
 
 /** What was seen of a run at its upstream. */
 export interface RunProgress {
-  prefillDone: number;
+  prefilledTokens: number;
   /** Index of the next token wanted. */
   nextToken: number;
   /** Any event at all came from the upstream. */
-  seen: boolean;
+  eventSeen: boolean;
   lastEventAt: number;
   /** The same, beats left out. */
   lastProgressAt: number;
@@ -47,7 +47,7 @@
 /** The stream of events from the upstream that is listened to now. */
 export interface RunStream {
   /** Counts up; events of earlier streams are dropped. */
-  number: number;
+  generation: number;
   unsubscribe: Cancel | undefined;
   /** Takings-up since the last new token. */
   resumes: number;
@@ -60,14 +60,14 @@
   readonly memoryTokens: number;
   readonly offeredAt: number;
   readonly prompt: PromptBuffer;
-  readonly log: ChunkLog;
+  readonly chunkLog: ChunkLog;
   readonly progress: RunProgress;
   readonly stream: RunStream;
   readonly timers: Cancel[];
   state: RunState;
   /** The entry that owns the run. */
   owner: NodeId;
-  ownerHeardAt: number;
+  ownerLastSeenAt: number;
   deadlineAt: number;
   call: CallHead | undefined;
   channelId: number | undefined;
@@ -79,7 +79,7 @@
   outcome: RunEnd | RunFailed | undefined;
   endedAt: number;
   /** When the outcome was sent on the run's present channel. */
-  toldAt: number | undefined;
+  outcomeSentAt: number | undefined;
   /** The owner has got the outcome. */
   delivered: boolean;
   /** Audits in a row in which the engine did not list it. */
@@ -92,29 +92,29 @@
   readonly now: number;
 }
 
-export function createRun(make: NewRun): Run {
-  const {offer, now} = make;
+export function createRun(input: NewRun): Run {
+  const {offer, now} = input;
   return {
     id: offer.dispatchId,
     offer,
-    answer: make.answer,
-    memoryTokens: memoryOf(offer),
+    answer: input.answer,
+    memoryTokens: memoryTokensOf(offer),
     offeredAt: now,
     prompt: createPromptBuffer(),
-    log: createChunkLog(),
+    chunkLog: createChunkLog(),
     progress: {
-      prefillDone: 0,
+      prefilledTokens: 0,
       nextToken: 0,
-      seen: false,
+      eventSeen: false,
       lastEventAt: now,
       lastProgressAt: now,
       lastTokenAt: undefined,
     },
-    stream: {number: 0, unsubscribe: undefined, resumes: 0},
+    stream: {generation: 0, unsubscribe: undefined, resumes: 0},
     timers: [],
     state: 'offered',
     owner: offer.entry,
-    ownerHeardAt: now,
+    ownerLastSeenAt: now,
     deadlineAt: now + offer.timeLeftMs,
     call: undefined,
     channelId: undefined,
@@ -123,25 +123,25 @@
     lateCall: false,
     outcome: undefined,
     endedAt: 0,
-    toldAt: undefined,
+    outcomeSentAt: undefined,
     delivered: false,
     missedAudits: 0,
   };
 }
 
 /** Memory that a run of this offer holds, in tokens; 0 for a call. */
-export function memoryOf(offer: OfferReq): number {
+export function memoryTokensOf(offer: OfferReq): number {
   if (offer.kind === 'call') return 0;
   if (offer.group !== undefined) return offer.group.holdTokens;
   return offer.promptTokens + offer.maxTokens;
 }
 
 /** A group member that only holds memory for the group's lead. */
-export function isHold(offer: OfferReq): boolean {
+export function isHoldOnly(offer: OfferReq): boolean {
   return offer.group !== undefined && !offer.group.lead;
 }
 
-export function isOver(run: Run): boolean {
+export function isFinished(run: Run): boolean {
   return (
     run.state === 'ended' || run.state === 'failed' || run.state === 'cancelled'
   );
@@ -149,22 +149,22 @@
 
 /** Accepted and not yet handed to the upstream. */
 export function isWaiting(run: Run): boolean {
-  return !isOver(run) && run.state !== 'running';
+  return !isFinished(run) && run.state !== 'running';
 }
 
 /** Whether it occupies a place at the upstream. */
-export function occupiesPlace(run: Run): boolean {
+export function occupiesSlot(run: Run): boolean {
   return run.state === 'running' || run.lateCall;
 }
 
 /** Prompt tokens still to prefill. */
-export function prefillLeft(run: Run): number {
-  if (isOver(run) || isHold(run.offer)) return 0;
-  return Math.max(0, run.offer.promptTokens - run.progress.prefillDone);
+export function prefillTokensLeft(run: Run): number {
+  if (isFinished(run) || isHoldOnly(run.offer)) return 0;
+  return Math.max(0, run.offer.promptTokens - run.progress.prefilledTokens);
 }
 
 /** What can honestly be said of a run that fails now. */
 export function ranOf(run: Run): Ran {
   if (!run.started) return 'no';
-  return run.progress.seen ? 'yes' : 'unknown';
+  return run.progress.eventSeen ? 'yes' : 'unknown';
 }
--- a/src/side/run_owners.ts
+++ b/src/side/run_owners.ts
@@ -6,35 +6,36 @@
 import type {Channels} from './channels.js';
 import type {SideCore} from './side_core.js';
 import type {Lifecycle} from './lifecycle.js';
-import {isOver} from './run.js';
+import {isFinished} from './run.js';
 import type {Run} from './run.js';
 
-export interface Owners {
+export interface RunOwners {
   /** An entry said which dispatches it owns. */
-  heard(entry: string, owned: readonly string[]): void;
+  renew(entry: string, owned: readonly string[]): void;
   sweep(): void;
   /** After a freeze of this process: no entry could be heard. */
-  forgive(): void;
+  resetSilence(): void;
   /** Somebody may still come for the run's outcome. */
   isAwaited(run: Run): boolean;
 }
 
-export function createOwners(
+export function createRunOwners(
   core: SideCore,
   channels: Channels,
   lifecycle: Lifecycle,
-): Owners {
+): RunOwners {
   const {ctx, table, timing, bounds, tombstones} = core;
 
   const isSilent = (run: Run) =>
     run.channelId === undefined &&
-    ctx.clock.now() - run.ownerHeardAt > timing.holdMs;
+    ctx.clock.now() - run.ownerLastSeenAt > timing.holdMs;
 
   // An entry that died never says so. Its runs would hold memory until their
   // time limit, which for a long prompt is many minutes.
   const cancelOrphans = () => {
     for (const run of table.all()) {
-      if (isOver(run) || run.state === 'offered' || !isSilent(run)) continue;
+      if (isFinished(run) || run.state === 'offered' || !isSilent(run))
+        continue;
       if (run.offer.kind === 'call' && run.started) continue;
       ctx.log(SIDE_EVENTS.ownerLost, {dispatchId: run.id, owner: run.owner});
       lifecycle.cancel(run, 'owner-lost', `entry ${run.owner} is silent`);
@@ -42,14 +43,15 @@
   };
 
   const isBeingRead = (run: Run) =>
-    run.channelId !== undefined && run.toldAt === undefined;
+    run.channelId !== undefined && run.outcomeSentAt === undefined;
 
   /** On a channel that lives on, what was sent has arrived by now. */
   const noteDelivered = () => {
     const before = ctx.clock.now() - timing.channelSilenceMs;
-    for (const run of table.over()) {
-      if (run.channelId === undefined || run.toldAt === undefined) continue;
-      if (run.toldAt < before) run.delivered = true;
+    for (const run of table.finished()) {
+      if (run.channelId === undefined || run.outcomeSentAt === undefined)
+        continue;
+      if (run.outcomeSentAt < before) run.delivered = true;
     }
   };
 
@@ -57,7 +59,7 @@
     // An id that can not be remembered stays in the table until it can be.
     if (tombstones.isFull() && tombstones.get(run.id) === undefined) return;
     if (run.channelId !== undefined) {
-      channels.dismiss(run.channelId, undefined);
+      channels.closeWith(run.channelId, undefined);
     }
     lifecycle.forget(run);
   };
@@ -65,7 +67,7 @@
   const forgetOld = () => {
     const now = ctx.clock.now();
     const kept: Run[] = [];
-    for (const run of table.over()) {
+    for (const run of table.finished()) {
       if (run.lateCall || isBeingRead(run)) continue;
       if (now - run.endedAt > timing.retentionMs) forget(run);
       else kept.push(run);
@@ -74,20 +76,20 @@
   };
 
   const forgetOverBound = (kept: readonly Run[]) => {
-    let bytes = kept.reduce((total, run) => total + run.log.bytes(), 0);
+    let bytes = kept.reduce((total, run) => total + run.chunkLog.bytes(), 0);
     const oldestFirst = [...kept].sort((a, b) => a.endedAt - b.endedAt);
     for (const run of oldestFirst) {
       if (bytes <= bounds.retentionBytes) return;
-      bytes -= run.log.bytes();
+      bytes -= run.chunkLog.bytes();
       forget(run);
     }
   };
 
   return {
-    heard: (entry, owned) => {
+    renew: (entry, owned) => {
       for (const id of owned) {
         const run = table.get(id);
-        if (run?.owner === entry) run.ownerHeardAt = ctx.clock.now();
+        if (run?.owner === entry) run.ownerLastSeenAt = ctx.clock.now();
       }
     },
     sweep: () => {
@@ -96,9 +98,9 @@
       noteDelivered();
       forgetOld();
     },
-    forgive: () => {
-      for (const run of table.all()) run.ownerHeardAt = ctx.clock.now();
+    resetSilence: () => {
+      for (const run of table.all()) run.ownerLastSeenAt = ctx.clock.now();
     },
-    isAwaited: run => !isOver(run) || (!run.delivered && !isSilent(run)),
+    isAwaited: run => !isFinished(run) || (!run.delivered && !isSilent(run)),
   };
 }
--- a/src/side/run_table.ts
+++ b/src/side/run_table.ts
@@ -1,6 +1,6 @@
 /** All runs that a side knows, by dispatch id. */
 import type {DispatchId, OrganisationId, RequestId} from '../types/ids.js';
-import {isHold, isOver, isWaiting, occupiesPlace} from './run.js';
+import {isHoldOnly, isFinished, isWaiting, occupiesSlot} from './run.js';
 import type {Run} from './run.js';
 
 export interface RunTable {
@@ -10,8 +10,8 @@
   all(): readonly Run[];
   waiting(): readonly Run[];
   /** Occupy a place at the upstream. */
-  placed(): readonly Run[];
-  over(): readonly Run[];
+  occupyingSlots(): readonly Run[];
+  finished(): readonly Run[];
   /** The furthest run of a request, holds left out. */
   find(requestId: RequestId, organisation: OrganisationId): Run | undefined;
 }
@@ -25,7 +25,7 @@
 
 export function createRunTable(): RunTable {
   const runs = new Map<DispatchId, Run>();
-  const where = (test: (run: Run) => boolean) =>
+  const select = (test: (run: Run) => boolean) =>
     [...runs.values()].filter(test);
 
   return {
@@ -33,15 +33,15 @@
     get: id => runs.get(id),
     remove: id => void runs.delete(id),
     all: () => [...runs.values()],
-    waiting: () => where(isWaiting),
-    placed: () => where(occupiesPlace),
-    over: () => where(isOver),
+    waiting: () => select(isWaiting),
+    occupyingSlots: () => select(occupiesSlot),
+    finished: () => select(isFinished),
     find: (requestId, organisation) =>
-      where(
+      select(
         run =>
           run.offer.requestId === requestId &&
           run.offer.organisation === organisation &&
-          !isHold(run.offer),
+          !isHoldOnly(run.offer),
       ).sort((a, b) => rank(a) - rank(b))[0],
   };
 }
--- a/src/side/runs_service.ts
+++ b/src/side/runs_service.ts
@@ -7,13 +7,18 @@
 import type {ServiceContext, ServiceSpec} from '../types/kernel.js';
 import type {SideHeartbeatReq} from '../types/peer_messages.js';
 import {SIDE_EVENTS} from '../utils/events.js';
-import {createAbandon} from './abandon.js';
-import {heartbeatOf, locate, loadOf, statusOf} from './state_reports.js';
+import {createAbandonHandler} from './abandon.js';
+import {
+  heartbeatReplyOf,
+  locateRun,
+  loadOf,
+  statusOf,
+} from './state_reports.js';
 import {createAudit} from './audit.js';
 import {createChannels} from './channels.js';
 import type {RunsOptions, SideCore} from './side_core.js';
 import {createFairShares} from './fair_shares.js';
-import {createFrames} from './frame_handler.js';
+import {createFrameHandler} from './frame_handler.js';
 import {DEFAULT_RATE_PRIORS, createLearnedRates} from './learned_rates.js';
 import {createOutputLengths} from './output_lengths.js';
 import {createLifecycle, stopListening} from './lifecycle.js';
@@ -21,14 +26,14 @@
 import type {RunsEvent, RunsMessage, RunsRequest} from './messages.js';
 import {createOffers} from './offers.js';
 import {createOrders} from './orders.js';
-import {createOwners} from './run_owners.js';
+import {createRunOwners} from './run_owners.js';
 import type {Run} from './run.js';
 import {createRunTable} from './run_table.js';
 import {createScheduler} from './scheduler.js';
 import {DEFAULT_SIDE_BOUNDS, DEFAULT_SIDE_TIMING} from './timing.js';
 import {createTombstones} from './tombstones.js';
 import {createUpstreamRunner} from './upstream_runner.js';
-import {createUpstreamWatch} from './upstream_poller.js';
+import {createUpstreamPoller} from './upstream_poller.js';
 
 /** So many missed sweeps mean that the process stood still. */
 const FROZEN_SWEEPS = 3;
@@ -67,7 +72,7 @@
     rates: createLearnedRates({...DEFAULT_RATE_PRIORS, ...options.priors}),
     lengths: createOutputLengths(),
     upstream: {
-      heardAt: undefined,
+      lastReportAt: undefined,
       reportAgeMs: 0,
       models: [],
       reconciled: !isEngine,
@@ -87,23 +92,23 @@
   const lifecycle = createLifecycle(core, channels);
   const runner = createUpstreamRunner(core, channels, lifecycle);
   const scheduler = createScheduler(core, shares, lifecycle, runner);
-  const owners = createOwners(core, channels, lifecycle);
+  const owners = createRunOwners(core, channels, lifecycle);
   const audit = createAudit(core, lifecycle);
   const orders = createOrders(core);
-  const upstreamWatch = createUpstreamWatch(core);
-  const abandon = createAbandon(core, lifecycle);
+  const upstreamWatch = createUpstreamPoller(core);
+  const abandon = createAbandonHandler(core, lifecycle);
   const drains: Array<() => void> = [];
   let lastTickAt = ctx.clock.now();
 
   const due = (
     target: Run,
-    what: (RunsEvent & {kind: 'due'})['what'],
+    what: (RunsEvent & {kind: 'due'})['timer'],
     afterMs: number,
   ) => {
     const dispatchId = target.id;
     target.timers.push(
       ctx.clock.after(afterMs, () =>
-        ctx.send('runs', {kind: 'due', dispatchId, what}),
+        ctx.send('runs', {kind: 'due', dispatchId, timer: what}),
       ),
     );
   };
@@ -115,7 +120,7 @@
     due(target, 'lapse', timing.offerLapseMs);
     watchDeadline(target);
   });
-  const frames = createFrames(core, channels, lifecycle, {
+  const frames = createFrameHandler(core, channels, lifecycle, {
     watchDeadline,
     startReserved: scheduler.startReserved,
   });
@@ -148,13 +153,13 @@
   const onDue = (message: RunsEvent & {kind: 'due'}) => {
     const target = table.get(message.dispatchId);
     if (target === undefined) return;
-    switch (message.what) {
+    switch (message.timer) {
       case 'lapse':
         return lapse(target);
       case 'deadline':
         return deadline(target);
       case 'prompt-gap':
-        return frames.promptGap(target);
+        return frames.promptGapExpired(target);
       case 'late-call':
         return lateCall(target);
     }
@@ -168,8 +173,8 @@
     // While this process stood still it could hear nobody. To take that for
     // the others' silence would end runs whose owners are well.
     ctx.log(SIDE_EVENTS.sideFrozen, {ms: Math.round(gap)});
-    channels.forgive();
-    owners.forgive();
+    channels.resetSilence();
+    owners.resetSilence();
   };
 
   const gauges = () => {
@@ -187,7 +192,7 @@
     checkFrozen();
     for (const id of channels.sweep()) {
       ctx.log(SIDE_EVENTS.channelSilent, {channel: id});
-      frames.closed(id, false);
+      frames.channelClosed(id, false);
     }
     owners.sweep();
     runner.sweep();
@@ -197,8 +202,8 @@
   };
 
   const heartbeat = (req: SideHeartbeatReq) => {
-    owners.heard(req.entry, req.owned);
-    orders.fenceSeen(req.fence);
+    owners.renew(req.entry, req.owned);
+    orders.observeFence(req.fence);
     if (req.configNumber > (core.config?.number ?? 0)) {
       ctx.send('config', {
         kind: 'peer-number',
@@ -206,7 +211,7 @@
         number: req.configNumber,
       });
     }
-    return heartbeatOf(core);
+    return heartbeatReplyOf(core);
   };
 
   const leave = (reply: () => void) => {
@@ -222,11 +227,11 @@
       case 'abandon':
         return message.reply(abandon(message.req));
       case 'locate':
-        return message.reply(locate(core, message.req));
+        return message.reply(locateRun(core, message.req));
       case 'heartbeat':
         return message.reply(heartbeat(message.req));
       case 'order':
-        return orders.order(message.req, message.reply);
+        return orders.submit(message.req, message.reply);
       case 'channel':
         return channels.open(message.channel);
       case 'config':
@@ -246,21 +251,22 @@
       case 'frame':
         return frames.handle(message.channelId, message.frame);
       case 'channel-closed':
-        return frames.closed(message.channelId, message.clean);
+        return frames.channelClosed(message.channelId, message.clean);
       case 'channel-ready': {
-        const id = channels.ready(message.channelId);
+        const id = channels.markReady(message.channelId);
         const target = id === undefined ? undefined : table.get(id);
-        if (target !== undefined) channels.pump(target);
+        if (target !== undefined) channels.sendPending(target);
         return;
       }
       case 'upstream': {
         const target = table.get(message.dispatchId);
         if (target === undefined) return;
-        return runner.handle(target, message.stream, message.event);
+        return runner.handle(target, message.streamGeneration, message.event);
       }
       case 'resume-due': {
         const target = table.get(message.dispatchId);
-        if (target !== undefined) runner.resume(target, message.stream);
+        if (target !== undefined)
+          runner.resume(target, message.streamGeneration);
         return;
       }
       case 'due':
@@ -268,28 +274,28 @@
       case 'tick':
         return tick();
       case 'audit':
-        return audit.ask();
+        return audit.requestList();
       case 'listed':
-        return audit.listed(message.sentAt, message.outcome);
+        return audit.handleList(message.sentAt, message.outcome);
       case 'freed':
-        return audit.freed(message.dispatchId, message.outcome);
+        return audit.handleFreed(message.dispatchId, message.outcome);
       case 'report':
-        if (!core.upstream.reconciled) audit.ask();
-        return upstreamWatch.ask();
+        if (!core.upstream.reconciled) audit.requestList();
+        return upstreamWatch.requestReport();
       case 'reported':
-        return upstreamWatch.reported(message.outcome);
+        return upstreamWatch.handleReport(message.outcome);
       case 'fence-due':
-        return orders.askFence();
+        return orders.requestFence();
       case 'fence-read':
-        return orders.fenceRead(message.outcome);
+        return orders.handleFence(message.outcome);
       case 'order-done':
-        return orders.done(message.orderId, message.outcome);
+        return orders.handleOutcome(message.orderId, message.outcome);
     }
   };
 
   const answerDrains = () => {
     if (drains.length === 0 || table.all().some(owners.isAwaited)) return;
-    if (table.placed().length > 0) return;
+    if (table.occupyingSlots().length > 0) return;
     ctx.log(SIDE_EVENTS.sideDrained, {});
     for (const reply of drains.splice(0)) reply();
   };
@@ -299,7 +305,7 @@
     else onEvent(message);
     if (core.queueChanged) {
       core.queueChanged = false;
-      scheduler.run();
+      scheduler.startEligible();
     }
     answerDrains();
   };
--- a/src/side/scheduler.ts
+++ b/src/side/scheduler.ts
@@ -4,14 +4,14 @@
 import {isUpstreamDown} from './side_core.js';
 import type {FairShares} from './fair_shares.js';
 import type {Lifecycle} from './lifecycle.js';
-import {itemOf, viewOf} from './prediction.js';
+import {toQueueItem, toQueueView} from './prediction.js';
 import type {QueueChoice, QueueView} from './queue_policy.js';
 import type {Run} from './run.js';
 import type {UpstreamRunner} from './upstream_runner.js';
 
 export interface Scheduler {
   /** Starts all that may start now. */
-  run(): void;
+  startEligible(): void;
   /** Starts a member of a group, whose memory is reserved already. */
   startReserved(run: Run): void;
 }
@@ -67,7 +67,7 @@
   const startNext = (): boolean => {
     const waiting = queued().filter(run => run.offer.group === undefined);
     if (waiting.length === 0) return false;
-    const view = viewOf(core, waiting, shares.served());
+    const view = toQueueView(core, waiting, shares.served());
     const choice = core.options.queuePolicy.choose(view);
     const run = choice && table.get(choice.dispatchId);
     if (choice === undefined || run === undefined) return false;
@@ -76,20 +76,20 @@
   };
 
   return {
-    run: () => {
+    startEligible: () => {
       for (const run of queued()) isLate(run);
       if (isUpstreamDown(core)) return;
       while (startNext());
     },
     startReserved: run => {
       if (isLate(run)) return;
-      const view = viewOf(core, [run], shares.served());
+      const view = toQueueView(core, [run], shares.served());
       const choice = {
         dispatchId: run.id,
         // By the policy as for any other run: a group's long prefill with the
         // bare priority of a short prompt would stop short ones on its lead.
         enginePriority: core.options.queuePolicy.enginePriority(
-          itemOf(core, run),
+          toQueueItem(core, run),
         ),
         reason: 'group',
       };
--- a/src/side/side_core.ts
+++ b/src/side/side_core.ts
@@ -52,7 +52,7 @@
 /** What was last heard of the upstream. */
 export interface UpstreamView {
   /** When it last answered; undefined before the first time. */
-  heardAt: number | undefined;
+  lastReportAt: number | undefined;
   reportAgeMs: number;
   models: readonly ModelState[];
   /** Runs of earlier incarnations were freed. */
@@ -82,7 +82,7 @@
 }
 
 /** One class for all, until a configuration is known. */
-const ANY_LENGTH: readonly LengthClass[] = [
+const SINGLE_CLASS: readonly LengthClass[] = [
   {
     name: 'any',
     maxTokens: Number.MAX_SAFE_INTEGER,
@@ -92,14 +92,14 @@
   },
 ];
 
-export function classesOf(core: SideCore): readonly LengthClass[] {
+export function lengthClassesOf(core: SideCore): readonly LengthClass[] {
   const declared = core.config?.declarations.lengthClasses ?? [];
   if (declared.length > 0) return declared;
-  return core.options.lengthClasses ?? ANY_LENGTH;
+  return core.options.lengthClasses ?? SINGLE_CLASS;
 }
 
 /** Runs at once on the upstream. */
-export function placesOf(core: SideCore): number {
+export function maxConcurrentRuns(core: SideCore): number {
   if (core.options.upstream.kind === 'engine') return core.bounds.maxRunning;
   const declared = core.config?.declarations.services.find(
     service => service.pool === core.options.pool,
@@ -108,7 +108,7 @@
 }
 
 export function isUpstreamDown(core: SideCore): boolean {
-  const {heardAt, reconciled} = core.upstream;
+  const {lastReportAt: heardAt, reconciled} = core.upstream;
   const isEngine = core.options.upstream.kind === 'engine';
   if (isEngine && core.memory.capacity() === 0) return true;
   if (heardAt === undefined || !reconciled) return true;
--- a/src/side/state_reports.ts
+++ b/src/side/state_reports.ts
@@ -6,14 +6,14 @@
   SideLoad,
 } from '../types/peer_messages.js';
 import type {SideCore} from './side_core.js';
-import {classesOf, isUpstreamDown} from './side_core.js';
+import {lengthClassesOf, isUpstreamDown} from './side_core.js';
 import type {SideStatus} from './messages.js';
 import {modelName} from '../utils/model_name.js';
 import {classIndexOf} from './queue_policy.js';
-import {prefillLeft} from './run.js';
+import {prefillTokensLeft} from './run.js';
 import type {Run, RunState} from './run.js';
 
-const STATE_TOLD: {readonly [S in RunState]: LocateRes['state']} = {
+const LOCATE_STATES: {readonly [S in RunState]: LocateRes['state']} = {
   offered: 'none',
   receiving: 'queued',
   queued: 'queued',
@@ -23,34 +23,34 @@
   cancelled: 'failed',
 };
 
-function backlog(runs: readonly Run[]): number {
-  return runs.reduce((sum, run) => sum + prefillLeft(run), 0);
+function prefillBacklog(runs: readonly Run[]): number {
+  return runs.reduce((sum, run) => sum + prefillTokensLeft(run), 0);
 }
 
 export function loadOf(core: SideCore): SideLoad {
   const {table, memory, rates, upstream} = core;
   const all = table.all();
   const isShort = (run: Run) =>
-    classIndexOf(classesOf(core), run.offer.promptTokens) === 0;
+    classIndexOf(lengthClassesOf(core), run.offer.promptTokens) === 0;
   return {
     capacityTokens: memory.capacity(),
     freeTokens: memory.free(),
-    running: table.placed().length,
+    running: table.occupyingSlots().length,
     queued: table.waiting().length,
-    prefillBacklogTokens: backlog(all),
-    shortBacklogTokens: backlog(all.filter(isShort)),
+    prefillBacklogTokens: prefillBacklog(all),
+    shortBacklogTokens: prefillBacklog(all.filter(isShort)),
     prefillTokensPerSec: rates.prefillTokensPerSec(),
     stepMs: rates.stepMs(),
-    reportAgeMs: reportAge(core, upstream.heardAt),
+    reportAgeMs: reportAgeMsOf(core, upstream.lastReportAt),
   };
 }
 
-function reportAge(core: SideCore, heardAt: number | undefined): number {
+function reportAgeMsOf(core: SideCore, heardAt: number | undefined): number {
   if (heardAt === undefined) return 0;
   return core.ctx.clock.now() - heardAt + core.upstream.reportAgeMs;
 }
 
-export function heartbeatOf(core: SideCore): SideHeartbeatRes {
+export function heartbeatReplyOf(core: SideCore): SideHeartbeatRes {
   const {options} = core;
   return {
     node: options.node,
@@ -65,16 +65,16 @@
   };
 }
 
-export function locate(core: SideCore, req: LocateReq): LocateRes {
+export function locateRun(core: SideCore, req: LocateReq): LocateRes {
   const run = core.table.find(req.requestId, req.organisation);
-  const state = run === undefined ? 'none' : STATE_TOLD[run.state];
+  const state = run === undefined ? 'none' : LOCATE_STATES[run.state];
   if (run === undefined || state === 'none') {
     return {state: 'none', dispatchId: '', nextSeq: 0, kind: 'completion'};
   }
   return {
     state,
     dispatchId: run.id,
-    nextSeq: run.log.count(),
+    nextSeq: run.chunkLog.count(),
     kind: run.offer.kind,
     model: modelName(run.offer),
     promptTokens: run.offer.promptTokens,
--- a/src/side/timing.ts
+++ b/src/side/timing.ts
@@ -22,9 +22,9 @@
   /** Engine stream without any event for this long is broken. @default 3000 */
   readonly engineSilenceMs: number;
   /** The same before the first event, while the prompt is sent. @default 15000 */
-  readonly firstEventMs: number;
+  readonly firstEventTimeoutMs: number;
   /** First pause before a stream is taken up again; doubles. @default 100 */
-  readonly resumeFirstMs: number;
+  readonly resumeBackoffMs: number;
   /** Takings-up in a row without a new token. @default 5 */
   readonly maxResumes: number;
   /** Missing prompt frames may still come for this long. @default 1000 */
@@ -46,8 +46,8 @@
   reportMs: 1_000,
   upstreamDownMs: 5_000,
   engineSilenceMs: 3_000,
-  firstEventMs: 15_000,
-  resumeFirstMs: 100,
+  firstEventTimeoutMs: 15_000,
+  resumeBackoffMs: 100,
   maxResumes: 5,
   promptGapMs: 1_000,
   lateCallMs: 60_000,
--- a/src/side/upstream_poller.ts
+++ b/src/side/upstream_poller.ts
@@ -4,12 +4,12 @@
 import type {SideCore} from './side_core.js';
 import type {UpstreamReport} from './messages.js';
 
-export interface UpstreamWatch {
-  ask(): void;
-  reported(outcome: Either<OnyxError, UpstreamReport>): void;
+export interface UpstreamPoller {
+  requestReport(): void;
+  handleReport(outcome: Either<OnyxError, UpstreamReport>): void;
 }
 
-export function createUpstreamWatch(core: SideCore): UpstreamWatch {
+export function createUpstreamPoller(core: SideCore): UpstreamPoller {
   const {ctx, memory} = core;
   const {upstream} = core.options;
 
@@ -23,7 +23,7 @@
   };
 
   const take = (value: UpstreamReport) => {
-    core.upstream.heardAt = ctx.clock.now();
+    core.upstream.lastReportAt = ctx.clock.now();
     core.upstream.reportAgeMs = value.report.ageMs;
     core.queueChanged = true;
     if (value.kind === 'service') return;
@@ -32,12 +32,12 @@
   };
 
   return {
-    ask: () => {
+    requestReport: () => {
       report()
         .then(outcome => ctx.send('runs', {kind: 'reported', outcome}))
         .catch(cause => ctx.fail(cause));
     },
     // Without an answer the last view grows old; see `isUpstreamDown`.
-    reported: outcome => void outcome.ifRight(take),
+    handleReport: outcome => void outcome.ifRight(take),
   };
 }
--- a/src/side/upstream_runner.ts
+++ b/src/side/upstream_runner.ts
@@ -9,11 +9,11 @@
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {Channels} from './channels.js';
 import type {SideCore} from './side_core.js';
-import {createEngineEvents} from './engine_events.js';
+import {createEngineEventHandler} from './engine_events.js';
 import type {Lifecycle} from './lifecycle.js';
 import {stopListening} from './lifecycle.js';
 import type {UpstreamEvent} from './messages.js';
-import {isHold, isOver, prefillLeft, ranOf} from './run.js';
+import {isHoldOnly, isFinished, prefillTokensLeft, ranOf} from './run.js';
 import type {Run} from './run.js';
 
 export interface UpstreamRunner {
@@ -53,10 +53,15 @@
     source: Stream<E>,
     wrap: (event: E) => UpstreamEvent,
   ) => {
-    run.stream.number += 1;
-    const stream = run.stream.number;
+    run.stream.generation += 1;
+    const stream = run.stream.generation;
     const tell = (event: UpstreamEvent) =>
-      ctx.send('runs', {kind: 'upstream', dispatchId: run.id, stream, event});
+      ctx.send('runs', {
+        kind: 'upstream',
+        dispatchId: run.id,
+        streamGeneration: stream,
+        event,
+      });
     const broken = (cause: unknown) =>
       tell({from: 'stream', error: lost(run, cause)});
     const subscription = source.subscribe({
@@ -80,7 +85,7 @@
       listen(run, answer, event => ({from: 'service', event}));
       return;
     }
-    const holdOnly = isHold(offer);
+    const holdOnly = isHoldOnly(offer);
     const req = {
       runId: run.id,
       model: offer.model,
@@ -99,9 +104,9 @@
 
   const noteBusy = () => {
     const busy = table
-      .placed()
-      .some(run => run.progress.seen && prefillLeft(run) > 0);
-    rates.prefillBusy(busy, ctx.clock.now());
+      .occupyingSlots()
+      .some(run => run.progress.eventSeen && prefillTokensLeft(run) > 0);
+    rates.setPrefillBusy(busy, ctx.clock.now());
   };
 
   const giveUp = (run: Run, error: OnyxError) =>
@@ -116,7 +121,7 @@
       cause: error.message,
     });
     const unsent =
-      error.ran === 'no' && !run.progress.seen && run.stream.resumes === 0;
+      error.ran === 'no' && !run.progress.eventSeen && run.stream.resumes === 0;
     stopListening(run);
     // The connection was never made, so no byte of the run went out: asking to
     // take it up would end as "unknown", and a request that may not repeat
@@ -131,17 +136,21 @@
     // The engine answered that it has no such run: there is nothing to take up.
     if (error.code === 'not-found') return giveUp(run, error);
     if (run.stream.resumes >= timing.maxResumes) return giveUp(run, error);
-    const pause = timing.resumeFirstMs * 2 ** run.stream.resumes;
+    const pause = timing.resumeBackoffMs * 2 ** run.stream.resumes;
     run.stream.resumes += 1;
-    const stream = run.stream.number;
+    const stream = run.stream.generation;
     run.timers.push(
       ctx.clock.after(pause, () =>
-        ctx.send('runs', {kind: 'resume-due', dispatchId: run.id, stream}),
+        ctx.send('runs', {
+          kind: 'resume-due',
+          dispatchId: run.id,
+          streamGeneration: stream,
+        }),
       ),
     );
   };
 
-  const engineEvents = createEngineEvents(
+  const engineEvents = createEngineEventHandler(
     core,
     channels,
     lifecycle,
@@ -155,8 +164,8 @@
   };
 
   const callEvent = (run: Run, event: CallEvent) => {
-    run.progress.seen = true;
-    if (isOver(run)) {
+    run.progress.eventSeen = true;
+    if (isFinished(run)) {
       if (event.kind === 'done') placeFreed(run);
       return;
     }
@@ -168,7 +177,7 @@
         append(run, event.data);
         break;
       case 'done':
-        rates.called(ctx.clock.now() - run.startedAt);
+        rates.recordCall(ctx.clock.now() - run.startedAt);
         lifecycle.end(run, 'done', 0);
         break;
     }
@@ -179,16 +188,16 @@
     data: Uint8Array,
     callHead?: (CallEvent & {kind: 'head'})['head'],
   ) => {
-    run.log.append({dispatchId: run.id, data, tokens: 0, callHead});
-    channels.pump(run);
+    run.chunkLog.append({dispatchId: run.id, data, tokens: 0, callHead});
+    channels.sendPending(run);
   };
 
   const callBroke = (run: Run, error: OnyxError) => {
-    if (isOver(run)) return placeFreed(run);
+    if (isFinished(run)) return placeFreed(run);
     stopListening(run);
     // Only the client knows whether a byte was sent; once an event came back,
     // one surely was.
-    const unsent = error.ran === 'no' && !run.progress.seen;
+    const unsent = error.ran === 'no' && !run.progress.eventSeen;
     lifecycle.fail(run, {
       code: error.code,
       message: error.message,
@@ -219,7 +228,7 @@
       handOver(run, enginePriority);
     },
     handle: (run, stream, event) => {
-      if (stream !== run.stream.number) return;
+      if (stream !== run.stream.generation) return;
       run.progress.lastEventAt = ctx.clock.now();
       if (event.from === 'service') {
         callEvent(run, event.event);
@@ -234,17 +243,19 @@
     },
     resume: (run, stream) => {
       if (upstream.kind !== 'engine' || run.state !== 'running') return;
-      if (stream !== run.stream.number) return;
+      if (stream !== run.stream.generation) return;
       const {nextToken} = run.progress;
       listenToEngine(run, upstream.client.resume(run.id, nextToken));
     },
     sweep: () => {
       if (upstream.kind !== 'engine') return;
       const now = ctx.clock.now();
-      for (const run of table.placed()) {
+      for (const run of table.occupyingSlots()) {
         if (run.stream.unsubscribe === undefined) continue;
-        const {seen, lastEventAt} = run.progress;
-        const limit = seen ? timing.engineSilenceMs : timing.firstEventMs;
+        const {eventSeen: seen, lastEventAt} = run.progress;
+        const limit = seen
+          ? timing.engineSilenceMs
+          : timing.firstEventTimeoutMs;
         if (now - lastEventAt <= limit) continue;
         engineBroke(run, lost(run, new Error('the stream went silent')));
       }
--- a/src/upstream/http_connection.ts
+++ b/src/upstream/http_connection.ts
@@ -24,7 +24,7 @@
     options: Dispatcher.RequestOptions,
   ): Promise<Dispatcher.ResponseData<null>>;
   /** Whether the connection was made, so that bytes may have gone out. */
-  isMade(): boolean;
+  isEstablished(): boolean;
   /** Breaks it at once, whatever is under way. */
   close(): void;
 }
@@ -46,7 +46,7 @@
   });
   return {
     request: req => client.request(req),
-    isMade: () => made,
+    isEstablished: () => made,
     close: () => {
       client.destroy().catch(() => {});
     },
@@ -54,7 +54,7 @@
 }
 
 /** Where an error arose, for `toOnyxError`. */
-export interface ErrorPlace {
+export interface ErrorContext {
   readonly step: Step;
   readonly peer: string;
   /** Code of an error after the connection was made. */
@@ -71,9 +71,9 @@
 export function toOnyxError(
   err: unknown,
   connection: HttpConnection,
-  place: ErrorPlace,
+  place: ErrorContext,
 ): OnyxError {
-  const isMade = connection.isMade();
+  const isMade = connection.isEstablished();
   // An error of the body's source may say "not run" of its own work. Once
   // bytes can have gone out, passing that on would let the upstream run twice.
   if (err instanceof OnyxError && !(isMade && err.ran === 'no')) return err;
--- a/test/assignments.test.ts
+++ b/test/assignments.test.ts
@@ -3,7 +3,7 @@
 import type {RoutingPolicy} from '../src/policy/routing.js';
 import {createRoutingPolicies} from '../src/policy/routing_policies.js';
 import {startEntry} from './support/entry_fixture.js';
-import {answerThree, failed} from './support/scripted_side.js';
+import {sendThreeChunks, failed} from './support/scripted_side.js';
 import type {SideScript} from './support/scripted_side.js';
 
 /** Attempts that are over no longer count after this. */
@@ -65,7 +65,7 @@
         const offer = side.offers.find(
           one => one.dispatchId === run.dispatchId,
         );
-        if (offer?.group?.lead === true) answerThree(side, run);
+        if (offer?.group?.lead === true) sendThreeChunks(side, run);
         else run.send({kind: 'started'});
       },
     };
--- a/test/entry_answer.test.ts
+++ b/test/entry_answer.test.ts
@@ -3,10 +3,10 @@
 import {REQUEST_EVENTS} from '../src/utils/events.js';
 import {ENTRY, startEntry} from './support/entry_fixture.js';
 import {
-  answerThree,
+  sendThreeChunks,
   chunkOf,
   endOf,
-  makeThree,
+  appendThreeChunks,
 } from './support/scripted_side.js';
 
 describe('a request on one side', () => {
@@ -45,7 +45,7 @@
       sides: [
         {
           run: (_side, run) => {
-            makeThree(run);
+            appendThreeChunks(run);
             const [one, two, three] = run.chunks;
             run.send(one);
             run.send(one);
@@ -76,7 +76,7 @@
       sides: [
         {
           run: (_side, run) => {
-            makeThree(run);
+            appendThreeChunks(run);
             run.send(run.chunks[0]);
             run.send(endOf(run));
           },
@@ -96,7 +96,7 @@
       sides: [
         {
           run: (_side, run) => {
-            makeThree(run);
+            appendThreeChunks(run);
             for (const chunk of run.chunks) {
               run.send(chunk.seq === 1 ? chunkOf(run, 1, 'tow ') : chunk);
             }
@@ -118,7 +118,7 @@
       sides: [
         {
           run: (side, run) => {
-            answerThree(side, run);
+            sendThreeChunks(side, run);
             run.send(chunkOf(run, 3, 'late'));
             run.send(endOf(run));
           },
@@ -142,7 +142,7 @@
       sides: [
         {
           run: (side, run) => {
-            makeThree(run);
+            appendThreeChunks(run);
             run.send(run.chunks[0]);
             entry.clock.after(100, () => {
               entry.network.faults.silence(ENTRY, side.address);
@@ -157,7 +157,7 @@
     expect(caller.text()).toBe('one two three');
     expect(caller.final()).toMatchObject({kind: 'end'});
     expect(entry.sides[0].attaches).toEqual([1]);
-    expect(entry.sides[0].gos).toHaveLength(1);
+    expect(entry.sides[0].goDispatches).toHaveLength(1);
   });
 
   // The side's process is stopped for good after its first words, while its
@@ -168,7 +168,7 @@
       sides: [
         {
           run: (_side, run) => {
-            makeThree(run);
+            appendThreeChunks(run);
             run.send(run.chunks[0]);
           },
         },
@@ -190,7 +190,7 @@
       sides: [
         {
           run: (side, run) => {
-            entry.clock.after(15_000, () => answerThree(side, run));
+            entry.clock.after(15_000, () => sendThreeChunks(side, run));
           },
         },
       ],
--- a/test/entry_attempts.test.ts
+++ b/test/entry_attempts.test.ts
@@ -26,7 +26,7 @@
 }
 
 function gosOf(entry: EntryFixture): string[] {
-  return entry.sides.flatMap(side => side.gos);
+  return entry.sides.flatMap(side => side.goDispatches);
 }
 
 function errorOf(caller: Caller) {
@@ -107,7 +107,7 @@
     await entry.clock.runFor(2_000);
     expect(caller.final()).toMatchObject({kind: 'end'});
     expect(entry.sides[0].abandons).toHaveLength(1);
-    expect(entry.sides[0].gos).toEqual([]);
+    expect(entry.sides[0].goDispatches).toEqual([]);
   });
 });
 
@@ -119,7 +119,9 @@
     const entry = await startEntry({sides: [mute, {}]});
     const caller = entry.submit({repeatable: false});
     await entry.clock.runFor(50);
-    entry.freeze(entry.sides.findIndex(({gos}) => gos.length > 0));
+    entry.freeze(
+      entry.sides.findIndex(({goDispatches: gos}) => gos.length > 0),
+    );
     await entry.clock.runFor(29_000);
     expect(errorOf(caller)).toMatchObject({
       code: 'upstream-lost',
--- a/test/entry_callers.test.ts
+++ b/test/entry_callers.test.ts
@@ -12,11 +12,11 @@
 import type {EntryFixture} from './support/entry_fixture.js';
 import {
   accepted,
-  createRun,
+  createScriptedRun,
   endOf,
   failed,
   resend,
-  makeThree,
+  appendThreeChunks,
   refused,
 } from './support/scripted_side.js';
 import type {SideScript} from './support/scripted_side.js';
@@ -25,7 +25,7 @@
 function slowly(entry: () => EntryFixture): SideScript {
   return {
     run: (_side, run) => {
-      makeThree(run);
+      appendThreeChunks(run);
       run.send(run.chunks[0]);
       entry().clock.after(1_000, () => {
         for (const chunk of run.chunks.slice(1)) run.send(chunk);
@@ -45,7 +45,7 @@
     await entry.clock.runFor(2_000);
     expect(again.text()).toBe('two three');
     expect(again.final()).toMatchObject({kind: 'end', count: 3});
-    expect(entry.sides[0].gos).toHaveLength(1);
+    expect(entry.sides[0].goDispatches).toHaveLength(1);
   });
 
   // Its entry is gone, with the connection. This entry knows nothing of the
@@ -102,7 +102,7 @@
     const caller = entry.submit();
     await entry.clock.runFor(2_000);
     expect(caller.final()).toMatchObject({error: {code: 'upstream-lost'}});
-    expect(entry.sides.flatMap(side => side.gos)).toHaveLength(1);
+    expect(entry.sides.flatMap(side => side.goDispatches)).toHaveLength(1);
   });
 
   // Another entry took the run over and it goes on there. This entry's own end
@@ -159,7 +159,7 @@
       nextSeq: 0,
       kind: 'completion',
     });
-    entry.sides[0].runs.set('q12.1', createRun('q12.1'));
+    entry.sides[0].runs.set('q12.1', createScriptedRun('q12.1'));
     const caller = entry.caller();
     resume(entry, 'q12', 'prairie-sky', 0, caller.listener);
     await entry.clock.runFor(1_000);
@@ -221,7 +221,7 @@
     const second = entry.submit({id: 'q6', ...permit});
     await entry.clock.runFor(100);
     expect(second.text()).toBe('one two three');
-    expect(entry.sides[0].gos).toEqual(['q5.1']);
+    expect(entry.sides[0].goDispatches).toEqual(['q5.1']);
     expect(entry.places()).toBe(0);
   });
 
@@ -302,7 +302,7 @@
     await entry.clock.runFor(1_000);
     expect(caller.final()).toMatchObject({error: {ran: 'no'}});
     expect(entry.sides[0].abandons).toEqual(['q8.1']);
-    expect(entry.sides[0].gos).toEqual([]);
+    expect(entry.sides[0].goDispatches).toEqual([]);
   });
 });
 
@@ -436,8 +436,8 @@
 
 function holdRun(entry: EntryFixture, dispatchId: string): void {
   const [, side] = entry.sides;
-  const run = createRun(dispatchId);
-  makeThree(run);
+  const run = createScriptedRun(dispatchId);
+  appendThreeChunks(run);
   side.runs.set(dispatchId, run);
   side.locate = (id, organisation) =>
     dispatchId.startsWith(`${id}.`) && organisation === 'prairie-sky'
--- a/test/entry_groups.test.ts
+++ b/test/entry_groups.test.ts
@@ -4,7 +4,7 @@
 import type {EntryFixture} from './support/entry_fixture.js';
 import {
   accepted,
-  answerThree,
+  sendThreeChunks,
   failed,
   refused,
 } from './support/scripted_side.js';
@@ -17,7 +17,7 @@
   run: (side, run) => {
     const offer = offerOf(entry(), run.dispatchId);
     if (offer?.group?.lead === true) {
-      entry().clock.after(2_000, () => answerThree(side, run));
+      entry().clock.after(2_000, () => sendThreeChunks(side, run));
     } else {
       run.send({kind: 'started'});
     }
@@ -77,7 +77,7 @@
     const [first] = entry.sides;
     expect(first.offers.length).toBeGreaterThan(2);
     expect(first.offers.length - first.abandons.length).toBeLessThanOrEqual(1);
-    expect(entry.sides.flatMap(side => side.gos)).toEqual([]);
+    expect(entry.sides.flatMap(side => side.goDispatches)).toEqual([]);
     room = true;
     await entry.clock.runFor(10_000);
     expect(caller.text()).toBe('one two three');
@@ -109,7 +109,7 @@
         }
         entry.clock.after(2_000, () => {
           taken.delete(side.address);
-          answerThree(side, run);
+          sendThreeChunks(side, run);
         });
       },
     });
@@ -135,7 +135,8 @@
     const caller = entry.submit(LONG);
     await entry.clock.runFor(500);
     const member = entry.sides.find(
-      side => side.gos.length > 0 && side.offers[0].group?.lead === false,
+      side =>
+        side.goDispatches.length > 0 && side.offers[0].group?.lead === false,
     );
     const before = heldAt(entry);
     entry.network.faults.down(member?.address ?? '');
@@ -163,7 +164,7 @@
     member.send(failed(member.dispatchId, 'yes', 'cancelled'));
     await entry.clock.runFor(5_000);
     expect(caller.final()).toMatchObject({error: {code: 'cancelled'}});
-    expect(entry.sides.flatMap(side => side.gos)).toHaveLength(3);
+    expect(entry.sides.flatMap(side => side.goDispatches)).toHaveLength(3);
   });
 
   it('fails at once when all engines together have not the room', async () => {
--- a/test/side_answers.test.ts
+++ b/test/side_answers.test.ts
@@ -31,7 +31,7 @@
   test('comes whole with count and digest', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0');
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(5_000);
     expectWhole([channel], 20);
   });
@@ -41,7 +41,7 @@
     // attaches from the next chunk that the caller lacks.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 100});
-    const first = rig.goWhole('r1.0');
+    const first = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(1_000);
     const count = first.chunks().length;
     first.silence();
@@ -49,7 +49,7 @@
     await rig.clock.runFor(20_000);
     expect(count).toBeGreaterThan(5);
     expectWhole([first, second], 100);
-    expect(second.got[0]).toEqual({kind: 'started'});
+    expect(second.received[0]).toEqual({kind: 'started'});
     const again = rig.attach('r1.0', 0, 'entry-3');
     await rig.clock.runFor(1_000);
     expectWhole([again], 100);
@@ -74,7 +74,7 @@
     // the run is another's, and the caller's new answer goes on.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 200});
-    const first = rig.goWhole('r1.0');
+    const first = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(1_000);
     const second = rig.attach('r1.0', 0);
     await rig.clock.runFor(100);
@@ -88,7 +88,7 @@
   test('is hidden from another organisation as if it were not there', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 100});
-    rig.goWhole('r1.0');
+    rig.goWithPrompt('r1.0');
     await rig.clock.runFor(300);
     const other = rig.attach('r1.0', 0, 'entry-2', 'org-b');
     const none = rig.attach('r9.0', 0, 'entry-2', 'org-b');
@@ -98,7 +98,7 @@
       dispatchId: '',
     });
     expect(told(other)).toEqual(told(none));
-    expect(other.got).toHaveLength(1);
+    expect(other.received).toHaveLength(1);
     expect(
       await rig.answer(
         rig.handlers().locate?.({requestId: 'r1', organisation: 'org-b'}),
@@ -116,7 +116,7 @@
     // side closes it after the silence, and the run is not touched.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 400});
-    const first = rig.goWhole('r1.0');
+    const first = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(1_000);
     first.silence();
     await rig.clock.runFor(5_000);
@@ -131,7 +131,7 @@
   test('that breaks is taken up from the next token', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 100});
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(700);
     rig.engine.cut();
     await rig.clock.runFor(400);
@@ -144,7 +144,7 @@
   test('that goes silent is taken up on a new connection', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 300});
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(700);
     rig.engine.silenceOpen();
     await rig.clock.runFor(15_000);
@@ -165,7 +165,7 @@
       }),
     });
     await rig.offer('r1.0');
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(5_000);
     expectWhole([channel], 20);
     const broken = rig.eventsOf(SIDE_EVENTS.streamBroken);
@@ -183,7 +183,7 @@
       }),
     });
     await rig.offer('r1.0');
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(20_000);
     expectWhole([channel], 20);
   });
@@ -191,7 +191,7 @@
   test('of an engine that died fails as run, within bounded tries', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 500});
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(700);
     rig.model.die();
     await rig.clock.runFor(6_000);
@@ -214,7 +214,7 @@
     const rig = await createSideRig();
     await rig.offer('r1.0', {repeatable: false});
     rig.model.die();
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(200);
     expect(channel.last('failed')).toMatchObject({ran: 'no'});
     rig.model.restart();
--- a/test/side_at_most_once.test.ts
+++ b/test/side_at_most_once.test.ts
@@ -10,7 +10,7 @@
     const rig = await createSideRig();
     await rig.offer('r1.0');
     await rig.clock.runFor(1_500);
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(5_000);
     expect(channel.last('failed')).toMatchObject({
       ran: 'no',
@@ -25,7 +25,7 @@
     const rig = await createSideRig();
     await rig.offer('r1.0');
     expect(await rig.abandon('r1.0')).toMatchObject({state: 'never-started'});
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(5_000);
     expect(channel.last('failed')).toMatchObject({ran: 'no'});
     expect(rig.starts('r1.0')).toBe(0);
@@ -37,14 +37,14 @@
     const rig = await createSideRig();
     expect(await rig.abandon('r1.0')).toMatchObject({state: 'never-started'});
     expect(await rig.offer('r1.0')).toMatchObject({reason: 'tombstoned'});
-    rig.goWhole('r1.0');
+    rig.goWithPrompt('r1.0');
     await rig.clock.runFor(5_000);
     expect(rig.starts('r1.0')).toBe(0);
   });
 
   test('without any offer is refused, and its offer after it', async () => {
     const rig = await createSideRig();
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(10);
     expect(channel.last('failed')).toMatchObject({
       ran: 'no',
@@ -78,12 +78,12 @@
     // answer it "not run" would let the entry run the request elsewhere.
     const rig = await createSideRig();
     await rig.offer('r1.0');
-    const first = rig.goWhole('r1.0');
+    const first = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(200);
-    const second = rig.goWhole('r1.0');
+    const second = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(5_000);
     expect(first.last('end')).toBeDefined();
-    expect(second.got).toEqual([]);
+    expect(second.received).toEqual([]);
     expect(rig.starts('r1.0')).toBe(1);
   });
 
@@ -92,11 +92,11 @@
     // answer is kept; the id is still remembered as one that ran.
     const rig = await createSideRig();
     await rig.offer('r1.0');
-    rig.goWhole('r1.0');
+    rig.goWithPrompt('r1.0');
     await rig.clock.runFor(70_000);
     expect((await rig.status()).runs).toEqual([]);
     expect(await rig.offer('r1.0')).toMatchObject({reason: 'tombstoned'});
-    const late = rig.goWhole('r1.0');
+    const late = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(100);
     expect(late.last('failed')).toMatchObject({ran: 'yes'});
     expect(rig.starts('r1.0')).toBe(1);
@@ -108,7 +108,7 @@
   test('of a started run says so and frees the engine', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 1_000});
-    rig.goWhole('r1.0');
+    rig.goWithPrompt('r1.0');
     await rig.clock.runFor(500);
     expect(await rig.abandon('r1.0')).toMatchObject({state: 'started'});
     await rig.clock.runFor(100);
@@ -129,7 +129,7 @@
   test('in the name of its organisation ends a run that another entry owns', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 1_000});
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(500);
     expect(await rig.abandon('r1.0', 'entry-2', '', 'stranger')).toMatchObject({
       state: 'unknown',
@@ -146,7 +146,7 @@
   test('by an entry that lost the run to another ends nothing', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 200});
-    rig.goWhole('r1.0');
+    rig.goWithPrompt('r1.0');
     await rig.clock.runFor(500);
     const taken = rig.attach('r1.0', 0);
     await rig.clock.runFor(100);
@@ -162,9 +162,9 @@
     // been told before, "not run" could be concluded from the silence.
     const rig = await createSideRig();
     await rig.offer('r1.0');
-    const channel = rig.goWhole('r1.0');
-    while (channel.got.length === 0) await rig.clock.step();
-    expect(channel.got[0]).toEqual({kind: 'started'});
+    const channel = rig.goWithPrompt('r1.0');
+    while (channel.received.length === 0) await rig.clock.step();
+    expect(channel.received[0]).toEqual({kind: 'started'});
     expect(rig.starts('r1.0')).toBe(0);
   });
 });
@@ -176,7 +176,7 @@
     await rig.kill();
     await rig.restart('i2');
     expect(await rig.offer('r1.0')).toMatchObject({reason: 'incarnation'});
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(5_000);
     expect(channel.last('failed')).toMatchObject({code: 'incarnation'});
     expect(rig.starts('r1.0')).toBe(0);
@@ -210,7 +210,7 @@
     const rig = await createSideRig({bounds: {retentionBytes: 300}});
     for (const id of ['r1.0', 'r2.0']) {
       await rig.offer(id);
-      const channel = rig.goWhole(id);
+      const channel = rig.goWithPrompt(id);
       await rig.clock.runFor(2_000);
       channel.close();
     }
@@ -230,7 +230,7 @@
   test('says nothing of the run that started there', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {repeatable: false});
-    rig.goWhole('r1.0');
+    rig.goWithPrompt('r1.0');
     await rig.clock.runFor(100);
     expect(rig.starts('r1.0')).toBe(1);
     await rig.kill();
--- a/test/side_calls.test.ts
+++ b/test/side_calls.test.ts
@@ -34,7 +34,7 @@
     timeLeftMs,
   };
   await rig.offer('c1.0', over);
-  const channel = rig.goWhole('c1.0', timeLeftMs);
+  const channel = rig.goWithPrompt('c1.0', timeLeftMs);
   await rig.clock.runFor(50);
   const [call] = service.calls;
   if (call === undefined) throw new Error('the service was not called');
--- a/test/side_capacity.test.ts
+++ b/test/side_capacity.test.ts
@@ -16,7 +16,7 @@
     // memory to the run's time limit.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 4_000, timeLeftMs: 600_000});
-    const channel = rig.goWhole('r1.0', 600_000);
+    const channel = rig.goWithPrompt('r1.0', 600_000);
     await rig.clock.runFor(1_000);
     channel.silence();
     await rig.clock.runFor(9_000);
@@ -30,7 +30,7 @@
   test('goes on while heartbeats list it', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 1_500, timeLeftMs: 600_000});
-    const silent = rig.goWhole('r1.0', 600_000);
+    const silent = rig.goWithPrompt('r1.0', 600_000);
     await rig.clock.runFor(100);
     silent.silence();
     for (let i = 0; i < 40; i++) {
@@ -46,8 +46,8 @@
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 3_000, timeLeftMs: 600_000});
     await rig.offer('r2.0', {maxTokens: 3_000, timeLeftMs: 600_000});
-    const channel = rig.goWhole('r1.0', 600_000);
-    const broken = rig.goWhole('r2.0', 600_000);
+    const channel = rig.goWithPrompt('r1.0', 600_000);
+    const broken = rig.goWithPrompt('r2.0', 600_000);
     await rig.clock.runFor(1_000);
     broken.close();
     await rig.clock.runFor(1_000);
@@ -68,7 +68,7 @@
     // the next incarnation finds it in the list and frees it.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 4_000, timeLeftMs: 600_000});
-    rig.goWhole('r1.0', 600_000);
+    rig.goWithPrompt('r1.0', 600_000);
     await rig.clock.runFor(1_000);
     await rig.kill();
     expect(rig.model.counts().usedTokens).toBeGreaterThan(0);
@@ -123,7 +123,7 @@
   test('is asked again when a cancel gets no answer', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 4_000, timeLeftMs: 600_000});
-    rig.goWhole('r1.0', 600_000);
+    rig.goWithPrompt('r1.0', 600_000);
     await rig.clock.runFor(1_000);
     rig.engine.setSilent(true);
     await rig.abandon('r1.0');
@@ -145,7 +145,7 @@
       wrapEngine: engine => ({...engine, start: () => beats}),
     });
     await rig.offer('r1.0');
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(20_000);
     expect(channel.last('failed')).toMatchObject({
       code: 'upstream-lost',
@@ -159,7 +159,7 @@
   test('ends a run at once and frees the engine', async () => {
     const rig = await createSideRig({priors: {stepMs: 1}});
     await rig.offer('r1.0', {maxTokens: 1_000, timeLeftMs: 2_000});
-    const channel = rig.goWhole('r1.0', 2_000);
+    const channel = rig.goWithPrompt('r1.0', 2_000);
     await rig.clock.runFor(2_010);
     expect(channel.last('failed')).toMatchObject({
       code: 'deadline-exceeded',
@@ -174,10 +174,10 @@
       priors: {stepMs: 1},
     });
     await rig.offer('r1.0', {maxTokens: 1_000});
-    rig.goWhole('r1.0');
+    rig.goWithPrompt('r1.0');
     await rig.clock.runFor(10);
     await rig.offer('r2.0', {timeLeftMs: 3_000});
-    const channel = rig.goWhole('r2.0', 3_000);
+    const channel = rig.goWithPrompt('r2.0', 3_000);
     await rig.clock.runFor(3_010);
     expect(channel.last('failed')).toMatchObject({
       code: 'deadline-exceeded',
@@ -203,7 +203,7 @@
       await refuse('c.0', {...HUNDRED_K, timeLeftMs: 1_000}),
     ).toMatchObject({reason: 'too-late', retryAfterMs: 0});
     await rig.offer('d.0', HUNDRED_K);
-    rig.goWhole('d.0', 600_000);
+    rig.goWithPrompt('d.0', 600_000);
     await rig.clock.runFor(10);
     const late = await refuse('e.0', {priority: 9, timeLeftMs: 3_000});
     expect(late).toMatchObject({reason: 'too-late'});
@@ -260,7 +260,7 @@
   test('runs its prompt at the lead', async () => {
     const rig = await createSideRig();
     await rig.offer('g1.0', member(true, 360_000));
-    const channel = rig.goWhole('g1.0', 600_000);
+    const channel = rig.goWithPrompt('g1.0', 600_000);
     await rig.clock.runFor(120_000);
     expect(channel.last('end')).toBeDefined();
     expect((await rig.status()).reservedTokens).toBe(0);
@@ -277,7 +277,7 @@
     void rig.drain().then(() => (drained = true));
     await rig.clock.settle();
     expect(await rig.offer('r2.0')).toMatchObject({reason: 'leaving'});
-    const channel = rig.goWhole('r1.0');
+    const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(1_500);
     expect(drained).toBe(false);
     expect((await rig.heartbeat(['r1.0'])).leaving).toBe(true);
--- a/test/side_cold_start.test.ts
+++ b/test/side_cold_start.test.ts
@@ -12,7 +12,7 @@
   id: string,
 ) {
   const offered = await rig.offer(id, LOOSE);
-  if (offered.kind === 'accepted') rig.goWhole(id, LOOSE.timeLeftMs);
+  if (offered.kind === 'accepted') rig.goWithPrompt(id, LOOSE.timeLeftMs);
   await rig.clock.runFor(29_000);
   return {offered, state: await rig.stateOf(id)};
 }
@@ -47,7 +47,7 @@
     for (let count = 0; count < 20; count++) {
       const id = `t${count}.0`;
       await rig.offer(id, {maxTokens: 2_000, timeLeftMs: 600_000});
-      rig.goWhole(id, 600_000);
+      rig.goWithPrompt(id, 600_000);
       await rig.clock.runFor(1_000);
     }
     // To the end of the last, and no longer: what is learned is doubted once
@@ -85,7 +85,7 @@
     const rig = await createSideRig({priors});
     rig.model.slow(100);
     await rig.offer('r1.0', {promptTokens: 30_000, timeLeftMs: 900_000});
-    rig.goWhole('r1.0', 900_000);
+    rig.goWithPrompt('r1.0', 900_000);
     await rig.clock.runFor(300_000);
     rig.model.slow(1);
     const offer = {promptTokens: 30_000, timeLeftMs: 20_000};
--- a/test/side_group_priority.test.ts
+++ b/test/side_group_priority.test.ts
@@ -19,10 +19,10 @@
     const rig = await createSideRig({lengthClasses: LENGTH_CLASSES});
     const group = {lead: true, size: 2, holdTokens: 300_000};
     await rig.offer('g.1', {promptTokens: 600_000, group});
-    const lead = rig.goWhole('g.1');
+    const lead = rig.goWithPrompt('g.1');
     await rig.clock.runFor(500);
     await rig.offer('s.1', {promptTokens: 1_000});
-    const short = rig.goWhole('s.1');
+    const short = rig.goWithPrompt('s.1');
     await rig.clock.runFor(1_000);
     expect(short.chunks().length).toBeGreaterThan(0);
     expect(lead.chunks()).toEqual([]);
--- a/test/side_queue.test.ts
+++ b/test/side_queue.test.ts
@@ -147,7 +147,7 @@
       shares.charge(id, 1_000, id === 'heavy' ? 2 : 1);
     }
     expect(started).toEqual({heavy: 60, light: 30});
-    shares.arrive('new', ['heavy', 'light']);
+    shares.join('new', ['heavy', 'light']);
     expect(shares.served().get('new')).toBe(30_000);
   });
 });
@@ -165,10 +165,10 @@
   test('come near what is seen and leave idle time out', () => {
     const rates = createLearnedRates(DEFAULT_RATE_PRIORS);
     for (let at = 0; at < 100_000; at += 1_000) {
-      rates.prefillBusy(true, at);
-      rates.prefilled(2_000, at + 100);
-      rates.prefillBusy(false, at + 100);
-      rates.decoded(4, 200);
+      rates.setPrefillBusy(true, at);
+      rates.recordPrefill(2_000, at + 100);
+      rates.setPrefillBusy(false, at + 100);
+      rates.recordDecode(4, 200);
     }
     expect(rates.prefillTokensPerSec()).toBeCloseTo(20_000, -2);
     expect(rates.stepMs()).toBeCloseTo(50, 0);
@@ -181,7 +181,7 @@
     for (let i = 0; i < 12; i++) {
       const over = {promptTokens: 40_000, maxTokens: 50, timeLeftMs: 600_000};
       await rig.offer(`r${i}.0`, over);
-      rig.goWhole(`r${i}.0`, 600_000);
+      rig.goWithPrompt(`r${i}.0`, 600_000);
       await rig.clock.runFor(8_000);
     }
     const {load} = await rig.status();
@@ -195,7 +195,7 @@
 test('a start is logged with who was chosen and why', async () => {
   const rig = await createSideRig();
   await rig.offer('r1.0');
-  rig.goWhole('r1.0');
+  rig.goWithPrompt('r1.0');
   await rig.clock.runFor(100);
   expect(rig.eventsOf(SIDE_EVENTS.runStarted).map(e => e.fields)).toEqual([
     {
--- a/test/support/scripted_side.ts
+++ b/test/support/scripted_side.ts
@@ -35,14 +35,18 @@
   /** @default accepts */
   readonly offer?: (req: OfferReq) => Promise<OfferRes> | OfferRes;
   /** Called at the prompt's end. @default answers 'one ', 'two ', 'three' */
-  readonly run?: (side: ScriptedSide, run: SideRun) => void;
+  readonly run?: (side: ScriptedSide, run: ScriptedRun) => void;
   /** @default sends what it has from the chunk asked for */
-  readonly attach?: (side: ScriptedSide, run: SideRun, fromSeq: number) => void;
+  readonly attach?: (
+    side: ScriptedSide,
+    run: ScriptedRun,
+    fromSeq: number,
+  ) => void;
   /** @default by whether the run was started */
   readonly abandon?: (id: DispatchId) => AbandonRes['state'];
 }
 
-export interface SideRun {
+export interface ScriptedRun {
   readonly dispatchId: DispatchId;
   /** The newest channel. */
   channel: RunServerChannel | undefined;
@@ -56,7 +60,7 @@
   incarnation: Incarnation;
   readonly offers: OfferReq[];
   /** Dispatches whose go arrived, in order. */
-  readonly gos: DispatchId[];
+  readonly goDispatches: DispatchId[];
   readonly abandons: DispatchId[];
   /** Organisations that those were asked for in the name of. */
   readonly abandonedFor: string[];
@@ -64,7 +68,7 @@
   readonly attaches: number[];
   /** Whether each of those took the run over. */
   readonly takeOvers: boolean[];
-  readonly runs: Map<DispatchId, SideRun>;
+  readonly runs: Map<DispatchId, ScriptedRun>;
   readonly cancels: DispatchId[];
   locate: (id: string, organisation: string) => LocateRes | undefined;
   replica(load?: Partial<SideLoad>): Replica;
@@ -80,7 +84,7 @@
     address,
     incarnation: `inc-${address}`,
     offers: [],
-    gos: [],
+    goDispatches: [],
     abandons: [],
     abandonedFor: [],
     attaches: [],
@@ -92,7 +96,7 @@
   };
 
   const serve = (channel: RunServerChannel) => {
-    let run: SideRun | undefined;
+    let run: ScriptedRun | undefined;
     let bytes = 0;
     let open = true;
     const stopBeats = clock.every(BEAT_MS, () => {
@@ -100,8 +104,8 @@
     });
     const onFrame = (frame: RunUp) => {
       if (frame.kind === 'go') {
-        side.gos.push(frame.dispatchId);
-        run = createRun(frame.dispatchId, () => bytes);
+        side.goDispatches.push(frame.dispatchId);
+        run = createScriptedRun(frame.dispatchId, () => bytes);
         run.channel = channel;
         side.runs.set(frame.dispatchId, run);
       } else if (frame.kind === 'attach') {
@@ -117,7 +121,7 @@
       } else if (frame.kind === 'prompt') {
         bytes += frame.data.length;
       } else if (frame.kind === 'prompt-end' && run !== undefined) {
-        (script.run ?? answerThree)(side, run);
+        (script.run ?? sendThreeChunks)(side, run);
       } else if (frame.kind === 'cancel' && run !== undefined) {
         side.cancels.push(run.dispatchId);
       }
@@ -187,12 +191,12 @@
   };
 }
 
-export function chunkOf(run: SideRun, seq: number, text: string): Chunk {
+export function chunkOf(run: ScriptedRun, seq: number, text: string): Chunk {
   const data = new TextEncoder().encode(text);
   return {kind: 'chunk', dispatchId: run.dispatchId, seq, data, tokens: 1};
 }
 
-export function endOf(run: SideRun): RunEnd {
+export function endOf(run: ScriptedRun): RunEnd {
   const digest = createDigest();
   for (const chunk of run.chunks) digest.update(chunk.data);
   return {
@@ -206,14 +210,14 @@
 }
 
 /** Makes the answer of three chunks without sending it. */
-export function makeThree(run: SideRun): void {
+export function appendThreeChunks(run: ScriptedRun): void {
   for (const [seq, text] of ['one ', 'two ', 'three'].entries()) {
     run.chunks.push(chunkOf(run, seq, text));
   }
 }
 
-export function answerThree(_side: ScriptedSide, run: SideRun): void {
-  makeThree(run);
+export function sendThreeChunks(_side: ScriptedSide, run: ScriptedRun): void {
+  appendThreeChunks(run);
   run.send({kind: 'started'});
   for (const chunk of run.chunks) run.send(chunk);
   run.send(endOf(run));
@@ -221,7 +225,7 @@
 
 export function resend(
   _side: ScriptedSide,
-  run: SideRun,
+  run: ScriptedRun,
   fromSeq: number,
 ): void {
   for (const chunk of run.chunks.slice(fromSeq)) run.send(chunk);
@@ -229,11 +233,11 @@
 }
 
 /** A run without a channel yet, as one that an attach takes up. */
-export function createRun(
+export function createScriptedRun(
   dispatchId: DispatchId,
   promptBytes: () => number = () => 0,
-): SideRun {
-  const run: SideRun = {
+): ScriptedRun {
+  const run: ScriptedRun = {
     dispatchId,
     channel: undefined,
     promptBytes,
--- a/test/support/side_rig.ts
+++ b/test/support/side_rig.ts
@@ -8,7 +8,7 @@
 import type {Kernel} from '../../src/kernel/kernel.js';
 import {classQueue} from '../../src/policy/side_queue.js';
 import type {RunsOptions} from '../../src/side/side_core.js';
-import {createSideHandlers} from '../../src/side/peer_handlers.js';
+import {createSidePeerHandlers} from '../../src/side/peer_handlers.js';
 import {createRunsService} from '../../src/side/runs_service.js';
 import type {SideStatus} from '../../src/side/messages.js';
 import type {
@@ -32,7 +32,7 @@
 
 /** The entry's end of a run's channel. */
 export interface EntryChannel {
-  readonly got: RunDown[];
+  readonly received: RunDown[];
   send(frame: RunUp): void;
   close(): void;
   /** From now on no frame gets through, in either direction. */
@@ -81,7 +81,7 @@
   const stopBeats = clock.every(1_000, () => arrive({kind: 'beat'}));
   const chunks = () => got.filter(frame => frame.kind === 'chunk');
   return {
-    got,
+    received: got,
     send: frame => void clock.after(LATENCY_MS, () => arrive(frame)),
     close: () => {
       stopBeats();
@@ -105,14 +105,14 @@
   };
 }
 
-export interface RigOptions extends Partial<RunsOptions> {
+export interface SideRigOptions extends Partial<RunsOptions> {
   readonly model?: Partial<EngineModelOptions>;
   /** Puts a faulty client in front of the engine. */
   readonly wrapEngine?: (engine: EngineClient) => EngineClient;
 }
 
 /** Starts a side; it has reconciled with its engine when this resolves. */
-export async function createSideRig(options: RigOptions = {}) {
+export async function createSideRig(options: SideRigOptions = {}) {
   const recorded = createRecordingRuntime();
   const {clock, runtime} = recorded;
   const model = createEngineModel({clock, ...options.model});
@@ -140,7 +140,7 @@
     return started;
   };
   let kernel = await startSide('i1');
-  const handlers = () => createSideHandlers(kernel);
+  const handlers = () => createSidePeerHandlers(kernel);
   const answer = async <T>(ask: Promise<T> | undefined): Promise<T> => {
     await clock.settle();
     if (ask === undefined) throw new Error('no such handler');
@@ -176,7 +176,7 @@
     channel.send({kind: 'go', dispatchId: id, incarnation, timeLeftMs});
     return channel;
   };
-  const goWhole = (id: string, timeLeftMs = 60_000) => {
+  const goWithPrompt = (id: string, timeLeftMs = 60_000) => {
     const channel = go(id, timeLeftMs);
     channel.send({kind: 'prompt', seq: 0, data: Buffer.from(`prompt ${id}`)});
     channel.send({kind: 'prompt-end', count: 1});
@@ -233,7 +233,7 @@
     offer,
     open,
     go,
-    goWhole,
+    goWithPrompt,
     attach,
     abandon,
     heartbeat,
