--- a/src/entry/front/callers_front.ts
+++ b/src/entry/front/callers_exchange.ts
@@ -8,7 +8,7 @@
 import {FRONT_EVENTS} from '../../utils/events.js';
 import {createLink} from '../run/answer_link.js';
 import type {LinkTiming, Outcome} from '../run/answer_link.js';
-import type {Answer} from './answers.js';
+import type {Answer} from './response_writers.js';
 import type {Authenticator} from './authenticator.js';
 import type {CallersState, Place} from './callers_state.js';
 import type {FirstTokenMetrics} from '../run/first_token_metrics.js';
--- a/src/entry/front/callers_requests.ts
+++ b/src/entry/front/existing_request_routes.ts
@@ -10,10 +10,10 @@
   createCallAnswer,
   createStreamAnswer,
   createWholeAnswer,
-} from './answers.js';
-import type {Answer, ResumePoint} from './answers.js';
-import {inTime, join} from './callers_front.js';
-import type {Exchange, Front} from './callers_front.js';
+} from './response_writers.js';
+import type {Answer, ResumePoint} from './response_writers.js';
+import {inTime, join} from './callers_exchange.js';
+import type {Exchange, Front} from './callers_exchange.js';
 import {badRequest, noSuchRequest} from '../faults.js';
 import {sendJson} from './http_errors.js';
 
--- a/src/entry/front/callers_submit.ts
+++ b/src/entry/front/new_request_routes.ts
@@ -14,10 +14,10 @@
   createCallAnswer,
   createStreamAnswer,
   createWholeAnswer,
-} from './answers.js';
-import type {Answer} from './answers.js';
-import {join} from './callers_front.js';
-import type {Exchange, Front} from './callers_front.js';
+} from './response_writers.js';
+import type {Answer} from './response_writers.js';
+import {join} from './callers_exchange.js';
+import type {Exchange, Front} from './callers_exchange.js';
 import type {Place} from './callers_state.js';
 import {NO_BODY_OPTIONS, checkFields} from './completion_fields.js';
 import {badRequest} from '../faults.js';
--- a/src/entry/front/answers.ts
+++ b/src/entry/front/response_writers.ts
@@ -8,7 +8,7 @@
 import type {CallResHead} from '../../types/peer_messages.js';
 import type {RequestEvent} from '../../types/services.js';
 import {withoutHopHeaders} from '../../utils/hop_headers.js';
-import {createAnswerText} from './answer_text.js';
+import {createAnswerText} from './chunk_text_decoder.js';
 import {errorBody, sendError, sendJson} from './http_errors.js';
 
 type EndEvent = Extract<RequestEvent, {kind: 'end'}>;
--- a/src/entry/run/answer_link.ts
+++ b/src/entry/run/answer_link.ts
@@ -8,7 +8,7 @@
 import type {Cancel, Runtime} from '../../types/runtime.js';
 import type {RequestEvent, RequestListener} from '../../types/services.js';
 import {FRONT_EVENTS} from '../../utils/events.js';
-import type {Answer} from '../front/answers.js';
+import type {Answer} from '../front/response_writers.js';
 import {asOnyxError} from '../faults.js';
 
 /** How a request ended for its caller. */
--- a/test/authenticator.test.ts
+++ b/test/authenticator.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, test} from 'vitest';
 import {createAuthenticator} from '../src/entry/front/authenticator.js';
-import {declarations} from './support/front_bench.js';
+import {declarations} from './support/front_fixture.js';
 
 const {declarations: base} = declarations();
 const [first, second] = base.organisations;
--- a/test/http_bad_input.test.ts
+++ b/test/http_bad_input.test.ts
@@ -1,8 +1,8 @@
 /** Bad input gets a clear status, reaches no upstream, breaks nothing. */
 import {connect} from 'node:net';
 import {afterAll, beforeAll, describe, expect, test} from 'vitest';
-import {PRAIRIE_KEY, openFront, tellAnswer} from './support/front_bench.js';
-import type {FrontBench} from './support/front_bench.js';
+import {PRAIRIE_KEY, openFront, tellAnswer} from './support/front_fixture.js';
+import type {FrontBench} from './support/front_fixture.js';
 
 const AUTH = `Authorization: Bearer ${PRAIRIE_KEY}\r\n`;
 const POST = 'POST /v1/completions HTTP/1.1\r\nHost: x\r\n';
--- a/test/http_callers.test.ts
+++ b/test/http_callers.test.ts
@@ -8,8 +8,8 @@
   tellAnswer,
   viewOf,
   withoutIds,
-} from './support/front_bench.js';
-import type {FrontBench, RequestsScript} from './support/front_bench.js';
+} from './support/front_fixture.js';
+import type {FrontBench, RequestsScript} from './support/front_fixture.js';
 
 let bench: FrontBench;
 
--- a/test/http_operators.test.ts
+++ b/test/http_operators.test.ts
@@ -7,8 +7,8 @@
 import type {ConfigPatch, ConfigRejection} from '../src/types/services.js';
 import {yieldToLoop} from '../src/utils/event_loop.js';
 import {hashGeneratedKey, verifyKeyAsync} from '../src/utils/keys.js';
-import {declarations, openFront} from './support/front_bench.js';
-import type {FrontBench} from './support/front_bench.js';
+import {declarations, openFront} from './support/front_fixture.js';
+import type {FrontBench} from './support/front_fixture.js';
 
 const TOKEN = 'onyx_operator';
 let bench: FrontBench;
