--- a/bench/body.ts
+++ b/bench/body.ts
@@ -110,7 +110,7 @@
 
 function inPieces(reader: BodyReader): Take {
   return async (req, res) => {
-    const {prompt} = await reader.completion(req, res);
+    const {prompt} = await reader.readCompletion(req, res);
     if (prompt !== undefined) prefixHashes(prompt, 'bench');
   };
 }
--- a/src/entry/front/callers_exchange.ts
+++ b/src/entry/front/callers_exchange.ts
@@ -8,21 +8,21 @@
 import {FRONT_EVENTS} from '../../utils/events.js';
 import {createLink} from '../run/answer_link.js';
 import type {LinkTiming, Outcome} from '../run/answer_link.js';
-import type {Answer} from './response_writers.js';
+import type {ResponseWriter} from './response_writers.js';
 import type {Authenticator} from './authenticator.js';
-import type {CallersState, Place} from './callers_state.js';
+import type {CallersState, RequestSlot} from './callers_state.js';
 import type {FirstTokenMetrics} from '../run/first_token_metrics.js';
 import type {BodyReader} from './http_body.js';
-import {lingerAfter, sendError, statusOf} from './http_errors.js';
+import {discardRestOfBody, sendError, statusOf} from './http_errors.js';
 
-export interface Front {
+export interface CallersDeps {
   readonly ctx: ServiceContext<'callers'>;
   readonly state: CallersState;
   readonly authenticator: Authenticator;
-  readonly reader: BodyReader;
-  readonly firstTokens: FirstTokenMetrics;
-  readonly timing: LinkTiming & {readonly askTimeoutMs: number};
-  readonly maxAnswerBytes: number;
+  readonly bodyReader: BodyReader;
+  readonly firstTokenMetrics: FirstTokenMetrics;
+  readonly timing: LinkTiming & {readonly lookupTimeoutMs: number};
+  readonly maxUnsentResponseBytes: number;
   readonly maxBodyBytes: number;
   /** Unix time in milliseconds. */
   readonly wallTimeMs: () => number;
@@ -39,7 +39,7 @@
 
 /** Answers an exchange that no run was started for. */
 export function refuse(
-  front: Front,
+  front: CallersDeps,
   exchange: Exchange,
   error: OnyxError,
   status = statusOf(error),
@@ -55,16 +55,16 @@
     res.destroy();
     return;
   }
-  lingerAfter(req, res, ctx.clock);
+  discardRestOfBody(req, res, ctx.clock);
   sendError(res, error, id, status);
 }
 
-export interface JoinOptions {
+export interface AttachOptions {
   readonly organisation: OrganisationId;
-  readonly answer: Answer;
+  readonly writer: ResponseWriter;
   readonly fromSeq: number;
   readonly deadlineAt: number | undefined;
-  readonly place: Place;
+  readonly slot: RequestSlot;
   readonly onFirstChunk: () => void;
 }
 
@@ -72,14 +72,14 @@
  * Joins a request to the exchange; the listener is for `requests`. The place
  * is released when the request has ended.
  */
-export function join(
-  front: Front,
+export function attachToRequest(
+  front: CallersDeps,
   exchange: Exchange,
-  options: JoinOptions,
+  options: AttachOptions,
 ): RequestListener {
   const {ctx, state} = front;
   const {id, res, arrivedAt} = exchange;
-  const {organisation, place} = options;
+  const {organisation, slot: place} = options;
   let firstTokenMs = 0;
 
   const link = createLink(ctx, {
@@ -87,7 +87,7 @@
     id,
     res,
     timing: front.timing,
-    maxAnswerBytes: front.maxAnswerBytes,
+    maxAnswerBytes: front.maxUnsentResponseBytes,
     cancelRun: () => ctx.send('requests', {kind: 'cancel', id, organisation}),
     onFirstChunk: () => {
       firstTokenMs = ctx.clock.now() - arrivedAt;
@@ -114,9 +114,12 @@
 }
 
 /** Rejects when a service does not answer in time. */
-export function inTime<T>(front: Front, asked: Promise<T>): Promise<T> {
+export function withLookupTimeout<T>(
+  front: CallersDeps,
+  asked: Promise<T>,
+): Promise<T> {
   return new Promise((resolve, reject) => {
-    const cancel = front.ctx.clock.after(front.timing.askTimeoutMs, () =>
+    const cancel = front.ctx.clock.after(front.timing.lookupTimeoutMs, () =>
       reject(
         new OnyxError({
           code: 'timeout',
@@ -130,7 +133,7 @@
   });
 }
 
-function countOutcome(front: Front, outcome: Outcome, error?: OnyxError) {
+function countOutcome(front: CallersDeps, outcome: Outcome, error?: OnyxError) {
   const {metrics} = front.ctx;
   metrics.count('onyxloft_requests_total', {outcome});
   if (error === undefined || outcome !== 'refused') return;
--- a/src/entry/front/callers_state.ts
+++ b/src/entry/front/callers_state.ts
@@ -14,35 +14,35 @@
 export interface CallersCapacity {
   readonly maxOpenRequests: number;
   /** Bodies of open requests together, in bytes. */
-  readonly maxHeldBytes: number;
+  readonly maxHeldBodyBytes: number;
 }
 
 /** Room for one request, from its arrival to its end. */
-export interface Place {
+export interface RequestSlot {
   /** Sets the bytes that its body holds, once they are known. */
-  hold(bytes: number): void;
+  setBodyBytes(bytes: number): void;
   /** Calling it again does nothing. */
   release(): void;
 }
 
 export interface CallersState {
-  takeConfig(config: NumberedDeclarations): void;
-  takeView(view: MembershipView): void;
+  updateConfig(config: NumberedDeclarations): void;
+  updateMembership(view: MembershipView): void;
   /** Throws an `OnyxError` while none is known. */
   config(): NumberedDeclarations;
   /** Config known, some replica live, not draining. */
-  ready(): boolean;
+  isReady(): boolean;
   /** Throws an `OnyxError` when the entry is full or draining. */
-  enter(bytes: number): Place;
+  reserveSlot(bytes: number): RequestSlot;
   /** As `enter`, also while draining: for requests that are in progress. */
-  reenter(): Place;
+  reserveResumeSlot(): RequestSlot;
   link(id: RequestId): Link | undefined;
   addLink(id: RequestId, link: Link): void;
   removeLink(id: RequestId, link: Link): void;
   /** No new requests; calls back when none is open. */
   drain(done: () => void): void;
-  open(): number;
-  dropAll(): void;
+  openRequests(): number;
+  dropAllLinks(): void;
 }
 
 /** Starts with nothing known. */
@@ -62,7 +62,7 @@
     for (const done of told) done();
   };
 
-  const place = (bytes: number): Place => {
+  const place = (bytes: number): RequestSlot => {
     let held = bytes;
     let released = false;
     open += 1;
@@ -79,20 +79,20 @@
       open -= 1;
       tellDrained();
     };
-    return {hold, release};
+    return {setBodyBytes: hold, release};
   };
 
   const checkRoom = (bytes: number) => {
     if (open >= capacity.maxOpenRequests) {
       throw comeBack('overloaded', 'too many requests are open at this entry');
     }
-    if (heldBytes + bytes > capacity.maxHeldBytes) {
+    if (heldBytes + bytes > capacity.maxHeldBodyBytes) {
       throw comeBack('overloaded', 'too many long prompts are held here');
     }
   };
 
   return {
-    takeConfig: config => {
+    updateConfig: config => {
       // Number 0 is what a process holds before it has heard of any accepted
       // version; it knows no organisation, and would refuse every caller as
       // unauthorised instead of telling the balancer that it is not ready.
@@ -102,23 +102,23 @@
         newest = config;
       }
     },
-    takeView: taken => {
+    updateMembership: taken => {
       view = taken;
     },
     config: () => {
       if (newest !== undefined) return newest;
       throw comeBack('store-unavailable', 'the configuration is not known yet');
     },
-    ready: () =>
+    isReady: () =>
       newest !== undefined &&
       !draining &&
       (view?.replicas ?? []).some(replica => replica.state === 'live'),
-    enter: bytes => {
+    reserveSlot: bytes => {
       if (draining) throw comeBack('draining', 'this entry is leaving');
       checkRoom(bytes);
       return place(bytes);
     },
-    reenter: () => {
+    reserveResumeSlot: () => {
       checkRoom(0);
       return place(0);
     },
@@ -132,8 +132,8 @@
       waiting = [...waiting, done];
       tellDrained();
     },
-    open: () => open,
-    dropAll: () => {
+    openRequests: () => open,
+    dropAllLinks: () => {
       for (const link of [...links.values()]) link.drop();
     },
   };
--- a/src/entry/front/chunk_text_decoder.ts
+++ b/src/entry/front/chunk_text_decoder.ts
@@ -7,15 +7,15 @@
 const CONTINUATION = 0x80;
 const MAX_CHARACTER_BYTES = 4;
 
-export interface AnswerText {
+export interface ChunkTextDecoder {
   /** Text that is whole now; empty while a chunk is held back. */
-  push(data: Uint8Array): string;
+  decode(data: Uint8Array): string;
   /** What was held back to the end. */
-  end(): string;
+  finish(): string;
 }
 
 /** Starts an answer. */
-export function createAnswerText(): AnswerText {
+export function createChunkTextDecoder(): ChunkTextDecoder {
   const decoder = new TextDecoder();
   let held: readonly Uint8Array[] = [];
 
@@ -26,16 +26,16 @@
   };
 
   return {
-    push: data => {
+    decode: data => {
       held = [...held, data];
-      return endsAmidCharacter(data) ? '' : flush();
+      return endsInsideCharacter(data) ? '' : flush();
     },
-    end: flush,
+    finish: flush,
   };
 }
 
 /** True when the last character of the bytes lacks some of its own. */
-export function endsAmidCharacter(bytes: Uint8Array): boolean {
+export function endsInsideCharacter(bytes: Uint8Array): boolean {
   const from = Math.max(0, bytes.length - MAX_CHARACTER_BYTES);
   for (let at = bytes.length - 1; at >= from; at -= 1) {
     const byte = bytes[at] ?? 0;
--- a/src/entry/front/completion_fields.ts
+++ b/src/entry/front/completion_fields.ts
@@ -57,14 +57,14 @@
   readonly repeatable: boolean | undefined;
 }
 
-export const NO_BODY_OPTIONS: BodyOptions = {
+export const EMPTY_BODY_OPTIONS: BodyOptions = {
   priority: undefined,
   timeLimitMs: undefined,
   repeatable: undefined,
 };
 
 /** Checks a parsed body. Throws an `OnyxError` that names each bad field. */
-export function checkFields(parsed: ParsedCompletion): CompletionFields {
+export function validateCompletion(parsed: ParsedCompletion): CompletionFields {
   if (parsed.prompt === undefined) throw badRequest('"prompt" is missing');
   if (parsed.prompt.bytes === 0) throw badRequest('"prompt" is empty');
   const known = Object.keys(fieldsSchema.shape);
--- a/src/entry/front/completion_parser.ts
+++ b/src/entry/front/completion_parser.ts
@@ -53,8 +53,8 @@
   const fields = new Map(Object.entries(others));
   if (prompt === undefined) return {fields, prompt: undefined};
   const buffer = createPieceBuffer();
-  buffer.text(promptText(prompt));
-  return {fields, prompt: buffer.body()};
+  buffer.appendText(promptText(prompt));
+  return {fields, prompt: buffer.toBody()};
 }
 
 function checkObject(value: unknown): void {
@@ -119,7 +119,7 @@
       throw promptFault();
     }
     prompt ??= createPieceBuffer();
-    prompt.text(text.slice(handed));
+    prompt.appendText(text.slice(handed));
     handed = partial ? text.length : 0;
     midPrompt = partial;
     promptEnded = !partial;
@@ -211,7 +211,7 @@
       guarded(() => tokenizer.end());
       if (!parser.isEnded) throw badRequest('the body is not whole JSON');
       if (prompt !== undefined && !promptEnded) throw promptFault();
-      return {fields, prompt: prompt?.body()};
+      return {fields, prompt: prompt?.toBody()};
     },
   };
 }
--- a/src/entry/front/existing_request_routes.ts
+++ b/src/entry/front/existing_request_routes.ts
@@ -7,13 +7,13 @@
 import type {RequestId} from '../../types/ids.js';
 import type {RequestState} from '../../types/services.js';
 import {
-  createCallAnswer,
-  createStreamAnswer,
-  createWholeAnswer,
+  createServiceResponseWriter,
+  createEventStreamWriter,
+  createJsonWriter,
 } from './response_writers.js';
-import type {Answer, ResumePoint} from './response_writers.js';
-import {inTime, join} from './callers_exchange.js';
-import type {Exchange, Front} from './callers_exchange.js';
+import type {ResponseWriter, ResumePoint} from './response_writers.js';
+import {withLookupTimeout, attachToRequest} from './callers_exchange.js';
+import type {Exchange, CallersDeps} from './callers_exchange.js';
 import {badRequest, noSuchRequest} from '../faults.js';
 import {sendJson} from './http_errors.js';
 
@@ -23,7 +23,7 @@
 
 /** `GET /v1/requests/ID`. Rejects with an `OnyxError` when refused. */
 export async function showRequest(
-  front: Front,
+  front: CallersDeps,
   exchange: Exchange,
   query: URLSearchParams,
 ): Promise<void> {
@@ -41,13 +41,13 @@
 
 /** `DELETE /v1/requests/ID`. Rejects with an `OnyxError` when refused. */
 export async function cancelRequest(
-  front: Front,
+  front: CallersDeps,
   exchange: Exchange,
 ): Promise<void> {
   const {id, req, res} = exchange;
   const organisation = await authenticate(front, req);
   checkId(id);
-  const found = await inTime(
+  const found = await withLookupTimeout(
     front,
     front.ctx.ask('requests', (reply: (found: boolean) => void) => ({
       kind: 'cancel',
@@ -61,7 +61,7 @@
 }
 
 function authenticate(
-  front: Front,
+  front: CallersDeps,
   req: IncomingMessage,
 ): Promise<Organisation> {
   return front.authenticator.authenticate(
@@ -76,12 +76,12 @@
 }
 
 async function stateOf(
-  front: Front,
+  front: CallersDeps,
   id: RequestId,
   organisation: Organisation,
 ): Promise<RequestState> {
   checkId(id);
-  const state = await inTime(
+  const state = await withLookupTimeout(
     front,
     front.ctx.ask('requests', (reply: (state: RequestState) => void) => ({
       kind: 'state',
@@ -125,7 +125,7 @@
 
 /** Streams from `from`; without it, answers as a whole. */
 function resume(
-  front: Front,
+  front: CallersDeps,
   exchange: Exchange,
   organisation: Organisation,
   state: RequestState,
@@ -134,16 +134,16 @@
   const {ctx} = front;
   const {id} = exchange;
   const fromSeq = state.kind === 'call' ? 0 : (from?.fromSeq ?? 0);
-  const place = front.state.reenter();
+  const place = front.state.reserveResumeSlot();
   // Two connections on one run would each get some of its chunks. The caller
   // has dialled anew because the old one is of no use to it any more.
   front.state.link(id)?.supersede();
-  const listener = join(front, exchange, {
+  const listener = attachToRequest(front, exchange, {
     organisation: organisation.id,
-    answer: answerOf(front, exchange, state, from),
+    writer: answerOf(front, exchange, state, from),
     fromSeq,
     deadlineAt: undefined,
-    place,
+    slot: place,
     onFirstChunk: () => undefined,
   });
   ctx.send('requests', {
@@ -158,13 +158,13 @@
 }
 
 function answerOf(
-  front: Front,
+  front: CallersDeps,
   exchange: Exchange,
   state: RequestState,
   from: ResumePoint | undefined,
-): Answer {
+): ResponseWriter {
   const {id, res} = exchange;
-  if (state.kind === 'call') return createCallAnswer(res, id);
+  if (state.kind === 'call') return createServiceResponseWriter(res, id);
   const head = {
     id,
     model: state.model ?? '',
@@ -172,8 +172,8 @@
     promptTokens: state.promptTokens,
   };
   return from === undefined
-    ? createWholeAnswer(res, head)
-    : createStreamAnswer(res, head, from);
+    ? createJsonWriter(res, head)
+    : createEventStreamWriter(res, head, from);
 }
 
 function stateBody(state: RequestState) {
--- a/src/entry/front/http_body.ts
+++ b/src/entry/front/http_body.ts
@@ -32,12 +32,12 @@
 
 export interface BodyReader {
   /** Rejects with an `OnyxError`: too large, too slow, cut, or not JSON. */
-  completion(
+  readCompletion(
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<ParsedCompletion>;
   /** The body as it is. Rejects with an `OnyxError`. */
-  raw(req: IncomingMessage, res: ServerResponse): Promise<Body>;
+  readRaw(req: IncomingMessage, res: ServerResponse): Promise<Body>;
 }
 
 /** Makes the one reader of a process. */
@@ -72,13 +72,13 @@
     checkLength(req, limits);
     const buffer = createPieceBuffer();
     await readPieces(req, res, limits, clock, piece => {
-      buffer.bytes(piece);
+      buffer.appendBytes(piece);
       return Promise.resolve();
     });
-    return buffer.body();
+    return buffer.toBody();
   };
 
-  return {completion, raw};
+  return {readCompletion: completion, readRaw: raw};
 }
 
 /** The declared length of a body; undefined when it comes in chunks. */
--- a/src/entry/front/http_callers.ts
+++ b/src/entry/front/http_callers.ts
@@ -11,7 +11,7 @@
 import {createAuthenticator} from './authenticator.js';
 import type {VerifyKey} from './authenticator.js';
 import {refuse} from './callers_exchange.js';
-import type {Exchange, Front} from './callers_exchange.js';
+import type {Exchange, CallersDeps} from './callers_exchange.js';
 import {cancelRequest, showRequest} from './existing_request_routes.js';
 import {createCallersState} from './callers_state.js';
 import {submitCall, submitCompletion} from './new_request_routes.js';
@@ -31,9 +31,9 @@
   /** Requests in progress at this entry. @default 4096 */
   readonly maxOpenRequests?: number;
   /** Bodies of open requests together, in bytes. @default 536870912 */
-  readonly maxHeldBytes?: number;
+  readonly maxHeldBodyBytes?: number;
   /** Part of an answer that waits for a slow caller. @default 8388608 */
-  readonly maxAnswerBytes?: number;
+  readonly maxUnsentResponseBytes?: number;
 }
 
 /** All in milliseconds. */
@@ -43,7 +43,7 @@
   /** Time for the headers to arrive. @default 10000 */
   readonly headersTimeoutMs?: number;
   /** Period of beats on a quiet stream. @default 5000 */
-  readonly beatMs?: number;
+  readonly keepAliveIntervalMs?: number;
   /**
    * How long a caller whose connection broke may come back for its answer
    * before the run is cancelled.
@@ -51,9 +51,9 @@
    */
   readonly disconnectGraceMs?: number;
   /** Time limit for finding a request's state. @default 5000 */
-  readonly askTimeoutMs?: number;
+  readonly lookupTimeoutMs?: number;
   /** How long after a deadline the front gives the answer. @default 500 */
-  readonly deadlineGuardMs?: number;
+  readonly deadlineGraceMs?: number;
 }
 
 export interface CallersOptions {
@@ -83,7 +83,7 @@
   readonly address: Address;
   readonly ready: boolean;
   /** Requests in progress, those whose body is still arriving included. */
-  readonly open: number;
+  readonly openRequests: number;
 }
 
 declare module '../../types/kernel.js' {
@@ -97,16 +97,16 @@
   maxBodyBytes: 8 * MIB,
   maxHeaderBytes: 16 * 1024,
   maxOpenRequests: 4096,
-  maxHeldBytes: 512 * MIB,
-  maxAnswerBytes: 8 * MIB,
+  maxHeldBodyBytes: 512 * MIB,
+  maxUnsentResponseBytes: 8 * MIB,
 } as const;
 const DEFAULT_TIMING = {
   bodyTimeoutMs: 30_000,
   headersTimeoutMs: 10_000,
-  beatMs: 5_000,
+  keepAliveIntervalMs: 5_000,
   disconnectGraceMs: 2_000,
-  askTimeoutMs: 5_000,
-  deadlineGuardMs: 500,
+  lookupTimeoutMs: 5_000,
+  deadlineGraceMs: 500,
 } as const;
 const METHOD_NOT_ALLOWED = 405;
 const LOOP_DELAY_PERIOD_MS = 1_000;
@@ -135,22 +135,26 @@
     handler: (req, res) => handle(front, req, res),
   });
   ctx.own(() => server.close());
-  ctx.own(() => state.dropAll());
+  ctx.own(() => state.dropAllLinks());
   ctx.own(
     ctx.clock.every(LOOP_DELAY_PERIOD_MS, () => {
       const delayMs = options.loopDelayMs();
       ctx.metrics.gauge('onyxloft_event_loop_delay_ms', {}, delayMs);
-      ctx.metrics.gauge('onyxloft_open_callers', {}, state.open());
+      ctx.metrics.gauge('onyxloft_open_callers', {}, state.openRequests());
     }),
   );
-  followConfig(ctx, state.takeConfig);
-  followMembership(ctx, state.takeView);
+  followConfig(ctx, state.updateConfig);
+  followMembership(ctx, state.updateMembership);
   void ctx.mailbox.observe(message => {
     if (message.kind === 'drain') {
       state.drain(message.reply);
     } else {
       const {address} = server;
-      message.reply({address, ready: state.ready(), open: state.open()});
+      message.reply({
+        address,
+        ready: state.isReady(),
+        openRequests: state.openRequests(),
+      });
     }
   });
   ctx.log(FRONT_EVENTS.frontListening, {
@@ -162,29 +166,29 @@
 function createFront(
   ctx: ServiceContext<'callers'>,
   options: CallersOptions,
-): Front {
+): CallersDeps {
   const limits = {...DEFAULT_LIMITS, ...options.limits};
   const timing = {...DEFAULT_TIMING, ...options.timing};
-  const {maxBodyBytes, maxAnswerBytes} = limits;
+  const {maxBodyBytes, maxUnsentResponseBytes: maxAnswerBytes} = limits;
   const {bodyTimeoutMs} = timing;
   return {
     ctx,
     state: createCallersState(limits),
     authenticator: createAuthenticator(options.verifyKey, options.yieldLoop),
-    reader: createBodyReader(
+    bodyReader: createBodyReader(
       {maxBodyBytes, bodyTimeoutMs},
       ctx.clock,
       options.yieldLoop,
     ),
-    firstTokens: createFirstTokenMetrics(ctx.metrics, ctx.clock),
+    firstTokenMetrics: createFirstTokenMetrics(ctx.metrics, ctx.clock),
     timing,
-    maxAnswerBytes,
+    maxUnsentResponseBytes: maxAnswerBytes,
     maxBodyBytes,
     wallTimeMs: options.wallTimeMs,
   };
 }
 
-function handle(front: Front, req: IncomingMessage, res: ServerResponse) {
+function handle(front: CallersDeps, req: IncomingMessage, res: ServerResponse) {
   const {ctx} = front;
   const arrivedAt = ctx.clock.now();
   const path = req.url ?? '/';
@@ -206,7 +210,7 @@
 }
 
 async function route(
-  front: Front,
+  front: CallersDeps,
   exchange: Exchange,
   target: string,
   ofRequest: boolean,
@@ -228,7 +232,7 @@
   } else if (path === '/healthz') {
     sendJson(res, 200, {healthy: true});
   } else if (path === '/readyz') {
-    const ready = front.state.ready();
+    const ready = front.state.isReady();
     sendJson(res, ready ? 200 : 503, {ready});
   } else {
     throw badRequest(`no route ${path}`, 'validate', 'not-found');
@@ -237,7 +241,7 @@
 
 /** Whether the method is offered here; answers the exchange when not. */
 function methodIs(
-  front: Front,
+  front: CallersDeps,
   exchange: Exchange,
   allowed: readonly string[],
 ): boolean {
--- a/src/entry/front/http_errors.ts
+++ b/src/entry/front/http_errors.ts
@@ -106,7 +106,7 @@
  * let a refused caller hold the connection. So the rest is read and dropped
  * for a short while, which is enough for the error to be read.
  */
-export function lingerAfter(
+export function discardRestOfBody(
   req: IncomingMessage,
   res: ServerResponse,
   clock: Clock,
--- a/src/entry/front/http_operators.ts
+++ b/src/entry/front/http_operators.ts
@@ -17,7 +17,7 @@
 import type {BodyReader} from './http_body.js';
 import {
   errorBody,
-  lingerAfter,
+  discardRestOfBody,
   sendError,
   sendJson,
   statusOf,
@@ -82,7 +82,7 @@
 type Route = (operators: Operators, exchange: Exchange) => Promise<void>;
 
 /** Routes without a token: they tell nothing of callers or prompts. */
-const OPEN_ROUTES: Readonly<Record<string, Route>> = {
+const PUBLIC_ROUTES: Readonly<Record<string, Route>> = {
   'GET /healthz': async (_, {res}) => sendJson(res, 200, {healthy: true}),
   'GET /readyz': async ({handlers}, {res}) => {
     const ready = await handlers.ready();
@@ -95,7 +95,7 @@
 };
 
 /** Routes with a token; `*` stands for one part of the path. */
-const TOKEN_ROUTES: Readonly<Record<string, Route>> = {
+const AUTHENTICATED_ROUTES: Readonly<Record<string, Route>> = {
   'GET /operator/v1/config': (operators, exchange) =>
     showConfig(operators, exchange, 0),
   'GET /operator/v1/config/*': (operators, exchange) =>
@@ -136,12 +136,12 @@
   };
   const handle = async (exchange: Exchange) => {
     const {req, path} = exchange;
-    const open = OPEN_ROUTES[`${req.method} ${path}`];
+    const open = PUBLIC_ROUTES[`${req.method} ${path}`];
     if (open !== undefined) {
       await open(operators, exchange);
       return;
     }
-    await auth.check(req.headers.authorization);
+    await auth.authenticate(req.headers.authorization);
     await tokenRoute(exchange)(operators, exchange);
   };
   const server = await openHttpServer({
@@ -161,10 +161,10 @@
 }
 
 function tokenRoute({req, path}: Exchange): Route {
-  const exact = TOKEN_ROUTES[`${req.method} ${path}`];
+  const exact = AUTHENTICATED_ROUTES[`${req.method} ${path}`];
   if (exact !== undefined) return exact;
   const parts = `${req.method} ${path}`.split('/');
-  const match = Object.entries(TOKEN_ROUTES).find(([pattern]) => {
+  const match = Object.entries(AUTHENTICATED_ROUTES).find(([pattern]) => {
     const wanted = pattern.split('/');
     return (
       wanted.length === parts.length &&
@@ -193,7 +193,7 @@
     res.destroy();
     return;
   }
-  lingerAfter(req, res, ctx.clock);
+  discardRestOfBody(req, res, ctx.clock);
   sendError(res, error, '');
 }
 
@@ -228,7 +228,7 @@
   {req, res}: Exchange,
 ): Promise<void> {
   const config = offered(handlers.config);
-  const body = await reader.raw(req, res);
+  const body = await reader.readRaw(req, res);
   const patch = checkPatch(Buffer.concat(body.pieces).toString('utf8'));
   const outcome = await config.apply(patch);
   outcome.caseOf({
--- a/src/entry/front/new_request_routes.ts
+++ b/src/entry/front/new_request_routes.ts
@@ -11,15 +11,15 @@
 } from '../admission/admission.js';
 import type {Arrival} from '../admission/admission.js';
 import {
-  createCallAnswer,
-  createStreamAnswer,
-  createWholeAnswer,
+  createServiceResponseWriter,
+  createEventStreamWriter,
+  createJsonWriter,
 } from './response_writers.js';
-import type {Answer} from './response_writers.js';
-import {join} from './callers_exchange.js';
-import type {Exchange, Front} from './callers_exchange.js';
-import type {Place} from './callers_state.js';
-import {NO_BODY_OPTIONS, checkFields} from './completion_fields.js';
+import type {ResponseWriter} from './response_writers.js';
+import {attachToRequest} from './callers_exchange.js';
+import type {Exchange, CallersDeps} from './callers_exchange.js';
+import type {RequestSlot} from './callers_state.js';
+import {EMPTY_BODY_OPTIONS, validateCompletion} from './completion_fields.js';
 import {badRequest} from '../faults.js';
 import {declaredLength} from './http_body.js';
 import {readRequestOptions} from './request_options.js';
@@ -35,15 +35,15 @@
 
 /** `POST /v1/completions`. Rejects with an `OnyxError` when refused. */
 export function submitCompletion(
-  front: Front,
+  front: CallersDeps,
   exchange: Exchange,
 ): Promise<void> {
   return inPlace(front, exchange, async (arrival, place) => {
     const {req, res} = exchange;
     // What the headers alone tell is told before the body is sent.
-    readRequestOptions(req.headers, NO_BODY_OPTIONS, front.wallTimeMs());
-    const parsed = await front.reader.completion(req, res);
-    const fields = checkFields(parsed);
+    readRequestOptions(req.headers, EMPTY_BODY_OPTIONS, front.wallTimeMs());
+    const parsed = await front.bodyReader.readCompletion(req, res);
+    const fields = validateCompletion(parsed);
     const options = readRequestOptions(
       req.headers,
       fields.options,
@@ -57,15 +57,15 @@
       promptTokens: spec.promptTokens,
     };
     const answer = fields.stream
-      ? createStreamAnswer(res, head, {fromSeq: 0, dispatchId: ''})
-      : createWholeAnswer(res, head);
+      ? createEventStreamWriter(res, head, {fromSeq: 0, dispatchId: ''})
+      : createJsonWriter(res, head);
     submit(front, exchange, spec, answer, place);
   });
 }
 
 /** `ANY /v1/services/POOL/PATH`. Rejects with an `OnyxError` when refused. */
 export function submitCall(
-  front: Front,
+  front: CallersDeps,
   exchange: Exchange,
   pool: string,
   path: string,
@@ -75,25 +75,31 @@
     const service = findService(arrival.config.declarations, pool);
     const options = readRequestOptions(
       req.headers,
-      NO_BODY_OPTIONS,
+      EMPTY_BODY_OPTIONS,
       front.wallTimeMs(),
     );
-    const body = await front.reader.raw(req, res);
+    const body = await front.bodyReader.readRaw(req, res);
     const call: CallHead = {
       method: req.method ?? 'GET',
       path,
       headers: callHeaders(req),
     };
     const spec = admitCall(arrival, service, call, body, options);
-    submit(front, exchange, spec, createCallAnswer(res, spec.id), place);
+    submit(
+      front,
+      exchange,
+      spec,
+      createServiceResponseWriter(res, spec.id),
+      place,
+    );
   });
 }
 
 /** Takes a place and tells the organisation before any body is read. */
 async function inPlace(
-  front: Front,
+  front: CallersDeps,
   exchange: Exchange,
-  run: (arrival: Arrival, place: Place) => Promise<void>,
+  run: (arrival: Arrival, place: RequestSlot) => Promise<void>,
 ): Promise<void> {
   const {req, id, arrivedAt} = exchange;
   const config = front.state.config();
@@ -101,7 +107,7 @@
     declaredLength(req) ?? front.maxBodyBytes,
     front.maxBodyBytes,
   );
-  const place = front.state.enter(expected);
+  const place = front.state.reserveSlot(expected);
   try {
     const organisation = await front.authenticator.authenticate(
       req.headers.authorization,
@@ -115,11 +121,11 @@
 }
 
 function submit(
-  front: Front,
+  front: CallersDeps,
   exchange: Exchange,
   spec: RequestSpec,
-  answer: Answer,
-  place: Place,
+  answer: ResponseWriter,
+  place: RequestSlot,
 ): void {
   const {ctx} = front;
   const {req, arrivedAt} = exchange;
@@ -135,17 +141,17 @@
   if (req.socket.destroyed) {
     throw badRequest('the caller left', 'read', 'cancelled');
   }
-  place.hold(spec.body.bytes);
+  place.setBodyBytes(spec.body.bytes);
   const [shortest] = spec.config.declarations.lengthClasses;
-  const listener = join(front, exchange, {
+  const listener = attachToRequest(front, exchange, {
     organisation: spec.organisation,
-    answer,
+    writer: answer,
     fromSeq: 0,
     deadlineAt: spec.deadlineAt,
-    place,
+    slot: place,
     onFirstChunk: () => {
       if (spec.kind !== 'completion') return;
-      front.firstTokens.record(
+      front.firstTokenMetrics.record(
         spec.lengthClass,
         ctx.clock.now() - arrivedAt,
         spec.lengthClass === shortest?.name,
--- a/src/entry/front/operator_auth.ts
+++ b/src/entry/front/operator_auth.ts
@@ -13,7 +13,7 @@
 
 export interface OperatorAuth {
   /** Rejects with an `OnyxError` unless the header bears the token. */
-  check(header: string | undefined): Promise<void>;
+  authenticate(header: string | undefined): Promise<void>;
 }
 
 /** Without a hash nobody is let in. */
@@ -52,7 +52,7 @@
     accepted = fingerprint;
   };
 
-  return {check};
+  return {authenticate: check};
 }
 
 function denied(
--- a/src/entry/front/operator_handlers.ts
+++ b/src/entry/front/operator_handlers.ts
@@ -67,7 +67,7 @@
         entries: countStates(view.entries),
       },
       placement: (await orUndefined(placement())) ?? null,
-      openRequests: front?.open ?? 0,
+      openRequests: front?.openRequests ?? 0,
       limits: options.limits,
     };
   };
--- a/src/entry/front/piece_buffer.ts
+++ b/src/entry/front/piece_buffer.ts
@@ -14,9 +14,9 @@
 
 export interface PieceBuffer {
   /** Adds text as UTF-8. It must not end between two halves of a pair. */
-  text(part: string): void;
-  bytes(part: Uint8Array): void;
-  body(): Body;
+  appendText(part: string): void;
+  appendBytes(part: Uint8Array): void;
+  toBody(): Body;
 }
 
 /** Starts an empty buffer. */
@@ -69,9 +69,9 @@
   };
 
   return {
-    text,
-    bytes,
-    body: () => {
+    appendText: text,
+    appendBytes: bytes,
+    toBody: () => {
       close();
       return {pieces: [...pieces], bytes: total};
     },
--- a/src/entry/front/response_writers.ts
+++ b/src/entry/front/response_writers.ts
@@ -8,27 +8,27 @@
 import type {CallResHead} from '../../types/peer_messages.js';
 import type {RequestEvent} from '../../types/services.js';
 import {withoutHopHeaders} from '../../utils/hop_headers.js';
-import {createAnswerText} from './chunk_text_decoder.js';
+import {createChunkTextDecoder} from './chunk_text_decoder.js';
 import {errorBody, sendError, sendJson} from './http_errors.js';
 
 type EndEvent = Extract<RequestEvent, {kind: 'end'}>;
 type ChunkEvent = Extract<RequestEvent, {kind: 'chunk'}>;
 
 /** One way of answering. Events come in the order of `RequestEvent`. */
-export interface Answer {
-  placed(dispatchId: string): void;
-  chunk(event: ChunkEvent): void;
+export interface ResponseWriter {
+  setDispatch(dispatchId: string): void;
+  writeChunk(event: ChunkEvent): void;
   /** Chunks so far are void; throws an `OnyxError` if the caller has some. */
-  restart(): void;
+  discardChunks(): void;
   end(event: EndEvent): void;
   /** No whole answer will come. */
   fail(error: OnyxError): void;
   /** Keeps a quiet connection known to be alive. */
-  beat(): void;
+  keepAlive(): void;
 }
 
 /** What a completion's answer tells besides its text. */
-export interface CompletionHead {
+export interface CompletionMetadata {
   readonly id: RequestId;
   readonly model: ModelId;
   /** Unix time in seconds. */
@@ -41,7 +41,7 @@
   return {index: 0, text, logprobs: null, finish_reason: finishReason};
 }
 
-function completion(head: CompletionHead, text: string, end?: EndEvent) {
+function completion(head: CompletionMetadata, text: string, end?: EndEvent) {
   return {
     id: head.id,
     object: 'text_completion',
@@ -52,7 +52,7 @@
   };
 }
 
-function usage(head: CompletionHead, end: EndEvent) {
+function usage(head: CompletionMetadata, end: EndEvent) {
   const known =
     head.promptTokens === undefined
       ? {}
@@ -79,12 +79,12 @@
  * which a caller resumes. The response head waits for the first chunk, so that
  * a refusal still has its own status, but not beyond the first beat.
  */
-export function createStreamAnswer(
+export function createEventStreamWriter(
   res: ServerResponse,
-  head: CompletionHead,
+  head: CompletionMetadata,
   from: ResumePoint,
-): Answer {
-  const text = createAnswerText();
+): ResponseWriter {
+  const text = createChunkTextDecoder();
   let dispatchId = from.dispatchId;
   let begun = from.fromSeq > 0;
 
@@ -119,14 +119,14 @@
 
   const chunk = (event: ChunkEvent) => {
     begun = true;
-    const whole = text.push(event.data);
+    const whole = text.decode(event.data);
     if (whole === '') return;
     const id = `${head.id}:${dispatchId}:${event.seq}`;
     write(`id: ${id}\n${data(completion(head, whole))}`);
   };
 
   const end = (event: EndEvent) => {
-    write(data(completion(head, text.end(), event)));
+    write(data(completion(head, text.finish(), event)));
     res.end('data: [DONE]\n\n');
   };
 
@@ -134,7 +134,14 @@
     if (begun) throw otherRun(head.id);
   };
 
-  return {placed, chunk, restart, end, fail, beat: () => write(': beat\n\n')};
+  return {
+    setDispatch: placed,
+    writeChunk: chunk,
+    discardChunks: restart,
+    end,
+    fail,
+    keepAlive: () => write(': beat\n\n'),
+  };
 }
 
 function otherRun(id: RequestId): OnyxError {
@@ -148,30 +155,33 @@
 }
 
 /** One JSON object, sent when the answer is whole. */
-export function createWholeAnswer(
+export function createJsonWriter(
   res: ServerResponse,
-  head: CompletionHead,
-): Answer {
+  head: CompletionMetadata,
+): ResponseWriter {
   const parts: string[] = [];
-  let text = createAnswerText();
+  let text = createChunkTextDecoder();
   return {
-    placed: () => undefined,
-    chunk: event => void parts.push(text.push(event.data)),
-    restart: () => {
+    setDispatch: () => undefined,
+    writeChunk: event => void parts.push(text.decode(event.data)),
+    discardChunks: () => {
       parts.length = 0;
-      text = createAnswerText();
+      text = createChunkTextDecoder();
     },
     end: event => {
-      parts.push(text.end());
+      parts.push(text.finish());
       sendJson(res, 200, completion(head, parts.join(''), event));
     },
     fail: error => sendError(res, error, head.id),
-    beat: () => undefined,
+    keepAlive: () => undefined,
   };
 }
 
 /** A plain service's response, passed on as it comes. */
-export function createCallAnswer(res: ServerResponse, id: RequestId): Answer {
+export function createServiceResponseWriter(
+  res: ServerResponse,
+  id: RequestId,
+): ResponseWriter {
   const begin = (head: CallResHead) => {
     for (const {name, value} of withoutHopHeaders(head.headers)) {
       res.appendHeader(name, value);
@@ -179,12 +189,12 @@
     res.writeHead(head.status);
   };
   return {
-    placed: () => undefined,
-    chunk: event => {
+    setDispatch: () => undefined,
+    writeChunk: event => {
       if (!res.headersSent) begin(event.callHead ?? {status: 200, headers: []});
       res.write(event.data);
     },
-    restart: () => {
+    discardChunks: () => {
       if (res.headersSent) throw otherRun(id);
     },
     end: () => {
@@ -196,6 +206,6 @@
       if (res.headersSent) res.destroy();
       else sendError(res, error, id);
     },
-    beat: () => undefined,
+    keepAlive: () => undefined,
   };
 }
--- a/src/entry/run/answer_link.ts
+++ b/src/entry/run/answer_link.ts
@@ -8,7 +8,7 @@
 import type {Cancel, Runtime} from '../../types/runtime.js';
 import type {RequestEvent, RequestListener} from '../../types/services.js';
 import {FRONT_EVENTS} from '../../utils/events.js';
-import type {Answer} from '../front/response_writers.js';
+import type {ResponseWriter} from '../front/response_writers.js';
 import {asOnyxError} from '../faults.js';
 
 /** How a request ended for its caller. */
@@ -18,7 +18,7 @@
 export interface LinkOptions {
   readonly id: RequestId;
   readonly res: ServerResponse;
-  readonly answer: Answer;
+  readonly writer: ResponseWriter;
   /** First chunk wanted. */
   readonly fromSeq: number;
   /** On this process's clock; undefined when another entry admitted it. */
@@ -35,11 +35,11 @@
 
 export interface LinkTiming {
   /** Period of beats on a quiet stream. */
-  readonly beatMs: number;
+  readonly keepAliveIntervalMs: number;
   /** How long a caller that left may come back before its run is cancelled. */
   readonly disconnectGraceMs: number;
   /** How long after the deadline the front answers in the request's stead. */
-  readonly deadlineGuardMs: number;
+  readonly deadlineGraceMs: number;
 }
 
 export interface Link {
@@ -55,7 +55,7 @@
 
 /** Joins them; the listener is to be handed to `requests`. */
 export function createLink(runtime: Runtime, options: LinkOptions): Link {
-  const {id, res, answer, timing} = options;
+  const {id, res, writer: answer, timing} = options;
   const timers: Cancel[] = [];
   let state: LinkState = 'open';
   let nextSeq = options.fromSeq;
@@ -88,12 +88,12 @@
     // After a restart chunk 0 comes once more.
     if (event.seq === 0 && !begun) options.onFirstChunk();
     begun = true;
-    answer.chunk(event);
+    answer.writeChunk(event);
     checkBuffered();
   };
 
   const onRestart = () => {
-    answer.restart();
+    answer.discardChunks();
     nextSeq = 0;
   };
 
@@ -114,7 +114,7 @@
   };
 
   const apply = (event: RequestEvent) => {
-    if (event.kind === 'placed') answer.placed(event.dispatchId);
+    if (event.kind === 'placed') answer.setDispatch(event.dispatchId);
     else if (event.kind === 'chunk') onChunk(event);
     else if (event.kind === 'restarted') onRestart();
     else if (event.kind === 'end') onEnd(event);
@@ -154,7 +154,7 @@
   const guardDeadline = (deadlineAt: number) => {
     // If the service that owns the request fails or loses it, nobody else
     // would end the caller's wait: the promise of an end in time is kept here.
-    const dueMs = deadlineAt - runtime.clock.now() + timing.deadlineGuardMs;
+    const dueMs = deadlineAt - runtime.clock.now() + timing.deadlineGraceMs;
     const cancel = runtime.clock.after(dueMs, () => {
       const overdueMs = runtime.clock.now() - deadlineAt;
       runtime.log(FRONT_EVENTS.overdue, {requestId: id, overdueMs});
@@ -165,8 +165,8 @@
 
   res.on('close', leave);
   timers.push(
-    runtime.clock.every(timing.beatMs, () => {
-      if (state === 'open') answer.beat();
+    runtime.clock.every(timing.keepAliveIntervalMs, () => {
+      if (state === 'open') answer.keepAlive();
     }),
   );
   if (options.deadlineAt !== undefined) guardDeadline(options.deadlineAt);
--- a/test/http_bad_input.test.ts
+++ b/test/http_bad_input.test.ts
@@ -1,17 +1,17 @@
 /** Bad input gets a clear status, reaches no upstream, breaks nothing. */
 import {connect} from 'node:net';
 import {afterAll, beforeAll, describe, expect, test} from 'vitest';
-import {PRAIRIE_KEY, openFront, tellAnswer} from './support/front_fixture.js';
-import type {FrontBench} from './support/front_fixture.js';
+import {PRAIRIE_KEY, startFront, sendAnswer} from './support/front_fixture.js';
+import type {FrontFixture} from './support/front_fixture.js';
 
 const AUTH = `Authorization: Bearer ${PRAIRIE_KEY}\r\n`;
 const POST = 'POST /v1/completions HTTP/1.1\r\nHost: x\r\n';
 
-let bench: FrontBench;
+let bench: FrontFixture;
 
 beforeAll(async () => {
-  bench = await openFront(
-    {submit: (spec, listener) => tellAnswer(listener, spec.id, ['x'])},
+  bench = await startFront(
+    {submit: (spec, listener) => sendAnswer(listener, spec.id, ['x'])},
     {
       limits: {maxBodyBytes: 100_000, maxOpenRequests: 2},
       timing: {bodyTimeoutMs: 2_000},
@@ -193,10 +193,10 @@
 async function openRequests(): Promise<number> {
   const status = await bench.kernel.ask(
     'callers',
-    (reply: (status: {readonly open: number}) => void) => ({
+    (reply: (status: {readonly openRequests: number}) => void) => ({
       kind: 'status',
       reply,
     }),
   );
-  return status.open;
+  return status.openRequests;
 }
--- a/test/http_callers.test.ts
+++ b/test/http_callers.test.ts
@@ -4,22 +4,22 @@
 import type {RequestListener, RequestSpec} from '../src/types/services.js';
 import {
   declarations,
-  openFront,
-  tellAnswer,
-  viewOf,
-  withoutIds,
+  startFront,
+  sendAnswer,
+  membershipViewOf,
+  maskIds,
 } from './support/front_fixture.js';
-import type {FrontBench, RequestsScript} from './support/front_fixture.js';
+import type {FrontFixture, RequestsScript} from './support/front_fixture.js';
 
-let bench: FrontBench;
+let bench: FrontFixture;
 
 afterEach(() => bench.kernel.stop());
 
 async function open(script: RequestsScript = {}): Promise<void> {
-  bench = await openFront(script);
+  bench = await startFront(script);
 }
 
-const call: FrontBench['call'] = (...args) => bench.call(...args);
+const call: FrontFixture['call'] = (...args) => bench.call(...args);
 
 function complete(fields: object, headers = {}): Promise<Response> {
   return call('POST', '/v1/completions', JSON.stringify(fields), headers);
@@ -38,7 +38,7 @@
 const answers =
   (...chunks: readonly string[]) =>
   (spec: RequestSpec, listener: RequestListener) =>
-    tellAnswer(listener, spec.id, chunks);
+    sendAnswer(listener, spec.id, chunks);
 
 function lost(ran: 'no' | 'unknown', retryAfterMs?: number): OnyxError {
   return new OnyxError({
@@ -64,7 +64,7 @@
     });
     expect(res.headers.get('content-type')).toBe('text/event-stream');
     expect(res.headers.get('x-request-id')).toBe(submitted().id);
-    await expect(withoutIds(await res.text())).toMatchFileSnapshot(
+    await expect(maskIds(await res.text())).toMatchFileSnapshot(
       'golden/front_stream.txt',
     );
   });
@@ -73,7 +73,7 @@
     await open({submit: answers('late ', 'frost')});
     const res = await complete({prompt: ['summary?']});
     expect(res.status).toBe(200);
-    const text = withoutIds(await res.text());
+    const text = maskIds(await res.text());
     await expect(text).toMatchFileSnapshot('golden/front_whole.json');
   });
 
@@ -87,7 +87,7 @@
           listener({kind: 'chunk', seq, data, tokens: 1, callHead: undefined});
         }
         listener({kind: 'restarted'});
-        tellAnswer(listener, spec.id, ['late ', 'frost']);
+        sendAnswer(listener, spec.id, ['late ', 'frost']);
       },
     });
     const res = await complete({model: 'onyx-1', prompt: 'summary?'});
@@ -110,7 +110,7 @@
     const reader = res.body?.getReader();
     const first = new TextDecoder().decode((await reader?.read())?.value);
     await reader?.cancel();
-    expect(withoutIds(first)).toContain('id: ID:ID.0:1\n');
+    expect(maskIds(first)).toContain('id: ID:ID.0:1\n');
     expect(first).toContain('"text":"a❄b"');
   });
 
@@ -162,14 +162,14 @@
     const res = await complete({prompt: 'x', stream: true});
     expect(res.status).toBe(503);
     expect(res.headers.get('retry-after')).toBe('2');
-    const text = withoutIds(await res.text());
+    const text = maskIds(await res.text());
     await expect(text).toMatchFileSnapshot('golden/front_refusal.json');
   });
 
   test('a stream that fails midway ends with an error and never with its end mark', async () => {
     await open({
       submit: (spec, listener) => {
-        tellAnswer(event => event.kind !== 'end' && listener(event), spec.id, [
+        sendAnswer(event => event.kind !== 'end' && listener(event), spec.id, [
           'half',
         ]);
         listener({kind: 'failed', error: lost('unknown')});
@@ -214,7 +214,7 @@
       const text = await (await complete({prompt: 'x', stream: true})).text();
       expect(text).toContain('"code":"answer-incomplete"');
       expect(text).not.toContain('[DONE]');
-      await bench.until('cancel');
+      await bench.waitForMessage('cancel');
     },
   );
 
@@ -226,20 +226,20 @@
   test('a request that nobody ends is ended by the front after its deadline', async () => {
     await open();
     const pending = complete({prompt: 'x', onyxloft: {time_limit_ms: 100}});
-    await bench.until('submit');
+    await bench.waitForMessage('submit');
     await bench.clock.runFor(700);
     const res = await pending;
     expect(res.status).toBe(504);
     expect(await res.json()).toMatchObject({
       error: {code: 'deadline-exceeded', ran: 'unknown'},
     });
-    await bench.until('cancel');
+    await bench.waitForMessage('cancel');
   });
 
   test('a caller that leaves and stays away has its run cancelled', async () => {
     await open({
       submit: (spec, listener) =>
-        tellAnswer(event => event.kind !== 'end' && listener(event), spec.id, [
+        sendAnswer(event => event.kind !== 'end' && listener(event), spec.id, [
           'half',
         ]),
     });
@@ -249,14 +249,16 @@
       .poll(() => bench.logged.some(line => line.name === 'caller-left'))
       .toBe(true);
     await bench.clock.runFor(2_001);
-    expect(await bench.until('cancel')).toMatchObject({id: submitted().id});
+    expect(await bench.waitForMessage('cancel')).toMatchObject({
+      id: submitted().id,
+    });
   });
 
   test('time to first token and slowdown are measured by class', async () => {
     await open({
       submit: (spec, listener) => {
         bench.clock.advance(spec.promptTokens);
-        tellAnswer(listener, spec.id, ['x']);
+        sendAnswer(listener, spec.id, ['x']);
       },
     });
     await (await complete({prompt: 'p'.repeat(400)})).text();
@@ -343,7 +345,7 @@
     await open();
     const ready = async () => (await call('GET', '/readyz')).status;
     expect(await ready()).toBe(200);
-    bench.setView(viewOf('suspect', 'leaving'));
+    bench.setMembership(membershipViewOf('suspect', 'leaving'));
     expect(await ready()).toBe(503);
     expect((await call('GET', '/healthz')).status).toBe(200);
   });
@@ -355,11 +357,11 @@
    */
   test('readiness follows a membership that was restarted', async () => {
     await open();
-    bench.forgetSubscribers();
+    bench.dropMembershipSubscribers();
     await bench.clock.runFor(5_000);
     // An answered call: by now the subscription has been delivered.
     expect((await call('GET', '/readyz')).status).toBe(200);
-    bench.setView(viewOf('gone'));
+    bench.setMembership(membershipViewOf('gone'));
     expect((await call('GET', '/readyz')).status).toBe(503);
   });
 
@@ -375,11 +377,11 @@
     let finish = () => undefined as void;
     await open({
       submit: (spec, listener) => {
-        finish = () => tellAnswer(listener, spec.id, ['whole']);
+        finish = () => sendAnswer(listener, spec.id, ['whole']);
       },
     });
     const open1 = complete({prompt: 'x'});
-    await bench.until('submit');
+    await bench.waitForMessage('submit');
     let drained = false;
     const drain = bench.kernel
       .ask('callers', (reply: (value: void) => void) => ({
--- a/test/http_operators.test.ts
+++ b/test/http_operators.test.ts
@@ -7,17 +7,17 @@
 import type {ConfigPatch, ConfigRejection} from '../src/types/services.js';
 import {yieldToLoop} from '../src/utils/event_loop.js';
 import {hashGeneratedKey, verifyKeyAsync} from '../src/utils/keys.js';
-import {declarations, openFront} from './support/front_fixture.js';
-import type {FrontBench} from './support/front_fixture.js';
+import {declarations, startFront} from './support/front_fixture.js';
+import type {FrontFixture} from './support/front_fixture.js';
 
 const TOKEN = 'onyx_operator';
-let bench: FrontBench;
+let bench: FrontFixture;
 let url: string;
 
 afterEach(() => bench.kernel.stop());
 
 async function open(change: Partial<OperatorHandlers> = {}, token = true) {
-  bench = await openFront();
+  bench = await startFront();
   await bench.kernel.start(
     createOperatorsService({
       listen: '127.0.0.1:0',
--- a/test/http_requests.test.ts
+++ b/test/http_requests.test.ts
@@ -3,21 +3,21 @@
 import type {RequestListener} from '../src/types/services.js';
 import {
   INGUFU_KEY,
-  openFront,
-  tellAnswer,
-  withoutIds,
+  startFront,
+  sendAnswer,
+  maskIds,
 } from './support/front_fixture.js';
-import type {FrontBench, RequestsScript} from './support/front_fixture.js';
+import type {FrontFixture, RequestsScript} from './support/front_fixture.js';
 
-let bench: FrontBench;
+let bench: FrontFixture;
 
 afterEach(() => bench.kernel.stop());
 
 async function open(script: RequestsScript = {}): Promise<void> {
-  bench = await openFront(script);
+  bench = await startFront(script);
 }
 
-const call: FrontBench['call'] = (...args) => bench.call(...args);
+const call: FrontFixture['call'] = (...args) => bench.call(...args);
 
 describe('a request started before', () => {
   const ID = 'ab'.repeat(16);
@@ -41,7 +41,7 @@
     await open({
       state: owned,
       resume: ({listener, fromSeq}) =>
-        tellAnswer(listener, ID, ['c', 'd'], fromSeq),
+        sendAnswer(listener, ID, ['c', 'd'], fromSeq),
     });
     const res = await call('GET', `/v1/requests/${ID}?stream=true`, undefined, {
       'Last-Event-ID': `${ID}:${ID}.0:1`,
@@ -62,7 +62,7 @@
   test('a resume does not join chunks of two runs', async () => {
     await open({
       state: owned,
-      resume: ({listener, fromSeq}) => tellAnswer(listener, ID, ['c'], fromSeq),
+      resume: ({listener, fromSeq}) => sendAnswer(listener, ID, ['c'], fromSeq),
     });
     const res = await call('GET', `/v1/requests/${ID}?stream=true`, undefined, {
       'Last-Event-ID': `${ID}:${ID}.7:1`,
@@ -74,7 +74,7 @@
   test('the whole answer is waited for when asked', async () => {
     await open({
       state: owned,
-      resume: ({listener}) => tellAnswer(listener, ID, ['a', 'b']),
+      resume: ({listener}) => sendAnswer(listener, ID, ['a', 'b']),
     });
     const res = await call('GET', `/v1/requests/${ID}?wait=true`);
     expect(await res.json()).toMatchObject({choices: [{text: 'ab'}]});
@@ -89,7 +89,7 @@
     let second: RequestListener | undefined;
     await open({
       submit: (spec, listener) =>
-        tellAnswer(event => event.kind !== 'end' && listener(event), spec.id, [
+        sendAnswer(event => event.kind !== 'end' && listener(event), spec.id, [
           'a',
         ]),
       state: () => ({}),
@@ -101,10 +101,10 @@
     const first = await call('POST', '/v1/completions', body);
     const id = first.headers.get('x-request-id') ?? '';
     const resumed = call('GET', `/v1/requests/${id}?stream=true&from=1`);
-    await bench.until('resume');
+    await bench.waitForMessage('resume');
     await expect(first.text()).rejects.toThrow();
     await bench.clock.runFor(10_000);
-    if (second !== undefined) tellAnswer(second, id, ['b'], 1);
+    if (second !== undefined) sendAnswer(second, id, ['b'], 1);
     expect(await (await resumed).text()).toContain('[DONE]');
     expect(bench.received.map(({kind}) => kind)).not.toContain('cancel');
   });
@@ -121,7 +121,7 @@
     const headers = {Authorization: `Bearer ${INGUFU_KEY}`};
     const ask = async (method: string, path: string) => {
       const res = await call(method, path, undefined, headers);
-      return {status: res.status, text: withoutIds(await res.text())};
+      return {status: res.status, text: maskIds(await res.text())};
     };
     for (const [method, query] of [
       ['GET', ''],
--- a/test/support/front_fixture.ts
+++ b/test/support/front_fixture.ts
@@ -47,7 +47,7 @@
   ) => Partial<RequestState> | undefined;
 }
 
-export interface FrontBench {
+export interface FrontFixture {
   readonly url: string;
   readonly port: number;
   readonly kernel: Kernel;
@@ -64,11 +64,11 @@
     headers?: Readonly<Record<string, string>>,
   ): Promise<Response>;
   setConfig(config: NumberedDeclarations): void;
-  setView(view: MembershipView): void;
+  setMembership(view: MembershipView): void;
   /** As when the membership service fails and is restarted. */
-  forgetSubscribers(): void;
+  dropMembershipSubscribers(): void;
   /** Resolves when `requests` has received such a message. */
-  until(kind: RequestsMessage['kind']): Promise<RequestsMessage>;
+  waitForMessage(kind: RequestsMessage['kind']): Promise<RequestsMessage>;
 }
 
 export function declarations(
@@ -129,7 +129,7 @@
   };
 }
 
-export function viewOf(...states: ReadonlyArray<Replica['state']>) {
+export function membershipViewOf(...states: ReadonlyArray<Replica['state']>) {
   const replicas = states.map(
     (state, at) => ({node: `side-${at}`, state, loadAt: 0}) as Replica,
   );
@@ -137,10 +137,10 @@
 }
 
 /** Starts the front; the kernel is to be stopped by the test. */
-export async function openFront(
+export async function startFront(
   script: RequestsScript = {},
   options: Partial<CallersOptions> = {},
-): Promise<FrontBench> {
+): Promise<FrontFixture> {
   const clock = createVirtualClock();
   const logged: Array<{readonly name: string} & LogFields> = [];
   const runtime: Runtime = {
@@ -155,8 +155,8 @@
   const kernel = createKernel(runtime);
   const received: RequestsMessage[] = [];
   const waiting = new Map<string, (message: RequestsMessage) => void>();
-  let setConfig: FrontBench['setConfig'] = () => undefined;
-  const viewListeners = new Set<FrontBench['setView']>();
+  let setConfig: FrontFixture['setConfig'] = () => undefined;
+  const viewListeners = new Set<FrontFixture['setMembership']>();
 
   await kernel.start({
     name: 'requests',
@@ -199,10 +199,10 @@
     (reply: (status: CallersStatus) => void) => ({kind: 'status', reply}),
   );
   setConfig(declarations());
-  const setView: FrontBench['setView'] = view => {
+  const setView: FrontFixture['setMembership'] = view => {
     for (const listener of viewListeners) listener(view);
   };
-  setView(viewOf('live'));
+  setView(membershipViewOf('live'));
   return {
     url: `http://${address}`,
     port: Number(address.split(':')[1]),
@@ -218,9 +218,9 @@
         ...(body === undefined ? {} : {body: body as string}),
       }),
     setConfig: config => setConfig(config),
-    setView,
-    forgetSubscribers: () => viewListeners.clear(),
-    until: kind => {
+    setMembership: setView,
+    dropMembershipSubscribers: () => viewListeners.clear(),
+    waitForMessage: kind => {
       const found = received.find(message => message.kind === kind);
       if (found !== undefined) return Promise.resolve(found);
       return new Promise(resolve => waiting.set(kind, resolve));
@@ -251,14 +251,14 @@
 }
 
 /** For golden files: ids differ from run to run. */
-export function withoutIds(text: string): string {
+export function maskIds(text: string): string {
   return text.replaceAll(/[0-9a-f]{32}/g, 'ID');
 }
 
 const encoder = new TextEncoder();
 
 /** Tells a listener a whole answer in these chunks. */
-export function tellAnswer(
+export function sendAnswer(
   listener: RequestListener,
   id: string,
   chunks: readonly string[],
