--- a/bench/decision.ts
+++ b/bench/decision.ts
@@ -7,12 +7,12 @@
 import {writeFileSync} from 'node:fs';
 import {parseArgs} from 'node:util';
 import {isReadAlone} from '../src/direct/decide/choose_engines.js';
-import {drawCandidates} from '../src/direct/decide/draw_candidates.js';
+import {drawCandidates} from '../src/direct/decide/sample_candidates.js';
 import {readMs} from '../src/direct/decide/engine_timing.js';
-import {patienceMs} from '../src/direct/decide/patience.js';
+import {patienceMs} from '../src/direct/decide/caller_timeout.js';
 import {placeOrWait} from '../src/direct/decide/place_or_wait.js';
 import type {PlacingRequest} from '../src/direct/decide/place_or_wait.js';
-import {weightOf} from '../src/direct/decide/request_worth.js';
+import {weightOf} from '../src/direct/decide/request_weights.js';
 import {createLoadBook} from '../src/direct/load_book.js';
 import type {LoadBook} from '../src/direct/load_book.js';
 import type {ReplicaLoad} from '../src/direct/load_sum.js';
--- a/bench/direct/model_caller.ts
+++ b/bench/direct/model_caller.ts
@@ -4,7 +4,7 @@
  */
 import {EventEmitter} from 'node:events';
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import {patienceMs} from '../../src/direct/decide/patience.js';
+import {patienceMs} from '../../src/direct/decide/caller_timeout.js';
 import type {Admitted} from '../../src/direct/exchange.js';
 import type {DirectConfig, Route} from '../../src/direct/types.js';
 import type {Cancel, Clock} from '../../src/types/runtime.js';
--- a/src/direct/decide/choose_engines.ts
+++ b/src/direct/decide/choose_engines.ts
@@ -11,13 +11,13 @@
  */
 import type {EngineFigures} from '../types.js';
 import {readMs} from './engine_timing.js';
-import {TIME_LOSS, judge, leastFirstEventMs, stateOf} from './judge_engine.js';
+import {TIME_LOSS, judge, leastFirstEventMs, stateOf} from './score_engine.js';
 import type {
   EngineCandidate,
   EngineRequest,
   EngineState,
   JudgedEngine,
-} from './judge_engine.js';
+} from './score_engine.js';
 import {firstEventLoss} from './waiting_loss.js';
 
 /** The choice. Members beside the first read even parts. */
--- a/src/direct/decide/place_or_wait.ts
+++ b/src/direct/decide/place_or_wait.ts
@@ -19,7 +19,7 @@
 import {noLoad} from '../load_sum.js';
 import {LARGEST_GROUP, chooseEngines, leastLoss} from './choose_engines.js';
 import type {EnginePlan} from './choose_engines.js';
-import type {EngineCandidate, EngineRequest} from './judge_engine.js';
+import type {EngineCandidate, EngineRequest} from './score_engine.js';
 
 /**
  * Delays at which a later placement is weighed. The least is a look away; the
--- a/src/direct/decide/waiting_loss.ts
+++ b/src/direct/decide/waiting_loss.ts
@@ -5,7 +5,7 @@
  * and be passed by others until its caller leaves; and one that is a little
  * late would count as much as one that is lost.
  */
-import {leastPatienceMs} from './patience.js';
+import {leastPatienceMs} from './caller_timeout.js';
 
 /**
  * Lost with the aim. An answer that comes late is worth about a quarter; the
--- a/src/direct/open_place.ts
+++ b/src/direct/open_place.ts
@@ -4,8 +4,8 @@
  */
 import {DIRECT_EVENTS} from '../utils/events.js';
 import {isReadAlone} from './decide/choose_engines.js';
-import {drawCandidates} from './decide/draw_candidates.js';
-import {patienceMs} from './decide/patience.js';
+import {drawCandidates} from './decide/sample_candidates.js';
+import {patienceMs} from './decide/caller_timeout.js';
 import {placeOrWait} from './decide/place_or_wait.js';
 import type {
   PlacingDecision,
--- a/src/direct/place.ts
+++ b/src/direct/place.ts
@@ -4,10 +4,10 @@
  */
 import type {Cancel} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
-import {chooseForCall} from './decide/choose_call.js';
-import type {CallCandidate} from './decide/choose_call.js';
+import {chooseForCall} from './decide/choose_call_replica.js';
+import type {CallCandidate} from './decide/choose_call_replica.js';
 import type {EnginePlan} from './decide/choose_engines.js';
-import type {EngineCandidate} from './decide/judge_engine.js';
+import type {EngineCandidate} from './decide/score_engine.js';
 import {aimMarginMs} from './decide/waiting_loss.js';
 import {answerTokens} from './exchange.js';
 import type {Exchange} from './exchange.js';
--- a/src/direct/serve_call.ts
+++ b/src/direct/serve_call.ts
@@ -6,7 +6,7 @@
 import {DIRECT_EVENTS} from '../utils/events.js';
 import {tryCall} from './call_attempt.js';
 import type {Answered, CallOutcome} from './call_attempt.js';
-import {chooseForCall} from './decide/choose_call.js';
+import {chooseForCall} from './decide/choose_call_replica.js';
 import type {AnswerHead} from './dispatch.js';
 import type {Exchange} from './exchange.js';
 import {
--- a/src/direct/serving.ts
+++ b/src/direct/serving.ts
@@ -14,7 +14,7 @@
 import type {CrashWatch, CrashWatchOptions} from './crash_watch.js';
 import {readMs} from './decide/engine_timing.js';
 import type {Fullness} from './decide/place_or_wait.js';
-import {createRequestWorth, sizeOf} from './decide/request_worth.js';
+import {createRequestWorth, sizeOf} from './decide/request_weights.js';
 import type {Dial} from './dial.js';
 import type {OpenDispatch} from './dispatch.js';
 import {openExchange} from './exchange.js';
--- a/src/direct/stream_silence.ts
+++ b/src/direct/stream_silence.ts
@@ -5,7 +5,7 @@
  * known to be read there is waited for, as long as the caller does.
  */
 import type {Exchange} from './exchange.js';
-import {patienceMs} from './decide/patience.js';
+import {patienceMs} from './decide/caller_timeout.js';
 import type {ServeContext} from './serve_context.js';
 
 /** Silence is waited for so many times as long as a first event should take. */
--- a/test/direct/choose_engines.test.ts
+++ b/test/direct/choose_engines.test.ts
@@ -2,8 +2,8 @@
 import fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
 import {chooseEngines} from '../../src/direct/decide/choose_engines.js';
-import type {EngineRequest} from '../../src/direct/decide/judge_engine.js';
-import {weightOf} from '../../src/direct/decide/request_worth.js';
+import type {EngineRequest} from '../../src/direct/decide/score_engine.js';
+import {weightOf} from '../../src/direct/decide/request_weights.js';
 import type {ReplicaLoad} from '../../src/direct/load_sum.js';
 import type {EngineFigures} from '../../src/direct/types.js';
 import {engineCandidate} from '../support/engine_candidates.js';
--- a/test/direct/place_or_wait.test.ts
+++ b/test/direct/place_or_wait.test.ts
@@ -1,13 +1,13 @@
 /** Whether a request is placed, waits or is refused, on loads made by hand. */
 import fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
-import type {EngineCandidate} from '../../src/direct/decide/judge_engine.js';
+import type {EngineCandidate} from '../../src/direct/decide/score_engine.js';
 import {
   fullWithoutRoom,
   placeOrWait,
 } from '../../src/direct/decide/place_or_wait.js';
 import type {PlacingRequest} from '../../src/direct/decide/place_or_wait.js';
-import {weightOf} from '../../src/direct/decide/request_worth.js';
+import {weightOf} from '../../src/direct/decide/request_weights.js';
 import type {ReplicaLoad} from '../../src/direct/load_sum.js';
 import {meanBacklog} from '../../bench/direct/ways.js';
 import type {EngineFigures} from '../../src/direct/types.js';
--- a/test/direct/draw_candidates.test.ts
+++ b/test/direct/sample_candidates.test.ts
@@ -1,7 +1,7 @@
 /** Which replicas a choice looks at. */
 import fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
-import {drawCandidates} from '../../src/direct/decide/draw_candidates.js';
+import {drawCandidates} from '../../src/direct/decide/sample_candidates.js';
 import type {DirectReplica} from '../../src/direct/types.js';
 import {createSeededRandom} from '../../standins/seeded_random.js';
 
