--- a/bench/decision.ts
+++ b/bench/decision.ts
@@ -6,10 +6,10 @@
  */
 import {writeFileSync} from 'node:fs';
 import {parseArgs} from 'node:util';
-import {isReadAlone} from '../src/direct/decide/choose_engines.js';
-import {drawCandidates} from '../src/direct/decide/sample_candidates.js';
-import {readMs} from '../src/direct/decide/engine_timing.js';
-import {patienceMs} from '../src/direct/decide/caller_timeout.js';
+import {usesSingleEngine} from '../src/direct/decide/choose_engines.js';
+import {sampleCandidates} from '../src/direct/decide/sample_candidates.js';
+import {prefillMs} from '../src/direct/decide/engine_timing.js';
+import {callerTimeoutMs} from '../src/direct/decide/caller_timeout.js';
 import {placeOrWait} from '../src/direct/decide/place_or_wait.js';
 import type {PlacingRequest} from '../src/direct/decide/place_or_wait.js';
 import {weightOf} from '../src/direct/decide/request_weights.js';
@@ -88,8 +88,8 @@
   replicas: readonly DirectReplica[],
   req: PlacingRequest,
 ): void {
-  const looked = isReadAlone(ENGINE, req)
-    ? drawCandidates(replicas, replicas[0].failureDomain, req.draw)
+  const looked = usesSingleEngine(ENGINE, req)
+    ? sampleCandidates(replicas, replicas[0].failureDomain, req.draw)
     : replicas;
   const candidates = looked.map(replica => ({
     replica,
@@ -158,8 +158,8 @@
     answerTokens: kind.maxTokens,
     aimMs: route.aimMs,
     pauseAimMs: route.pauseAimMs,
-    patienceMs: patienceMs(route),
-    elapsedMs: readMs(ENGINE, promptTokens, 1) * 0.1,
+    callerTimeoutMs: callerTimeoutMs(route),
+    elapsedMs: prefillMs(ENGINE, promptTokens, 1) * 0.1,
     draw: () => random.next(),
   };
 }
--- a/bench/direct/model_caller.ts
+++ b/bench/direct/model_caller.ts
@@ -4,7 +4,7 @@
  */
 import {EventEmitter} from 'node:events';
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import {patienceMs} from '../../src/direct/decide/caller_timeout.js';
+import {callerTimeoutMs} from '../../src/direct/decide/caller_timeout.js';
 import type {Admitted} from '../../src/direct/exchange.js';
 import type {DirectConfig, Route} from '../../src/direct/types.js';
 import type {Cancel, Clock} from '../../src/types/runtime.js';
@@ -66,7 +66,7 @@
   };
   const startedAt = clock.now();
   const limitAt = startedAt + route.timeLimitMs;
-  const patience = patienceMs(route);
+  const patience = callerTimeoutMs(route);
   let lastAt = startedAt;
 
   const again = (waitMs: number, end: CallerRecord['end']): void => {
--- a/bench/direct/ways.ts
+++ b/bench/direct/ways.ts
@@ -2,7 +2,7 @@
  * Ways in which a decision can be taken, by name, so that they are compared on
  * the same loads. The first of each is the one that the entries take.
  */
-import {fullWithoutRoom} from '../../src/direct/decide/place_or_wait.js';
+import {defaultFullness} from '../../src/direct/decide/place_or_wait.js';
 import type {Fullness} from '../../src/direct/decide/place_or_wait.js';
 
 /** Mean backlog at which all engines count as full, in milliseconds. */
@@ -27,7 +27,7 @@
 };
 
 export const FULLNESS_WAYS: Readonly<Record<string, Fullness>> = {
-  room: fullWithoutRoom,
+  room: defaultFullness,
   mean: meanBacklog,
   busy: busyShare,
   capped: candidates =>
--- a/src/direct/decide/caller_timeout.ts
+++ b/src/direct/decide/caller_timeout.ts
@@ -8,12 +8,12 @@
 const TIMES_AIM = 4;
 const TIMES_PAUSE_AIM = 8;
 
-export function patienceMs({aimMs, pauseAimMs}: Route): number {
-  return Math.max(TIMES_AIM * aimMs, leastPatienceMs(pauseAimMs));
+export function callerTimeoutMs({aimMs, pauseAimMs}: Route): number {
+  return Math.max(TIMES_AIM * aimMs, minCallerTimeoutMs(pauseAimMs));
 }
 
 /** What is sure of it where only the aim of a stream's pauses is known. */
-export function leastPatienceMs(pauseAimMs: number): number {
+export function minCallerTimeoutMs(pauseAimMs: number): number {
   const byPause = Number.isFinite(pauseAimMs)
     ? TIMES_PAUSE_AIM * pauseAimMs
     : 0;
--- a/src/direct/decide/choose_call_replica.ts
+++ b/src/direct/decide/choose_call_replica.ts
@@ -40,7 +40,7 @@
   readonly draw: () => number;
 }
 
-export function chooseForCall<T extends CallCandidate>(
+export function chooseCallReplica<T extends CallCandidate>(
   candidates: readonly T[],
   req: CallRequest,
 ): T | undefined {
--- a/src/direct/decide/choose_engines.ts
+++ b/src/direct/decide/choose_engines.ts
@@ -10,22 +10,27 @@
  * several milliseconds before a large pool.
  */
 import type {EngineFigures} from '../types.js';
-import {readMs} from './engine_timing.js';
-import {TIME_LOSS, judge, leastFirstEventMs, stateOf} from './score_engine.js';
+import {prefillMs} from './engine_timing.js';
+import {
+  TIME_LOSS,
+  scoreEngine,
+  minFirstEventMs,
+  engineStateOf,
+} from './score_engine.js';
 import type {
   EngineCandidate,
   EngineRequest,
   EngineState,
-  JudgedEngine,
+  ScoredEngine,
 } from './score_engine.js';
 import {firstEventLoss} from './waiting_loss.js';
 
 /** The choice. Members beside the first read even parts. */
 export interface EnginePlan {
-  readonly first: EngineCandidate;
+  readonly lead: EngineCandidate;
   readonly helpers: readonly EngineCandidate[];
   /** Each member's reading, in milliseconds. */
-  readonly partReadMs: number;
+  readonly partPrefillMs: number;
   /** Tokens of the prompt that each member holds; 0 for no reservations. */
   readonly partTokens: number;
   readonly firstEventMs: number;
@@ -38,9 +43,9 @@
 }
 
 /** Engines that read one prompt at the most; a replica takes 16 helpers. */
-export const LARGEST_GROUP = 16;
+export const MAX_GROUP_SIZE = 16;
 /** Sizes of groups that are compared. */
-const GROUP_SIZES = [1, 2, 3, 4, 6, 8, 12, LARGEST_GROUP] as const;
+const GROUP_SIZES = [1, 2, 3, 4, 6, 8, 12, MAX_GROUP_SIZE] as const;
 /** Smaller parts gain less than the pass that each member waits for. */
 const LEAST_PART_MS = 40;
 /** Memory kept free of the prediction's error. */
@@ -64,11 +69,11 @@
  * Whether the prompt is read by one engine, whatever the load. One that fills
  * the memory of an engine is shared out however fast it is read.
  */
-export function isReadAlone(
+export function usesSingleEngine(
   figures: EngineFigures,
   req: EngineRequest,
 ): boolean {
-  const isSmall = readMs(figures, req.promptTokens, 2) < LEAST_PART_MS;
+  const isSmall = prefillMs(figures, req.promptTokens, 2) < LEAST_PART_MS;
   return isSmall && !isTooMuchForOne(figures, req);
 }
 
@@ -82,14 +87,18 @@
   candidates: readonly EngineCandidate[],
   afterMs = 0,
 ): EnginePlan | undefined {
-  const states = candidates.map(it => stateOf(figures, req, it, afterMs));
+  const states = candidates.map(it => engineStateOf(figures, req, it, afterMs));
   let grouped: readonly EngineState[] | undefined;
   let best: EnginePlan | undefined;
-  for (const {size, partReadMs, least} of sizesOf(figures, req, states)) {
+  for (const {size, partPrefillMs: partReadMs, minLoss: least} of sizesOf(
+    figures,
+    req,
+    states,
+  )) {
     if (best !== undefined && least >= best.loss) break;
     const pool =
       size === 1 ? states : (grouped ??= bestStates(figures, req, states));
-    const plan = planOf(figures, req, pool, {size, readMs: partReadMs});
+    const plan = planOf(figures, req, pool, {size, prefillMs: partReadMs});
     if (plan === undefined) continue;
     if (best === undefined || plan.loss < best.loss) best = plan;
   }
@@ -97,16 +106,16 @@
 }
 
 /** No plan loses less than this, whatever the engines' load. */
-export function leastLoss(figures: EngineFigures, req: EngineRequest): number {
-  const partReadMs = readMs(figures, req.promptTokens, LARGEST_GROUP);
+export function minLoss(figures: EngineFigures, req: EngineRequest): number {
+  const partReadMs = prefillMs(figures, req.promptTokens, MAX_GROUP_SIZE);
   return leastLossOf(figures, req, partReadMs, 1);
 }
 
-interface SizeOutlook {
+interface GroupSizeOption {
   readonly size: number;
-  readonly partReadMs: number;
+  readonly partPrefillMs: number;
   /** Loss of a group of this size on idle engines. */
-  readonly least: number;
+  readonly minLoss: number;
 }
 
 /** Sizes of group that may be had, the most promising first. */
@@ -114,17 +123,17 @@
   figures: EngineFigures,
   req: EngineRequest,
   {length}: readonly EngineState[],
-): readonly SizeOutlook[] {
+): readonly GroupSizeOption[] {
   const mustSpread = isTooMuchForOne(figures, req);
-  const sizes: SizeOutlook[] = [];
+  const sizes: GroupSizeOption[] = [];
   for (const size of GROUP_SIZES) {
-    const partReadMs = readMs(figures, req.promptTokens, size);
+    const partReadMs = prefillMs(figures, req.promptTokens, size);
     const isTooSmall = size > 1 && partReadMs < LEAST_PART_MS;
     if (size > length || (isTooSmall && !mustSpread)) break;
     const least = leastLossOf(figures, req, partReadMs, size);
-    sizes.push({size, partReadMs, least});
+    sizes.push({size, partPrefillMs: partReadMs, minLoss: least});
   }
-  return sizes.sort((a, b) => a.least - b.least);
+  return sizes.sort((a, b) => a.minLoss - b.minLoss);
 }
 
 function leastLossOf(
@@ -133,7 +142,7 @@
   partReadMs: number,
   size: number,
 ): number {
-  return ownLossOf(req, leastFirstEventMs(figures, partReadMs), size).ranked;
+  return ownLossOf(req, minFirstEventMs(figures, partReadMs), size).ranked;
 }
 
 /** The newcomer's own loss, and the same with what ranks equals, weighed. */
@@ -152,11 +161,11 @@
 ): readonly EngineState[] {
   if (states.length <= GROUP_CANDIDATES) return states;
   const part = {
-    readMs: readMs(figures, req.promptTokens, RANKED_BY_SIZE),
+    prefillMs: prefillMs(figures, req.promptTokens, RANKED_BY_SIZE),
     grouped: true,
   };
   return states
-    .map(state => ({state, rank: judge(req, state, part).rank}))
+    .map(state => ({state, rank: scoreEngine(req, state, part).score}))
     .sort((a, b) => a.rank - b.rank)
     .slice(0, GROUP_CANDIDATES)
     .map(({state}) => state);
@@ -166,7 +175,7 @@
   figures: EngineFigures,
   req: EngineRequest,
   states: readonly EngineState[],
-  part: {readonly size: number; readonly readMs: number},
+  part: {readonly size: number; readonly prefillMs: number},
 ): EnginePlan | undefined {
   const {size} = part;
   const total = req.promptTokens + req.answerTokens;
@@ -176,41 +185,41 @@
   const held = spread ? req.promptTokens / size + req.answerTokens : total;
   const partTokens = spread ? Math.ceil(req.promptTokens / size) : 0;
   const grouped = size > 1;
-  const judged: JudgedEngine[] = [];
+  const judged: ScoredEngine[] = [];
   for (const state of states) {
     const isRoomy = hasMemory(figures, state.candidate, held);
     if (!isRoomy && (spread || !grouped)) continue;
-    judged.push(judge(req, state, {readMs: part.readMs, grouped}));
+    judged.push(scoreEngine(req, state, {prefillMs: part.prefillMs, grouped}));
   }
   if (judged.length < size) return undefined;
   const members = grouped
     ? groupOf(figures, judged, held, size)
     : [leastOf(judged)];
   if (members === undefined) return undefined;
-  return assemble(req, members, {partReadMs: part.readMs, partTokens});
+  return assemble(req, members, {partPrefillMs: part.prefillMs, partTokens});
 }
 
 /** The best members; the first has the memory for what is not spread. */
 function groupOf(
   figures: EngineFigures,
-  judged: JudgedEngine[],
+  judged: ScoredEngine[],
   held: number,
   size: number,
-): readonly JudgedEngine[] | undefined {
-  judged.sort((a, b) => a.rank - b.rank);
+): readonly ScoredEngine[] | undefined {
+  judged.sort((a, b) => a.score - b.score);
   const first = judged.find(it => hasMemory(figures, it.candidate, held));
   if (first === undefined) return undefined;
   return [first, ...judged.filter(it => it !== first).slice(0, size - 1)];
 }
 
-function leastOf(judged: readonly JudgedEngine[]): JudgedEngine {
-  return judged.reduce((best, it) => (it.rank < best.rank ? it : best));
+function leastOf(judged: readonly ScoredEngine[]): ScoredEngine {
+  return judged.reduce((best, it) => (it.score < best.score ? it : best));
 }
 
 function assemble(
   req: EngineRequest,
-  members: readonly JudgedEngine[],
-  part: Pick<EnginePlan, 'partReadMs' | 'partTokens'>,
+  members: readonly ScoredEngine[],
+  part: Pick<EnginePlan, 'partPrefillMs' | 'partTokens'>,
 ): EnginePlan {
   const [first, ...helpers] = members;
   const firstEventMs = Math.max(...members.map(it => it.firstEventMs));
@@ -218,7 +227,7 @@
   const own = ownLossOf(req, firstEventMs, members.length);
   return {
     ...part,
-    first: first.candidate,
+    lead: first.candidate,
     helpers: helpers.map(it => it.candidate),
     firstEventMs,
     ownLoss: own.share,
--- a/src/direct/decide/engine_timing.ts
+++ b/src/direct/decide/engine_timing.ts
@@ -7,7 +7,7 @@
 const MILLION = 1_000_000;
 
 /** Time to read one of `parts` even parts of a prompt, in milliseconds. */
-export function readMs(
+export function prefillMs(
   figures: EngineFigures,
   promptTokens: number,
   parts: number,
--- a/src/direct/decide/place_or_wait.ts
+++ b/src/direct/decide/place_or_wait.ts
@@ -17,7 +17,7 @@
  */
 import type {EngineFigures} from '../types.js';
 import {noLoad} from '../load_sum.js';
-import {LARGEST_GROUP, chooseEngines, leastLoss} from './choose_engines.js';
+import {MAX_GROUP_SIZE, chooseEngines, minLoss} from './choose_engines.js';
 import type {EnginePlan} from './choose_engines.js';
 import type {EngineCandidate, EngineRequest} from './score_engine.js';
 
@@ -73,13 +73,14 @@
   | {readonly kind: 'wait'; readonly reason: WaitReason}
   | {
       readonly kind: 'refuse';
-      readonly reason: RefusalReason;
+      readonly reason: PlacingRefusalReason;
       /** When there may be room, from now. */
       readonly comeBackMs: number;
     };
 
 export type WaitReason = 'no memory' | 'costs others more' | 'better later';
-export type RefusalReason = 'the caller would leave' | 'late for its cost';
+export type PlacingRefusalReason =
+  'the caller would leave' | 'late for its cost';
 
 export function placeOrWait(
   pool: EnginePool,
@@ -89,7 +90,7 @@
   if (plan === undefined) return {kind: 'wait', reason: 'no memory'};
   // What has run elsewhere goes on: its answer is half delivered.
   if (!req.isNew) return {kind: 'place', plan};
-  if (req.elapsedMs + plan.firstEventMs > req.patienceMs) {
+  if (req.elapsedMs + plan.firstEventMs > req.callerTimeoutMs) {
     return refuse(pool, 'the caller would leave');
   }
   if (costOf(pool, plan) > req.weight * (1 - plan.ownLoss)) {
@@ -104,8 +105,8 @@
 
 /** What others lose: those who are there, and those who come meanwhile. */
 function costOf(pool: EnginePool, plan: EnginePlan): number {
-  const {candidates, weightPerReadMs, fullness = fullWithoutRoom} = pool;
-  const engineMs = plan.partReadMs * (1 + plan.helpers.length);
+  const {candidates, weightPerReadMs, fullness = defaultFullness} = pool;
+  const engineMs = plan.partPrefillMs * (1 + plan.helpers.length);
   const price = PRICE_SHARE * weightPerReadMs * fullness(candidates);
   return plan.harm + engineMs * price;
 }
@@ -116,8 +117,8 @@
  * of sixty engines made the fleet look full, and prompts of more than 800,000
  * tokens were refused at every try while forty-four engines were free.
  */
-export const fullWithoutRoom: Fullness = candidates => {
-  const hasRoom = freeEngines(candidates) >= LARGEST_GROUP;
+export const defaultFullness: Fullness = candidates => {
+  const hasRoom = freeEngines(candidates) >= MAX_GROUP_SIZE;
   return hasRoom ? 0 : Math.min(1, backlogMs(candidates) / BUSY_BACKLOG_MS);
 };
 
@@ -151,7 +152,7 @@
   now: EnginePlan,
 ): boolean {
   const leastGain = LEAST_GAIN * req.weight;
-  if (now.loss - leastLoss(figures, req) < leastGain) return false;
+  if (now.loss - minLoss(figures, req) < leastGain) return false;
   return LATER_MS.some(ms => {
     const then = {...req, elapsedMs: req.elapsedMs + ms + LOOK_LATE_MS};
     const later = chooseEngines(figures, then, candidates, ms);
@@ -159,7 +160,10 @@
   });
 }
 
-function refuse(pool: EnginePool, reason: RefusalReason): PlacingDecision {
+function refuse(
+  pool: EnginePool,
+  reason: PlacingRefusalReason,
+): PlacingDecision {
   const comeBackMs = Math.max(LEAST_COME_BACK_MS, backlogMs(pool.candidates));
   return {kind: 'refuse', reason, comeBackMs};
 }
--- a/src/direct/decide/request_weights.ts
+++ b/src/direct/decide/request_weights.ts
@@ -18,14 +18,14 @@
 /** Share of a request's worth that does not depend on its size. */
 const FIXED_SHARE = 0.3;
 
-export interface RequestWorth {
+export interface RequestWeights {
   /** Enters a request that takes an engine so long to read; tells its weight. */
   weigh(route: string, size: number, readMs: number): number;
   /** Weight of what is asked for, for each millisecond of reading. */
   weightPerReadMs(): number;
 }
 
-export function createRequestWorth(): RequestWorth {
+export function createRequestWeights(): RequestWeights {
   const means = new Map<string, number>();
   let mixWeight = 0;
   let mixReadMs = 0;
@@ -54,7 +54,7 @@
  * the same for all requests of a kind: sized by that, long prompts would weigh
  * half of what they do by their usual answers.
  */
-export function sizeOf({
+export function weightedSize({
   promptTokens,
   expectedTokens,
   maxTokens,
--- a/src/direct/decide/sample_candidates.ts
+++ b/src/direct/decide/sample_candidates.ts
@@ -19,7 +19,7 @@
 const LEAST_FAR = 3;
 
 /** At most `MOST` replicas; `draw` is uniform in [0, 1). */
-export function drawCandidates(
+export function sampleCandidates(
   replicas: readonly DirectReplica[],
   failureDomain: string,
   draw: () => number,
--- a/src/direct/decide/score_engine.ts
+++ b/src/direct/decide/score_engine.ts
@@ -40,26 +40,26 @@
   /** One pass with the newcomer writing, in milliseconds. */
   readonly passMs: number;
   /** Until it has a place, in milliseconds. */
-  readonly queueMs: number;
+  readonly slotWaitMs: number;
   /** Loss of opening or crowding the engine, for a short read and any other. */
-  readonly spreadOut: {readonly short: number; readonly other: number};
+  readonly occupancyPenalty: {readonly short: number; readonly other: number};
   /** Drawn loss that parts equals. */
-  readonly tie: number;
+  readonly tieBreakLoss: number;
 }
 
 /** A part of a prompt: all of it, or one of several even ones. */
 export interface PromptPart {
-  readonly readMs: number;
+  readonly prefillMs: number;
   readonly grouped: boolean;
 }
 
-export interface JudgedEngine {
+export interface ScoredEngine {
   readonly candidate: EngineCandidate;
   readonly firstEventMs: number;
   /** Loss of those who write there, and of opening the engine. */
   readonly harm: number;
   /** Orders the candidates: the harm, and the newcomer's own risk there. */
-  readonly rank: number;
+  readonly score: number;
 }
 
 /** Loss of opening an engine that has no like writers, of the newcomer's weight. */
@@ -83,7 +83,7 @@
 const TIE_LOSS = 0.002;
 
 /** The engine once so much more time has been spent reading. */
-export function stateOf(
+export function engineStateOf(
   figures: EngineFigures,
   req: EngineRequest,
   candidate: EngineCandidate,
@@ -98,37 +98,41 @@
     // One that is overdue by what others told is still read as far as is known.
     readers: afterMs === 0 || aheadMs > 0 ? load.readers : [],
     passMs: passMs(figures, load.running + 1, load.tokens) * slowness,
-    queueMs: queued * PLACE_WAIT_MS,
-    spreadOut: spreadOut(req, candidate),
-    tie: TIE_LOSS * req.draw(),
+    slotWaitMs: queued * PLACE_WAIT_MS,
+    occupancyPenalty: spreadOut(req, candidate),
+    tieBreakLoss: TIE_LOSS * req.draw(),
   };
 }
 
-export function judge(
+export function scoreEngine(
   req: EngineRequest,
   state: EngineState,
   part: PromptPart,
-): JudgedEngine {
-  const {candidate, aheadMs, passMs: pass, queueMs} = state;
+): ScoredEngine {
+  const {candidate, aheadMs, passMs: pass, slotWaitMs: queueMs} = state;
   const {load, slowness} = candidate;
   const {weight} = req;
   // A group's newest part is read first; newer ones will come before this one.
   const firstEventMs =
-    PASSES_TO_FIRST * pass + (aheadMs + part.readMs) * slowness + queueMs;
-  const isShort = part.readMs <= SHORT_READ_SHARE * req.pauseAimMs;
-  const opening = isShort ? state.spreadOut.short : state.spreadOut.other;
+    PASSES_TO_FIRST * pass + (aheadMs + part.prefillMs) * slowness + queueMs;
+  const isShort = part.prefillMs <= SHORT_READ_SHARE * req.pauseAimMs;
+  const opening = isShort
+    ? state.occupancyPenalty.short
+    : state.occupancyPenalty.other;
   const harm =
-    pausesLoss(load, pass + aheadMs, part.readMs) +
-    (part.grouped ? readersLoss(state.readers, part.readMs * slowness) : 0) +
+    pausesLoss(load, pass + aheadMs, part.prefillMs) +
+    (part.grouped ? readersLoss(state.readers, part.prefillMs * slowness) : 0) +
     weight * SPREAD_OUT_LOSS * opening;
   const timeShare = (req.elapsedMs + firstEventMs) / req.aimMs;
   const ownLoss =
-    firstEventLoss(req, firstEventMs) + TIME_LOSS * timeShare + state.tie;
-  return {candidate, firstEventMs, harm, rank: harm + weight * ownLoss};
+    firstEventLoss(req, firstEventMs) +
+    TIME_LOSS * timeShare +
+    state.tieBreakLoss;
+  return {candidate, firstEventMs, harm, score: harm + weight * ownLoss};
 }
 
 /** When the first event comes at the earliest, whatever the engines' load. */
-export function leastFirstEventMs(
+export function minFirstEventMs(
   figures: EngineFigures,
   partReadMs: number,
 ): number {
@@ -170,7 +174,7 @@
 function spreadOut(
   req: EngineRequest,
   {load, replica}: EngineCandidate,
-): EngineState['spreadOut'] {
+): EngineState['occupancyPenalty'] {
   const used = load.running / replica.places;
   if (used >= FULL_SHARE) {
     const crowded = 1 + (used - FULL_SHARE) * CROWDING;
--- a/src/direct/decide/waiting_loss.ts
+++ b/src/direct/decide/waiting_loss.ts
@@ -5,7 +5,7 @@
  * and be passed by others until its caller leaves; and one that is a little
  * late would count as much as one that is lost.
  */
-import {leastPatienceMs} from './caller_timeout.js';
+import {minCallerTimeoutMs} from './caller_timeout.js';
 
 /**
  * Lost with the aim. An answer that comes late is worth about a quarter; the
@@ -22,14 +22,14 @@
 /** When a request's first event should come, and when its caller leaves. */
 export interface FirstEventBounds {
   readonly aimMs: number;
-  readonly patienceMs: number;
+  readonly callerTimeoutMs: number;
   /** Time that has passed since the request came. */
   readonly elapsedMs: number;
 }
 
 /** Expected loss if the first event comes in so many milliseconds. */
 export function firstEventLoss(
-  {aimMs, patienceMs, elapsedMs}: FirstEventBounds,
+  {aimMs, callerTimeoutMs: patienceMs, elapsedMs}: FirstEventBounds,
   firstEventMs: number,
 ): number {
   const atMs = elapsedMs + firstEventMs;
@@ -43,7 +43,7 @@
 export function pauseLoss(pauseMs: number, pauseAimMs: number): number {
   return twoSteps(
     shareRisk(pauseMs / pauseAimMs, PAUSE_RISK_FROM),
-    shareRisk(pauseMs / leastPatienceMs(pauseAimMs), LEAVING_RISK_FROM),
+    shareRisk(pauseMs / minCallerTimeoutMs(pauseAimMs), LEAVING_RISK_FROM),
   );
 }
 
--- a/src/direct/open_place.ts
+++ b/src/direct/open_place.ts
@@ -3,9 +3,9 @@
  * looks again, refuses, or takes the place.
  */
 import {DIRECT_EVENTS} from '../utils/events.js';
-import {isReadAlone} from './decide/choose_engines.js';
-import {drawCandidates} from './decide/sample_candidates.js';
-import {patienceMs} from './decide/caller_timeout.js';
+import {usesSingleEngine} from './decide/choose_engines.js';
+import {sampleCandidates} from './decide/sample_candidates.js';
+import {callerTimeoutMs} from './decide/caller_timeout.js';
 import {placeOrWait} from './decide/place_or_wait.js';
 import type {
   PlacingDecision,
@@ -110,7 +110,7 @@
 ): PlacingDecision {
   const startedAt = ctx.clock.now();
   const req = requestOf(ctx, exchange);
-  const looked = isReadAlone(figures, req) ? drawn(ctx, there) : there;
+  const looked = usesSingleEngine(figures, req) ? drawn(ctx, there) : there;
   const candidates = loadsOf(ctx, looked);
   const pool = {
     figures,
@@ -127,7 +127,7 @@
   {failureDomain, random}: ServeContext,
   replicas: readonly DirectReplica[],
 ): readonly DirectReplica[] {
-  return drawCandidates(replicas, failureDomain, () => random.next());
+  return sampleCandidates(replicas, failureDomain, () => random.next());
 }
 
 function requestOf(ctx: ServeContext, exchange: Exchange): PlacingRequest {
@@ -139,7 +139,7 @@
     answerTokens: answerTokens(facts),
     aimMs: route.aimMs,
     pauseAimMs: route.pauseAimMs,
-    patienceMs: patienceMs(route),
+    callerTimeoutMs: callerTimeoutMs(route),
     elapsedMs: exchange.elapsedMs(),
     draw: () => ctx.random.next(),
   };
--- a/src/direct/place.ts
+++ b/src/direct/place.ts
@@ -4,7 +4,7 @@
  */
 import type {Cancel} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
-import {chooseForCall} from './decide/choose_call_replica.js';
+import {chooseCallReplica} from './decide/choose_call_replica.js';
 import type {CallCandidate} from './decide/choose_call_replica.js';
 import type {EnginePlan} from './decide/choose_engines.js';
 import type {EngineCandidate} from './decide/score_engine.js';
@@ -45,14 +45,14 @@
   exchange: Exchange,
   plan: EnginePlan,
 ): Promise<Place | {readonly refusedBy: string}> {
-  const {helpers, partTokens, first} = plan;
+  const {helpers, partTokens, lead} = plan;
   const works = enterWorks(ctx, exchange, plan);
   const endWorks = () => works.forEach(work => work.end());
   let group: Group | undefined;
   if (partTokens > 0 && helpers.length > 0) {
     const opened = await ctx.groups.open({
       requestId: exchange.id,
-      lead: first.replica,
+      lead: lead.replica,
       helpers: helpers.map(({replica}) => replica),
       tokens: partTokens,
     });
@@ -65,14 +65,14 @@
   logPlan(ctx, exchange, plan);
   const addresses = helpers.map(({replica}) => replica.address);
   return {
-    replica: first.replica,
+    replica: lead.replica,
     heard: () => group?.heard(),
     watchLoss: onLost => {
       group?.watchLoss(loss => {
-        ctx.health.failed(first.replica.id);
+        ctx.health.failed(lead.replica.id);
         onLost(loss);
       });
-      return watchRestarts(ctx, [first, ...helpers], onLost);
+      return watchRestarts(ctx, [lead, ...helpers], onLost);
     },
     helpers:
       group?.members ??
@@ -81,7 +81,7 @@
     hasRead: tookMs => {
       works.forEach(work => work.hasRead());
       if (helpers.length > 0) return;
-      ctx.health.answered(first.replica.id, tookMs, plan.firstEventMs);
+      ctx.health.answered(lead.replica.id, tookMs, plan.firstEventMs);
     },
     refused: faultAt => {
       const helper = helpers.find(it => it.replica.address === faultAt);
@@ -111,10 +111,10 @@
   plan: EnginePlan,
 ): readonly EnteredWork[] {
   const {facts, route} = exchange;
-  const {first, helpers, partReadMs, partTokens} = plan;
+  const {lead, helpers, partPrefillMs, partTokens} = plan;
   const total = facts.promptTokens + answerTokens(facts);
   const shared = {
-    readMs: partReadMs,
+    readMs: partPrefillMs,
     expectedMs: plan.firstEventMs,
     aimLeftMs: route.aimMs - exchange.elapsedMs(),
     aimMarginMs: aimMarginMs(route.aimMs),
@@ -122,7 +122,7 @@
   };
   const main = ctx.book.enter({
     ...shared,
-    replicaId: first.replica.id,
+    replicaId: lead.replica.id,
     places: 1,
     tokens: total - partTokens * helpers.length,
     weight: exchange.weight,
@@ -145,16 +145,16 @@
   exchange: Exchange,
   plan: EnginePlan,
 ): void {
-  const {first, helpers} = plan;
+  const {lead, helpers} = plan;
   ctx.log(DIRECT_EVENTS.dispatched, {
     requestId: exchange.id,
-    replica: first.replica.id,
+    replica: lead.replica.id,
     helpers: helpers.map(({replica}) => replica.id),
     promptTokens: exchange.facts.promptTokens,
     partTokens: plan.partTokens,
     firstEventMs: Math.round(plan.firstEventMs),
-    running: first.load.running,
-    readMsAhead: Math.round(first.load.readMs),
+    running: lead.load.running,
+    readMsAhead: Math.round(lead.load.readMs),
     ownLoss: Number(plan.ownLoss.toFixed(2)),
     harm: Number((plan.harm / exchange.weight).toFixed(2)),
     waitedMs: Math.round(exchange.elapsedMs()),
@@ -168,7 +168,7 @@
   exchange: Exchange,
   candidates: readonly CallCandidate[],
 ): Place | undefined {
-  const chosen = chooseForCall(candidates, callRequestOf(ctx, exchange));
+  const chosen = chooseCallReplica(candidates, callRequestOf(ctx, exchange));
   if (chosen === undefined) return undefined;
   const {replica} = chosen;
   const {pauseAimMs} = exchange.route;
--- a/src/direct/serve_call.ts
+++ b/src/direct/serve_call.ts
@@ -6,7 +6,7 @@
 import {DIRECT_EVENTS} from '../utils/events.js';
 import {tryCall} from './call_attempt.js';
 import type {Answered, CallOutcome} from './call_attempt.js';
-import {chooseForCall} from './decide/choose_call_replica.js';
+import {chooseCallReplica} from './decide/choose_call_replica.js';
 import type {AnswerHead} from './dispatch.js';
 import type {Exchange} from './exchange.js';
 import {
@@ -83,7 +83,7 @@
       ? untried
       : ctx.fleet.serving(service).filter(({id}) => sent.has(id));
   const req = callRequestOf(ctx, exchange);
-  return chooseForCall(loadsOf(ctx, candidates), req)?.replica;
+  return chooseCallReplica(loadsOf(ctx, candidates), req)?.replica;
 }
 
 function logChoice(
--- a/src/direct/serve_context.ts
+++ b/src/direct/serve_context.ts
@@ -9,7 +9,7 @@
 import type {CallCandidate, CallRequest} from './decide/choose_call_replica.js';
 import type {EngineCandidate} from './decide/score_engine.js';
 import type {Fullness} from './decide/place_or_wait.js';
-import type {RequestWorth} from './decide/request_weights.js';
+import type {RequestWeights} from './decide/request_weights.js';
 import type {AnswerHead, DispatchRequest, OpenDispatch} from './dispatch.js';
 import type {Exchange} from './exchange.js';
 import type {Fleet} from './fleet.js';
@@ -41,7 +41,7 @@
   readonly losses: ReplicaLosses;
   readonly crashes: CrashWatch;
   readonly book: LoadBook;
-  readonly worth: RequestWorth;
+  readonly worth: RequestWeights;
   readonly fullness: Fullness | undefined;
   readonly callTimes: CallTimes;
   readonly looks: LookPace;
--- a/src/direct/serving.ts
+++ b/src/direct/serving.ts
@@ -12,9 +12,9 @@
 import type {CrashReport} from './crash_reports.js';
 import {createCrashWatch} from './crash_watch.js';
 import type {CrashWatch, CrashWatchOptions} from './crash_watch.js';
-import {readMs} from './decide/engine_timing.js';
+import {prefillMs} from './decide/engine_timing.js';
 import type {Fullness} from './decide/place_or_wait.js';
-import {createRequestWorth, sizeOf} from './decide/request_weights.js';
+import {createRequestWeights, weightedSize} from './decide/request_weights.js';
 import type {Dial} from './dial.js';
 import type {OpenDispatch} from './dispatch.js';
 import {openExchange} from './exchange.js';
@@ -107,7 +107,7 @@
   const {clock, log, metrics, random, codec, dispatch, retries} = options;
   let entries = 1;
   const open = new Set<Exchange>();
-  const worth = createRequestWorth();
+  const worth = createRequestWeights();
   const health = createReplicaHealth(clock);
   const losses = createReplicaLosses();
   const fleet = createFleet({
@@ -183,8 +183,8 @@
   const weigh = ({config, service, route, facts}: Admitted): number => {
     const figures = config.services.get(service)?.engine;
     const ms =
-      figures === undefined ? 0 : readMs(figures, facts.promptTokens, 1);
-    return worth.weigh(route.name, sizeOf(facts), ms);
+      figures === undefined ? 0 : prefillMs(figures, facts.promptTokens, 1);
+    return worth.weigh(route.name, weightedSize(facts), ms);
   };
 
   const serveOrRefuse = async (exchange: Exchange): Promise<void> => {
--- a/src/direct/stream_silence.ts
+++ b/src/direct/stream_silence.ts
@@ -5,7 +5,7 @@
  * known to be read there is waited for, as long as the caller does.
  */
 import type {Exchange} from './exchange.js';
-import {patienceMs} from './decide/caller_timeout.js';
+import {callerTimeoutMs} from './decide/caller_timeout.js';
 import type {ServeContext} from './serve_context.js';
 
 /** Silence is waited for so many times as long as a first event should take. */
@@ -43,7 +43,7 @@
   // A last attempt may still come; silence alone ends no answer.
   const canGoOn = mayGoOn(exchange);
   const {route} = exchange;
-  const mostMs = patienceMs(route) * PATIENCE_SHARE;
+  const mostMs = callerTimeoutMs(route) * PATIENCE_SHARE;
   let stop = () => {};
 
   const allowedMs = (limitMs: number): number =>
--- a/src/policy/predicted_first_token.ts
+++ b/src/policy/predicted_first_token.ts
@@ -6,7 +6,7 @@
  * what this entry itself sent counts.
  */
 import type {Address} from '../types/ids.js';
-import {inPairs, shuffled} from './random_order.js';
+import {orderPairs, shuffled} from './random_order.js';
 import {rendezvousNames} from '../utils/rendezvous.js';
 import type {
   RankedTarget,
@@ -66,7 +66,7 @@
 function byOwnAssignments(input: RoutingInput): readonly RankedTarget[] {
   const lesserFirst = (a: RoutingTarget, b: RoutingTarget) =>
     a.unreportedTokens - b.unreportedTokens;
-  return inPairs(shuffled(input), lesserFirst).map(target => ({
+  return orderPairs(shuffled(input), lesserFirst).map(target => ({
     ...predict(input, target, undefined),
     reason: 'reports are stale: lesser of a random pair by own tokens',
   }));
--- a/src/policy/random_order.ts
+++ b/src/policy/random_order.ts
@@ -11,7 +11,7 @@
 }
 
 /** Two at a time, the lesser of each two first. */
-export function inPairs(
+export function orderPairs(
   drawn: readonly RoutingTarget[],
   compare: (a: RoutingTarget, b: RoutingTarget) => number,
 ): RoutingTarget[] {
--- a/src/policy/routing_policies.ts
+++ b/src/policy/routing_policies.ts
@@ -1,6 +1,6 @@
 /** The routing policies by name, as the configuration names them. */
 import {predictedFirstToken} from './predicted_first_token.js';
-import {inPairs, shuffled} from './random_order.js';
+import {orderPairs, shuffled} from './random_order.js';
 import type {RankedTarget, RoutingPolicy, RoutingTarget} from './routing.js';
 
 /** Cycles through the targets in order of address. */
@@ -24,7 +24,7 @@
 export const randomPairs: RoutingPolicy = input => {
   const fewerFirst = (a: RoutingTarget, b: RoutingTarget) =>
     requestsOf(a) - requestsOf(b);
-  const drawn = inPairs(shuffled(input), fewerFirst);
+  const drawn = orderPairs(shuffled(input), fewerFirst);
   return drawn.map(target => plain(target, 'lesser of a random pair'));
 };
 
--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -2,7 +2,7 @@
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
 import {createCallTimes} from '../../src/direct/call_times.js';
-import {chooseForCall} from '../../src/direct/decide/choose_call_replica.js';
+import {chooseCallReplica} from '../../src/direct/decide/choose_call_replica.js';
 import {noLoad} from '../../src/direct/load_sum.js';
 import type {DirectReplica} from '../../src/direct/types.js';
 import {createSeededRandom} from '../../standins/seeded_random.js';
@@ -78,7 +78,7 @@
     for (let call = 0; call < CALLS; call++) {
       clock.advance(BETWEEN_MS);
       const well = replicas.filter(({id}) => !health.isSuspect(id));
-      const chosen = chooseForCall(
+      const chosen = chooseCallReplica(
         well.map(replica => ({
           replica,
           load: noLoad(replica.id),
--- a/test/direct/choose_engines.test.ts
+++ b/test/direct/choose_engines.test.ts
@@ -31,7 +31,7 @@
     answerTokens: 500,
     aimMs: promptTokens > 50_000 ? 3_000 : 300,
     pauseAimMs: promptTokens > 50_000 ? 1_000 : 250,
-    patienceMs: promptTokens > 50_000 ? 12_000 : 2_000,
+    callerTimeoutMs: promptTokens > 50_000 ? 12_000 : 2_000,
     elapsedMs: 0,
     draw: () => 0,
     ...more,
@@ -43,7 +43,7 @@
 const membersOf = (plan: ReturnType<typeof chooseEngines>) =>
   plan === undefined
     ? []
-    : [plan.first, ...plan.helpers].map(it => it.replica.id).sort();
+    : [plan.lead, ...plan.helpers].map(it => it.replica.id).sort();
 
 describe('a short prompt', () => {
   test('joins its like rather than opening an idle engine', () => {
@@ -107,7 +107,7 @@
       let at = shift;
       const draw = () => draws[at++ % draws.length];
       const plan = chooseEngines(FIGURES, prompt(5_000, {draw}), engines);
-      return plan?.first.replica.id;
+      return plan?.lead.replica.id;
     });
     expect(new Set(firsts).size).toBeGreaterThan(1);
   });
--- a/test/direct/place_or_wait.test.ts
+++ b/test/direct/place_or_wait.test.ts
@@ -3,7 +3,7 @@
 import {describe, expect, test} from 'vitest';
 import type {EngineCandidate} from '../../src/direct/decide/score_engine.js';
 import {
-  fullWithoutRoom,
+  defaultFullness,
   placeOrWait,
 } from '../../src/direct/decide/place_or_wait.js';
 import type {PlacingRequest} from '../../src/direct/decide/place_or_wait.js';
@@ -53,7 +53,7 @@
     answerTokens: 1_700,
     aimMs: 3_000,
     pauseAimMs: 1_000,
-    patienceMs: 12_000,
+    callerTimeoutMs: 12_000,
     elapsedMs: 0,
     draw: () => 0,
     ...more,
@@ -67,7 +67,7 @@
     answerTokens: 3_400,
     aimMs: 300,
     pauseAimMs: 250,
-    patienceMs: 2_000,
+    callerTimeoutMs: 2_000,
     ...more,
   };
 }
@@ -107,7 +107,7 @@
     const candidates = [...engines(3, SHORT_STREAMS), ...free];
     const decision = decide(candidates, longPrompt(300_000));
     if (decision.kind !== 'place') throw new Error(decision.kind);
-    const {first, helpers} = decision.plan;
+    const {lead: first, helpers} = decision.plan;
     const members = [first, ...helpers].map(({replica}) => replica.id);
     expect(members.every(id => id.startsWith('f'))).toBe(true);
   });
@@ -223,7 +223,7 @@
       fc.property(pools, prompts, (candidates, req) => {
         const decision = decide(candidates, req);
         if (decision.kind !== 'place') return;
-        const {first, helpers, partTokens} = decision.plan;
+        const {lead: first, helpers, partTokens} = decision.plan;
         const members = [first, ...helpers];
         expect(new Set(members).size).toBe(members.length);
         const firstTokens =
@@ -298,7 +298,7 @@
   const longest = longPrompt(LONGEST, {
     weight: weightOf(LONGEST + 17_000, 277_000),
     aimMs: 4_000,
-    patienceMs: 16_000,
+    callerTimeoutMs: 16_000,
   });
   const decideWith = (reading: number) =>
     placeOrWait(
@@ -339,13 +339,13 @@
     const withRoom = [...engines(44, {readMs}), ...engines(16)];
     const without = [...engines(45, {readMs}), ...engines(15)];
     expect(meanBacklog(withRoom)).toBe(1);
-    expect(fullWithoutRoom(withRoom)).toBe(0);
-    expect(fullWithoutRoom(without)).toBe(1);
+    expect(defaultFullness(withRoom)).toBe(0);
+    expect(defaultFullness(without)).toBe(1);
   });
 
   // Fourteen engines never have room for the largest group and others besides.
   test('goes by the mean backlog in a small fleet', () => {
     const part = [...engines(4, {readMs: 150}), ...engines(10)];
-    expect(fullWithoutRoom(part)).toBe(meanBacklog(part));
+    expect(defaultFullness(part)).toBe(meanBacklog(part));
   });
 });
--- a/test/direct/sample_candidates.test.ts
+++ b/test/direct/sample_candidates.test.ts
@@ -1,7 +1,7 @@
 /** Which replicas a choice looks at. */
 import fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
-import {drawCandidates} from '../../src/direct/decide/sample_candidates.js';
+import {sampleCandidates} from '../../src/direct/decide/sample_candidates.js';
 import type {DirectReplica} from '../../src/direct/types.js';
 import {createSeededRandom} from '../../standins/seeded_random.js';
 
@@ -21,7 +21,7 @@
 describe('the replicas that a choice looks at', () => {
   test('are all of a small fleet', () => {
     const all = replicas(14, 3);
-    expect(drawCandidates(all, 'domain-0', () => 0)).toEqual(all);
+    expect(sampleCandidates(all, 'domain-0', () => 0)).toEqual(all);
   });
 
   test('are no more in a fleet of hundreds, and distinct', () => {
@@ -32,7 +32,7 @@
         fc.integer(),
         (count, domains, seed) => {
           const random = createSeededRandom(seed);
-          const drawn = drawCandidates(
+          const drawn = sampleCandidates(
             replicas(count, domains),
             'domain-0',
             () => random.next(),
@@ -47,7 +47,7 @@
 
   test('are mostly of the own failure domain, and some of the others', () => {
     const random = createSeededRandom(1);
-    const drawn = drawCandidates(replicas(135, 5), 'domain-2', () =>
+    const drawn = sampleCandidates(replicas(135, 5), 'domain-2', () =>
       random.next(),
     );
     const near = drawn.filter(it => it.failureDomain === 'domain-2');
@@ -59,7 +59,7 @@
   // served by the other domains' engines.
   test('are the others where the own domain has none', () => {
     const random = createSeededRandom(1);
-    const drawn = drawCandidates(replicas(108, 4), 'domain-9', () =>
+    const drawn = sampleCandidates(replicas(108, 4), 'domain-9', () =>
       random.next(),
     );
     expect(drawn).toHaveLength(30);
@@ -70,7 +70,7 @@
   test('are unlike sets for entries that draw apart', () => {
     const random = createSeededRandom(3);
     const draw = () =>
-      drawCandidates(replicas(135, 1), 'domain-0', () => random.next());
+      sampleCandidates(replicas(135, 1), 'domain-0', () => random.next());
     const first = new Set(draw());
     const shared = draw().filter(it => first.has(it)).length;
     expect(shared).toBeLessThan(20);
--- a/test/platform/foreign_records.test.ts
+++ b/test/platform/foreign_records.test.ts
@@ -3,7 +3,7 @@
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {decodeReplica, decodeReport} from '../../platform/replica_record.js';
 import {createStoreClient} from '../../platform/store_client.js';
-import {readEvents, readPage} from '../../platform/stored_objects.js';
+import {decodeEvents, decodePage} from '../../platform/stored_objects.js';
 import {decodeDatagram, encodeDatagram} from '../../src/direct/datagrams.js';
 import type {DirectStore} from '../../src/direct/types.js';
 import {DIRECT_EVENTS} from '../../src/utils/events.js';
@@ -111,7 +111,7 @@
     fc.assert(
       fc.property(fc.array(fc.jsonValue()), bad => {
         const text = JSON.stringify(pageOf([...bad, object('good')]));
-        const names = readPage(text).map(({objects}) =>
+        const names = decodePage(text).map(({objects}) =>
           objects.map(({name}) => name),
         );
         expect(names.orDefault([])).toContain('good');
@@ -125,7 +125,7 @@
       fc.property(fc.array(fc.jsonValue()), bad => {
         const good = {object: object('good'), removed: false};
         const text = JSON.stringify({events: [...bad, good], currentRev: 9});
-        const names = readEvents(text).map(({events}) =>
+        const names = decodeEvents(text).map(({events}) =>
           events.map(({object: {name}}) => name),
         );
         expect(names.orDefault([])).toContain('good');
@@ -142,7 +142,7 @@
     );
     const bad = '{"metadata":{"name":"x","revision":3},"spec":{"slots":zz}}';
     const text = `{"items":[${before},${bad},${after}],"hasMore":false,"currentRev":9}`;
-    const page = readPage(text).unsafeCoerce();
+    const page = decodePage(text).unsafeCoerce();
     expect(page.objects.map(({name}) => name)).toEqual(['a', 'b']);
     expect(page).toMatchObject({isPartial: true, currentRev: 9});
   });
@@ -156,7 +156,7 @@
         fc.string({minLength: 1, maxLength: 1}),
         (at, char) => {
           const spoilt = text.slice(0, at) + char + text.slice(at + 1);
-          readPage(spoilt).ifRight(({objects}) => {
+          decodePage(spoilt).ifRight(({objects}) => {
             expect(objects.length).toBeLessThanOrEqual(names.length);
           });
         },
