--- a/bench/decision.ts
+++ b/bench/decision.ts
@@ -96,8 +96,8 @@
     load: book.of(replica.id),
     slowness: 1,
   }));
-  const weightPerReadMs = 2_000;
-  placeOrWait({figures: ENGINE, candidates, weightPerReadMs}, req);
+  const weightPerPrefillMs = 2_000;
+  placeOrWait({figures: ENGINE, candidates, weightPerPrefillMs}, req);
 }
 
 function replicaOf(at: number): DirectReplica {
--- a/src/direct/decide/caller_timeout.ts
+++ b/src/direct/decide/caller_timeout.ts
@@ -1,21 +1,28 @@
 /**
- * How long a caller waits for the next event of a stream before it leaves, as
- * the callers' protocol says.
+ * How long a caller waits for the next event of a stream before it gives up, as
+ * the callers' protocol defines it.
  */
 import type {Route} from '../types.js';
 
-const LEAST_MS = 2_000;
-const TIMES_AIM = 4;
-const TIMES_PAUSE_AIM = 8;
+/** No caller gives up earlier than this. */
+const MIN_TIMEOUT_MS = 2_000;
+/** A caller waits this many times the latency objective of its route. */
+const AIM_MULTIPLE = 4;
+/** A caller waits this many times the pause objective of its route. */
+const PAUSE_AIM_MULTIPLE = 8;
 
+/** The longest of all three bounds, in milliseconds. */
 export function callerTimeoutMs({aimMs, pauseAimMs}: Route): number {
-  return Math.max(TIMES_AIM * aimMs, minCallerTimeoutMs(pauseAimMs));
+  return Math.max(AIM_MULTIPLE * aimMs, minCallerTimeoutMs(pauseAimMs));
 }
 
-/** What is sure of it where only the aim of a stream's pauses is known. */
+/**
+ * Lower bound of the caller's timeout where only the pause objective of its
+ * stream is known, in milliseconds. An infinite pause objective adds nothing.
+ */
 export function minCallerTimeoutMs(pauseAimMs: number): number {
-  const byPause = Number.isFinite(pauseAimMs)
-    ? TIMES_PAUSE_AIM * pauseAimMs
+  const pauseTimeoutMs = Number.isFinite(pauseAimMs)
+    ? PAUSE_AIM_MULTIPLE * pauseAimMs
     : 0;
-  return Math.max(LEAST_MS, byPause);
+  return Math.max(MIN_TIMEOUT_MS, pauseTimeoutMs);
 }
--- a/src/direct/decide/choose_call_replica.ts
+++ b/src/direct/decide/choose_call_replica.ts
@@ -1,66 +1,74 @@
 /**
- * Chooses the replica of a plain service: the least expected time, from what
- * waits there and how it was seen to answer.
+ * Chooses the replica for a call to a service without published engine figures:
+ * the one with the lowest expected time, by its load and its recent answers.
  *
- * The load it answers: one of a few replicas breaks off a part of its answers
- * while it passes its health check, and answers the others well. A call that
- * may not be repeated is lost by it, and one that may comes late, so a broken
- * answer counts as time as well: by the aim, which says what the caller bears.
+ * A replica can break off a part of its answers while it passes its health
+ * check. Such a failure loses a call that may not be repeated, and delays a call
+ * that may. Broken answers therefore count as time, in multiples of the route's
+ * latency objective.
  */
 import type {ReplicaLoad} from '../load_sum.js';
 import type {DirectReplica} from '../types.js';
 
-/** Added for a replica in another failure domain, in milliseconds. */
+/** Cost of a replica in another failure domain, in milliseconds. */
 const OTHER_DOMAIN_MS = 1;
 /**
- * Aims that a broken answer costs: the whole call where it may not be repeated,
- * which an answer within ten aims would still be worth a part of; one try more
- * where it may.
+ * Cost of a broken answer to a call that may not be repeated, in latency
+ * objectives. The call is lost, while an answer within ten objectives would
+ * still be worth something.
  */
-const BROKEN_ONCE_AIMS = 10;
-const BROKEN_AGAIN_AIMS = 1;
+const LOST_CALL_AIMS = 10;
+/** The same for a call that may be repeated: it takes one more attempt. */
+const RETRIED_CALL_AIMS = 1;
 
+/** A replica that could take the call. */
 export interface CallCandidate {
   readonly replica: DirectReplica;
   readonly load: ReplicaLoad;
+  /** Measured time of recent answers divided by the expected time. */
   readonly slowness: number;
-  /** See `ReplicaHealth`. */
+  /** Share of recent attempts that broke off; see `ReplicaHealth`. */
   readonly brokenShare: number;
 }
 
-/** What the choice depends on. */
+/** Properties of the call that the choice depends on. */
 export interface CallRequest {
+  /** Failure domain of the entry that chooses. */
   readonly failureDomain: string;
-  /** Usual time of a call at the service, in milliseconds. */
+  /** Usual time of a call to the service, in milliseconds. */
   readonly usualMs: number;
+  /** Latency objective, in milliseconds. */
   readonly aimMs: number;
-  /** It may not be sent again once it may have run. */
+  /** The call may not be sent again once a replica may have run it. */
   readonly isOnce: boolean;
-  /** Uniform in [0, 1); breaks ties. */
+  /** Random number in [0, 1), uniform; breaks ties. */
   readonly draw: () => number;
 }
 
+/** The candidate with the lowest expected cost; undefined without candidates. */
 export function chooseCallReplica<T extends CallCandidate>(
   candidates: readonly T[],
   req: CallRequest,
 ): T | undefined {
   let best: T | undefined;
-  let least = Number.POSITIVE_INFINITY;
+  let minCost = Number.POSITIVE_INFINITY;
   for (const candidate of candidates) {
-    const cost = costOf(candidate, req) + req.draw();
-    if (cost >= least) continue;
+    const cost = expectedCost(candidate, req) + req.draw();
+    if (cost >= minCost) continue;
     best = candidate;
-    least = cost;
+    minCost = cost;
   }
   return best;
 }
 
-function costOf(
+/** Expected time of the call at the candidate, in milliseconds. */
+function expectedCost(
   {replica, load, slowness, brokenShare}: CallCandidate,
   {failureDomain, usualMs, aimMs, isOnce}: CallRequest,
 ): number {
-  const turns = 1 + load.running / Math.max(1, replica.places);
-  const way = replica.failureDomain === failureDomain ? 0 : OTHER_DOMAIN_MS;
-  const aims = isOnce ? BROKEN_ONCE_AIMS : BROKEN_AGAIN_AIMS;
-  return usualMs * slowness * turns + way + brokenShare * aims * aimMs;
+  const crowding = 1 + load.running / Math.max(1, replica.places);
+  const domainMs =
+    replica.failureDomain === failureDomain ? 0 : OTHER_DOMAIN_MS;
+  const aims = isOnce ? LOST_CALL_AIMS : RETRIED_CALL_AIMS;
+  return usualMs * slowness * crowding + domainMs + brokenShare * aims * aimMs;
 }
--- a/src/direct/decide/choose_engines.ts
+++ b/src/direct/decide/choose_engines.ts
@@ -1,13 +1,14 @@
 /**
- * Chooses the engine, or the group of engines, that reads and writes a prompt:
- * the one with the least expected loss, which is the newcomer's own lateness
- * plus the pauses that its reading gives to those who write there. Reading runs
- * inside the engine's passes, so a long read holds up every stream beside it.
+ * Chooses the engine, or the group of engines, that serves a request: the one
+ * with the lowest expected loss. The loss is the lateness of the request itself
+ * plus the pauses that its prefill causes for streams on the same engines.
+ * Prefill runs inside the engine's passes, so a long prefill delays every stream
+ * on that engine.
  *
- * The choice is made for each request and again while it waits, on machines
- * with a quarter of a core, so sizes of group that cannot be the best are not
- * looked at: judging every engine for every size would take such a machine
- * several milliseconds before a large pool.
+ * The choice is made for each request, and again while it waits, on machines
+ * with a quarter of a core. Group sizes that cannot be the best are therefore
+ * skipped. Scoring every engine for every size would take such a machine several
+ * milliseconds with a large pool.
  */
 import type {EngineFigures} from '../types.js';
 import {prefillMs} from './engine_timing.js';
@@ -25,61 +26,81 @@
 } from './score_engine.js';
 import {firstEventLoss} from './waiting_loss.js';
 
-/** The choice. Members beside the first read even parts. */
+/** The chosen engines. All members prefill equal parts of the prompt. */
 export interface EnginePlan {
+  /** The engine that decodes the answer. */
   readonly lead: EngineCandidate;
+  /** The other members of the group; empty for a single engine. */
   readonly helpers: readonly EngineCandidate[];
-  /** Each member's reading, in milliseconds. */
+  /** Prefill time of each member's part, in milliseconds. */
   readonly partPrefillMs: number;
-  /** Tokens of the prompt that each member holds; 0 for no reservations. */
+  /**
+   * Prompt tokens for which each member reserves memory; 0 if the lead holds the
+   * whole prompt and nothing is reserved.
+   */
   readonly partTokens: number;
+  /** Expected time from now to the first event, in milliseconds. */
   readonly firstEventMs: number;
-  /** Share of its own worth that the request is expected to lose. */
+  /** Expected loss of the request itself, as a share of its weight. */
   readonly ownLoss: number;
-  /** What others are expected to lose by it, in the unit of `weightOf`. */
+  /** Expected loss of other requests, in the unit of `weightOf`. */
   readonly harm: number;
-  /** Both together, and small terms that rank what is otherwise equal. */
+  /** Sum of both, and of small terms that order plans of equal loss. */
   readonly loss: number;
 }
 
-/** Engines that read one prompt at the most; a replica takes 16 helpers. */
+/** Largest group for one prompt: a replica accepts at most 16 helpers. */
 export const MAX_GROUP_SIZE = 16;
-/** Sizes of groups that are compared. */
+/** Group sizes that are compared. */
 const GROUP_SIZES = [1, 2, 3, 4, 6, 8, 12, MAX_GROUP_SIZE] as const;
-/** Smaller parts gain less than the pass that each member waits for. */
-const LEAST_PART_MS = 40;
-/** Memory kept free of the prediction's error. */
-const MEMORY_SHARE = 0.96;
-/** Prompts over this share of the memory are held by all members. */
-const SPREAD_MEMORY_SHARE = 0.25;
-/** Two prompts of this share leave no room for any other at one engine. */
-const ONE_HOLDER_SHARE = 0.6;
-/** Loss for each member more, as a share of the newcomer's weight. */
-const MEMBER_LOSS = 0.006;
 /**
- * Engines that groups are made of: three times the largest group, the best of
- * them by what a member's part would cost there. Others would be left out of
- * any group.
+ * Shortest prefill of one part, in milliseconds. Smaller parts save less time
+ * than the pass that each member has to wait for.
  */
-const GROUP_CANDIDATES = 48;
-/** Members of the group by whose parts those engines are ranked. */
-const RANKED_BY_SIZE = 8;
+const MIN_PART_PREFILL_MS = 40;
+/**
+ * Share of an engine's memory that may be planned for. The rest absorbs errors
+ * of the predicted memory use.
+ */
+const USABLE_MEMORY_SHARE = 0.96;
+/**
+ * A group splits the memory for the prompt among its members if the request
+ * needs more than this share of an engine's memory.
+ */
+const SPLIT_MEMORY_SHARE = 0.25;
+/**
+ * A request that needs more than this share of an engine's memory is split over
+ * a group. Two requests of this size would leave one engine no memory for others.
+ */
+const SINGLE_ENGINE_SHARE = 0.6;
+/** Loss for each member beyond the first, as a share of the request's weight. */
+const EXTRA_MEMBER_LOSS = 0.006;
+/**
+ * Most engines that are considered for groups: three times the largest group. In
+ * a larger pool these are the engines with the lowest score for one part of the
+ * prompt; no group would use the others.
+ */
+const MAX_GROUP_CANDIDATES = 48;
+/** Size of the group whose parts are used to score these engines. */
+const RANKING_GROUP_SIZE = 8;
 
 /**
- * Whether the prompt is read by one engine, whatever the load. One that fills
- * the memory of an engine is shared out however fast it is read.
+ * Whether one engine prefills the whole prompt, whatever the load: halves of it
+ * would be shorter than `MIN_PART_PREFILL_MS`. A prompt too large for the memory
+ * of one engine is split, however short its prefill is.
  */
 export function usesSingleEngine(
   figures: EngineFigures,
   req: EngineRequest,
 ): boolean {
-  const isSmall = prefillMs(figures, req.promptTokens, 2) < LEAST_PART_MS;
-  return isSmall && !isTooMuchForOne(figures, req);
+  const isSmall = prefillMs(figures, req.promptTokens, 2) < MIN_PART_PREFILL_MS;
+  return isSmall && !exceedsOneEngine(figures, req);
 }
 
 /**
- * The best plan; undefined when no engine or group has the memory now. With
- * `afterMs`, the best once the engines have read for so long.
+ * The plan with the lowest loss; undefined if no engine or group has enough free
+ * memory. `afterMs` evaluates the engines after that many more milliseconds of
+ * prefill.
  */
 export function chooseEngines(
   figures: EngineFigures,
@@ -88,159 +109,182 @@
   afterMs = 0,
 ): EnginePlan | undefined {
   const states = candidates.map(it => engineStateOf(figures, req, it, afterMs));
-  let grouped: readonly EngineState[] | undefined;
+  let groupStates: readonly EngineState[] | undefined;
   let best: EnginePlan | undefined;
-  for (const {size, partPrefillMs: partReadMs, minLoss: least} of sizesOf(
+  for (const {size, partPrefillMs, idleLoss} of candidateSizes(
     figures,
     req,
     states,
   )) {
-    if (best !== undefined && least >= best.loss) break;
-    const pool =
-      size === 1 ? states : (grouped ??= bestStates(figures, req, states));
-    const plan = planOf(figures, req, pool, {size, prefillMs: partReadMs});
+    if (best !== undefined && idleLoss >= best.loss) break;
+    const sizeStates =
+      size === 1
+        ? states
+        : (groupStates ??= bestGroupStates(figures, req, states));
+    const plan = planForSize(figures, req, sizeStates, {
+      size,
+      prefillMs: partPrefillMs,
+    });
     if (plan === undefined) continue;
     if (best === undefined || plan.loss < best.loss) best = plan;
   }
   return best;
 }
 
-/** No plan loses less than this, whatever the engines' load. */
+/** Lower bound of any plan's loss, whatever the load of the engines. */
 export function minLoss(figures: EngineFigures, req: EngineRequest): number {
-  const partReadMs = prefillMs(figures, req.promptTokens, MAX_GROUP_SIZE);
-  return leastLossOf(figures, req, partReadMs, 1);
+  const partPrefillMs = prefillMs(figures, req.promptTokens, MAX_GROUP_SIZE);
+  return idleLossOf(figures, req, partPrefillMs, 1);
 }
 
 interface GroupSizeOption {
+  /** Number of members. */
   readonly size: number;
+  /** Prefill time of each member's part, in milliseconds. */
   readonly partPrefillMs: number;
   /** Loss of a group of this size on idle engines. */
-  readonly minLoss: number;
+  readonly idleLoss: number;
 }
 
-/** Sizes of group that may be had, the most promising first. */
-function sizesOf(
+/** Possible group sizes, the one with the lowest loss on idle engines first. */
+function candidateSizes(
   figures: EngineFigures,
   req: EngineRequest,
   {length}: readonly EngineState[],
 ): readonly GroupSizeOption[] {
-  const mustSpread = isTooMuchForOne(figures, req);
+  const mustSplit = exceedsOneEngine(figures, req);
   const sizes: GroupSizeOption[] = [];
   for (const size of GROUP_SIZES) {
-    const partReadMs = prefillMs(figures, req.promptTokens, size);
-    const isTooSmall = size > 1 && partReadMs < LEAST_PART_MS;
-    if (size > length || (isTooSmall && !mustSpread)) break;
-    const least = leastLossOf(figures, req, partReadMs, size);
-    sizes.push({size, partPrefillMs: partReadMs, minLoss: least});
+    const partPrefillMs = prefillMs(figures, req.promptTokens, size);
+    const isPartTooSmall = size > 1 && partPrefillMs < MIN_PART_PREFILL_MS;
+    if (size > length || (isPartTooSmall && !mustSplit)) break;
+    const idleLoss = idleLossOf(figures, req, partPrefillMs, size);
+    sizes.push({size, partPrefillMs, idleLoss});
   }
-  return sizes.sort((a, b) => a.minLoss - b.minLoss);
+  return sizes.sort((a, b) => a.idleLoss - b.idleLoss);
 }
 
-function leastLossOf(
+function idleLossOf(
   figures: EngineFigures,
   req: EngineRequest,
-  partReadMs: number,
+  partPrefillMs: number,
   size: number,
 ): number {
-  return ownLossOf(req, minFirstEventMs(figures, partReadMs), size).ranked;
+  return ownLossOf(req, minFirstEventMs(figures, partPrefillMs), size).weighted;
 }
 
-/** The newcomer's own loss, and the same with what ranks equals, weighed. */
+/**
+ * Loss of the request itself: `share` as a share of its weight, and `weighted`
+ * in the unit of `weightOf` with the terms that order plans of equal loss.
+ */
 function ownLossOf(req: EngineRequest, firstEventMs: number, size: number) {
   const share = firstEventLoss(req, firstEventMs);
-  const rank =
-    TIME_LOSS * (firstEventMs / req.aimMs) + MEMBER_LOSS * (size - 1);
-  return {share, ranked: req.weight * (share + rank)};
+  const rankingLoss =
+    TIME_LOSS * (firstEventMs / req.aimMs) + EXTRA_MEMBER_LOSS * (size - 1);
+  return {share, weighted: req.weight * (share + rankingLoss)};
 }
 
-/** The engines that are the best members of a group. */
-function bestStates(
+/** At most `MAX_GROUP_CANDIDATES` engines with the lowest score for a part. */
+function bestGroupStates(
   figures: EngineFigures,
   req: EngineRequest,
   states: readonly EngineState[],
 ): readonly EngineState[] {
-  if (states.length <= GROUP_CANDIDATES) return states;
+  if (states.length <= MAX_GROUP_CANDIDATES) return states;
   const part = {
-    prefillMs: prefillMs(figures, req.promptTokens, RANKED_BY_SIZE),
-    grouped: true,
+    prefillMs: prefillMs(figures, req.promptTokens, RANKING_GROUP_SIZE),
+    isGroupPart: true,
   };
   return states
-    .map(state => ({state, rank: scoreEngine(req, state, part).score}))
-    .sort((a, b) => a.rank - b.rank)
-    .slice(0, GROUP_CANDIDATES)
+    .map(state => ({state, score: scoreEngine(req, state, part).score}))
+    .sort((a, b) => a.score - b.score)
+    .slice(0, MAX_GROUP_CANDIDATES)
     .map(({state}) => state);
 }
 
-function planOf(
+/** The best plan with so many members; undefined if too few have the memory. */
+function planForSize(
   figures: EngineFigures,
   req: EngineRequest,
   states: readonly EngineState[],
   part: {readonly size: number; readonly prefillMs: number},
 ): EnginePlan | undefined {
   const {size} = part;
-  const total = req.promptTokens + req.answerTokens;
-  const spread = size > 1 && total > SPREAD_MEMORY_SHARE * figures.memoryTokens;
-  const isShared = isTooMuchForOne(figures, req) && states.length > 1;
-  if (size === 1 && isShared) return undefined;
-  const held = spread ? req.promptTokens / size + req.answerTokens : total;
-  const partTokens = spread ? Math.ceil(req.promptTokens / size) : 0;
-  const grouped = size > 1;
-  const judged: ScoredEngine[] = [];
+  const totalTokens = req.promptTokens + req.answerTokens;
+  const isSplit =
+    size > 1 && totalTokens > SPLIT_MEMORY_SHARE * figures.memoryTokens;
+  const mustSplit = exceedsOneEngine(figures, req) && states.length > 1;
+  if (size === 1 && mustSplit) return undefined;
+  const leadTokens = isSplit
+    ? req.promptTokens / size + req.answerTokens
+    : totalTokens;
+  const partTokens = isSplit ? Math.ceil(req.promptTokens / size) : 0;
+  const isGroup = size > 1;
+  const scored: ScoredEngine[] = [];
   for (const state of states) {
-    const isRoomy = hasMemory(figures, state.candidate, held);
-    if (!isRoomy && (spread || !grouped)) continue;
-    judged.push(scoreEngine(req, state, {prefillMs: part.prefillMs, grouped}));
+    const fits = hasMemory(figures, state.candidate, leadTokens);
+    if (!fits && (isSplit || !isGroup)) continue;
+    scored.push(
+      scoreEngine(req, state, {
+        prefillMs: part.prefillMs,
+        isGroupPart: isGroup,
+      }),
+    );
   }
-  if (judged.length < size) return undefined;
-  const members = grouped
-    ? groupOf(figures, judged, held, size)
-    : [leastOf(judged)];
+  if (scored.length < size) return undefined;
+  const members = isGroup
+    ? selectMembers(figures, scored, leadTokens, size)
+    : [lowestScored(scored)];
   if (members === undefined) return undefined;
-  return assemble(req, members, {partPrefillMs: part.prefillMs, partTokens});
+  return buildPlan(req, members, {partPrefillMs: part.prefillMs, partTokens});
 }
 
-/** The best members; the first has the memory for what is not spread. */
-function groupOf(
+/**
+ * The engines with the lowest scores. The first has memory for `leadTokens`;
+ * undefined if no engine has.
+ */
+function selectMembers(
   figures: EngineFigures,
-  judged: ScoredEngine[],
-  held: number,
+  scored: ScoredEngine[],
+  leadTokens: number,
   size: number,
 ): readonly ScoredEngine[] | undefined {
-  judged.sort((a, b) => a.score - b.score);
-  const first = judged.find(it => hasMemory(figures, it.candidate, held));
-  if (first === undefined) return undefined;
-  return [first, ...judged.filter(it => it !== first).slice(0, size - 1)];
+  scored.sort((a, b) => a.score - b.score);
+  const lead = scored.find(it => hasMemory(figures, it.candidate, leadTokens));
+  if (lead === undefined) return undefined;
+  return [lead, ...scored.filter(it => it !== lead).slice(0, size - 1)];
 }
 
-function leastOf(judged: readonly ScoredEngine[]): ScoredEngine {
-  return judged.reduce((best, it) => (it.score < best.score ? it : best));
+function lowestScored(scored: readonly ScoredEngine[]): ScoredEngine {
+  return scored.reduce((best, it) => (it.score < best.score ? it : best));
 }
 
-function assemble(
+function buildPlan(
   req: EngineRequest,
   members: readonly ScoredEngine[],
   part: Pick<EnginePlan, 'partPrefillMs' | 'partTokens'>,
 ): EnginePlan {
-  const [first, ...helpers] = members;
+  const [lead, ...helpers] = members;
   const firstEventMs = Math.max(...members.map(it => it.firstEventMs));
   const harm = members.reduce((sum, it) => sum + it.harm, 0);
   const own = ownLossOf(req, firstEventMs, members.length);
   return {
     ...part,
-    lead: first.candidate,
+    lead: lead.candidate,
     helpers: helpers.map(it => it.candidate),
     firstEventMs,
     ownLoss: own.share,
     harm,
-    loss: harm + own.ranked,
+    loss: harm + own.weighted,
   };
 }
 
-function isTooMuchForOne(
+/** Whether the request needs too much memory to be held by one engine. */
+function exceedsOneEngine(
   {memoryTokens}: EngineFigures,
   {promptTokens, answerTokens}: EngineRequest,
 ): boolean {
-  return promptTokens + answerTokens > ONE_HOLDER_SHARE * memoryTokens;
+  return promptTokens + answerTokens > SINGLE_ENGINE_SHARE * memoryTokens;
 }
 
 function hasMemory(
@@ -248,5 +292,5 @@
   {load}: EngineCandidate,
   tokens: number,
 ): boolean {
-  return load.tokens + tokens <= figures.memoryTokens * MEMORY_SHARE;
+  return load.tokens + tokens <= figures.memoryTokens * USABLE_MEMORY_SHARE;
 }
--- a/src/direct/decide/engine_timing.ts
+++ b/src/direct/decide/engine_timing.ts
@@ -1,26 +1,27 @@
 /**
- * How long a model engine takes, from its published figures: reading a prompt,
- * alone or in even parts, and one pass over all that write.
+ * Times of a model engine, computed from its published figures: the prefill of a
+ * prompt, whole or in equal parts, and one pass over all decoding requests.
  */
 import type {EngineFigures} from '../types.js';
 
 const MILLION = 1_000_000;
 
-/** Time to read one of `parts` even parts of a prompt, in milliseconds. */
+/** Time to prefill one of `parts` equal parts of a prompt, in milliseconds. */
 export function prefillMs(
   figures: EngineFigures,
   promptTokens: number,
   parts: number,
 ): number {
-  const pairs = promptTokens ** 2 / 2 / MILLION;
-  const whole =
-    promptTokens / figures.readTokensPerMs + pairs * figures.pairsMsPerMillion;
-  return whole / parts;
+  const millionPairs = promptTokens ** 2 / 2 / MILLION;
+  const wholePromptMs =
+    promptTokens / figures.readTokensPerMs +
+    millionPairs * figures.pairsMsPerMillion;
+  return wholePromptMs / parts;
 }
 
 /**
- * Time of one pass in which so many requests write, over contexts of so many
- * tokens together, and nothing is read.
+ * Time of one pass without prefill, in milliseconds. `writers` is the number of
+ * decoding requests, and `contextTokens` the sum of their contexts.
  */
 export function passMs(
   figures: EngineFigures,
--- a/src/direct/decide/place_or_wait.ts
+++ b/src/direct/decide/place_or_wait.ts
@@ -1,19 +1,21 @@
 /**
- * Whether a request is placed at engines now, waits at its entry, or is refused.
+ * Decides whether a request is placed on engines now, waits at its entry, or is
+ * refused.
  *
- * The load it answers: bursts of long prompts beside streams of short ones, and
- * more of both than the engines carry. Placed as it comes, a prompt of 400,000
- * tokens that finds no free engines is read beside twenty short streams for
- * seconds, and all of them are late for one that is late itself. So nothing is
- * placed that costs others more than it gains its own caller; and nothing that
- * would cost less a moment later, when the parts that are being read are done.
- * A request whose time has passed meanwhile is refused there and then: its
- * caller may come back to engines that have room.
+ * Under overload, bursts of long prompts meet short streams on the same engines.
+ * If each request were placed on arrival, a prompt of 400,000 tokens without free
+ * engines would be prefilled beside twenty short streams for seconds. All of them
+ * would be late, and so would the prompt. A request is therefore not placed while
+ * it would cost others more than it gains its own caller, or while it would cost
+ * less a moment later, after the current prefills. A request that can no longer
+ * be in time is refused at once, so that its caller can retry on engines with
+ * room.
  *
- * The longest prompts miss their aim on idle engines, and one of them takes
- * more engine time than a hundred short ones. At any price of that time they
- * would be refused whenever anything else is read, on an easy day too, and
- * refused the same way on their return. So it has none while there is room.
+ * The longest prompts miss their latency objective even on idle engines, and one
+ * of them takes more engine time than a hundred short ones. At any price of
+ * engine time they would be refused whenever anything else is prefilled, also
+ * under a light load, and again on each retry. Engine time therefore costs
+ * nothing while enough engines are free.
  */
 import type {EngineFigures} from '../types.js';
 import {noLoad} from '../load_sum.js';
@@ -22,49 +24,56 @@
 import type {EngineCandidate, EngineRequest} from './score_engine.js';
 
 /**
- * Delays at which a later placement is weighed. The least is a look away; the
- * most is what the parts of a long prompt take on a few engines: longer waits
- * cost a long prompt more of its aim than they gain.
+ * Delays for which a later placement is evaluated, in milliseconds. The shortest
+ * is about the time to the next placement attempt. The longest is the prefill of
+ * a long prompt's parts on a few engines; a longer wait costs a long prompt more
+ * of its latency objective than it gains.
  */
-const LATER_MS = [50, 200, 800] as const;
+const LATER_DELAYS_MS = [50, 200, 800] as const;
 /**
- * A later placement comes later than planned: at the next look, on news that is
- * a little old, and beside others who waited for the same engines. Without it
- * short prompts would wait into their lateness.
+ * Added to each of these delays, in milliseconds. A later placement is made at
+ * the next attempt, with load reports that are slightly old, and competes with
+ * other requests that wait for the same engines. Without this, short prompts
+ * would wait until they are late.
  */
-const LOOK_LATE_MS = 40;
-/** A later placement is waited for if it saves this share of the worth. */
-const LEAST_GAIN = 0.01;
+const POLL_LATENESS_MS = 40;
 /**
- * Share of what requests are worth for each millisecond of reading that the
- * engines' time costs when they are full. Late prompts of a hundred thousand
- * tokens and more cost more than that, and late short ones far less. Without it
- * fewer short prompts are in time over capacity.
+ * A request waits for a later placement only if that saves more than this share
+ * of its weight.
  */
-const PRICE_SHARE = 0.2;
+const MIN_WAIT_GAIN = 0.01;
 /**
- * An engine is busy with so much to read, in milliseconds: a short prompt that
- * came behind it would miss its aim, or make a stream there pause too long.
+ * Price of one millisecond of engine time on full engines, as a share of the
+ * requests' usual weight per millisecond of prefill. Late prompts of 100,000
+ * tokens and more cost more than that, and late short ones far less. Without the
+ * price, fewer short prompts are in time when the load exceeds the capacity.
+ */
+const ENGINE_TIME_PRICE_SHARE = 0.2;
+/**
+ * Prefill backlog at which an engine counts as fully busy, in milliseconds. A
+ * short prompt behind that backlog would miss its latency objective, or would
+ * make a stream on the engine pause too long.
  */
 const BUSY_BACKLOG_MS = 300;
-/** When a refused caller comes back at the least. */
-const LEAST_COME_BACK_MS = 250;
+/** Shortest time after which a refused caller is told to come back. */
+const MIN_COME_BACK_MS = 250;
 
+/** Properties of the request that the decision depends on. */
 export interface PlacingRequest extends EngineRequest {
-  /** No replica has had it: it may still be refused as not run. */
+  /** It was sent to no replica yet, so it may be refused as not run. */
   readonly isNew: boolean;
 }
 
-/** How full the engines are, from 0 to 1. */
+/** How full the engines are, from 0 to 1; the price of engine time follows it. */
 export type Fullness = (candidates: readonly EngineCandidate[]) => number;
 
-/** The engines, and what their time is worth. */
+/** The engines of a service, and the price of their time. */
 export interface EnginePool {
   readonly figures: EngineFigures;
   readonly candidates: readonly EngineCandidate[];
-  /** See `RequestWorth`. */
-  readonly weightPerReadMs: number;
-  /** @default fullWithoutRoom */
+  /** Usual weight per millisecond of prefill; see `RequestWeights`. */
+  readonly weightPerPrefillMs: number;
+  /** @default defaultFullness */
   readonly fullness?: Fullness;
 }
 
@@ -74,7 +83,7 @@
   | {
       readonly kind: 'refuse';
       readonly reason: PlacingRefusalReason;
-      /** When there may be room, from now. */
+      /** Time from now until engines may be free, in milliseconds. */
       readonly comeBackMs: number;
     };
 
@@ -82,88 +91,103 @@
 export type PlacingRefusalReason =
   'the caller would leave' | 'late for its cost';
 
+/** The decision on the request with the current load of the engines. */
 export function placeOrWait(
   pool: EnginePool,
   req: PlacingRequest,
 ): PlacingDecision {
   const plan = chooseEngines(pool.figures, req, pool.candidates);
   if (plan === undefined) return {kind: 'wait', reason: 'no memory'};
-  // What has run elsewhere goes on: its answer is half delivered.
+  // A request that has run elsewhere must go on: a part of its answer was sent.
   if (!req.isNew) return {kind: 'place', plan};
   if (req.elapsedMs + plan.firstEventMs > req.callerTimeoutMs) {
-    return refuse(pool, 'the caller would leave');
+    return refusal(pool, 'the caller would leave');
   }
-  if (costOf(pool, plan) > req.weight * (1 - plan.ownLoss)) {
-    return isLateAnyway(pool, req)
-      ? refuse(pool, 'late for its cost')
+  if (costToOthers(pool, plan) > req.weight * (1 - plan.ownLoss)) {
+    return isLateOnIdleEngines(pool, req)
+      ? refusal(pool, 'late for its cost')
       : {kind: 'wait', reason: 'costs others more'};
   }
-  return losesLessLater(pool, req, plan)
+  return isBetterLater(pool, req, plan)
     ? {kind: 'wait', reason: 'better later'}
     : {kind: 'place', plan};
 }
 
-/** What others lose: those who are there, and those who come meanwhile. */
-function costOf(pool: EnginePool, plan: EnginePlan): number {
-  const {candidates, weightPerReadMs, fullness = defaultFullness} = pool;
+/**
+ * Expected loss of other requests: those on the engines now, and, by the price of
+ * engine time, those that arrive during the prefill.
+ */
+function costToOthers(pool: EnginePool, plan: EnginePlan): number {
+  const {
+    candidates,
+    weightPerPrefillMs: weightPerPrefillMs,
+    fullness = defaultFullness,
+  } = pool;
   const engineMs = plan.partPrefillMs * (1 + plan.helpers.length);
-  const price = PRICE_SHARE * weightPerReadMs * fullness(candidates);
+  const price =
+    ENGINE_TIME_PRICE_SHARE * weightPerPrefillMs * fullness(candidates);
   return plan.harm + engineMs * price;
 }
 
 /**
- * Full by what the engines have to read on average, but not while as many of
- * them are free as any newcomer can use. Two prompts of four seconds on sixteen
- * of sixty engines made the fleet look full, and prompts of more than 800,000
- * tokens were refused at every try while forty-four engines were free.
+ * Fullness by the mean prefill backlog, but 0 while the free engines suffice for
+ * the largest group. By the mean alone, two prompts with four seconds of prefill
+ * on sixteen of sixty engines made the fleet look full: prompts of more than
+ * 800,000 tokens were refused at every attempt while 44 engines were free.
  */
 export const defaultFullness: Fullness = candidates => {
-  const hasRoom = freeEngines(candidates) >= MAX_GROUP_SIZE;
-  return hasRoom ? 0 : Math.min(1, backlogMs(candidates) / BUSY_BACKLOG_MS);
+  const hasFreeGroup = freeEngineCount(candidates) >= MAX_GROUP_SIZE;
+  return hasFreeGroup
+    ? 0
+    : Math.min(1, meanBacklogMs(candidates) / BUSY_BACKLOG_MS);
 };
 
-/** Engines that are free, each by how little it has to read. */
-function freeEngines(candidates: readonly EngineCandidate[]): number {
+/** Number of free engines; an engine with a small backlog counts in part. */
+function freeEngineCount(candidates: readonly EngineCandidate[]): number {
   return candidates.reduce(
     (sum, {load}) => sum + Math.max(0, 1 - load.readMs / BUSY_BACKLOG_MS),
     0,
   );
 }
 
-/** Whether even idle engines would miss the aim by now. */
-function isLateAnyway(pool: EnginePool, req: PlacingRequest): boolean {
-  const idle = pool.candidates.map(it => ({
+/** Whether the request would miss its latency objective even on idle engines. */
+function isLateOnIdleEngines(pool: EnginePool, req: PlacingRequest): boolean {
+  const idleCandidates = pool.candidates.map(it => ({
     ...it,
     load: noLoad(it.load.replicaId),
   }));
-  const plan = chooseEngines(pool.figures, req, idle);
+  const plan = chooseEngines(pool.figures, req, idleCandidates);
   return plan !== undefined && req.elapsedMs + plan.firstEventMs > req.aimMs;
 }
 
-/** Reading that an engine has ahead, on average, in milliseconds. */
-function backlogMs(candidates: readonly EngineCandidate[]): number {
+/** Mean prefill backlog of the engines, in milliseconds. */
+function meanBacklogMs(candidates: readonly EngineCandidate[]): number {
   const sum = candidates.reduce((total, {load}) => total + load.readMs, 0);
   return sum / Math.max(1, candidates.length);
 }
 
-function losesLessLater(
+/** Whether a placement after one of `LATER_DELAYS_MS` would lose clearly less. */
+function isBetterLater(
   {figures, candidates}: EnginePool,
   req: PlacingRequest,
   now: EnginePlan,
 ): boolean {
-  const leastGain = LEAST_GAIN * req.weight;
-  if (now.loss - minLoss(figures, req) < leastGain) return false;
-  return LATER_MS.some(ms => {
-    const then = {...req, elapsedMs: req.elapsedMs + ms + LOOK_LATE_MS};
-    const later = chooseEngines(figures, then, candidates, ms);
-    return later !== undefined && later.loss + leastGain < now.loss;
+  const minGain = MIN_WAIT_GAIN * req.weight;
+  if (now.loss - minLoss(figures, req) < minGain) return false;
+  return LATER_DELAYS_MS.some(delayMs => {
+    const laterReq = {
+      ...req,
+      elapsedMs: req.elapsedMs + delayMs + POLL_LATENESS_MS,
+    };
+    const later = chooseEngines(figures, laterReq, candidates, delayMs);
+    return later !== undefined && later.loss + minGain < now.loss;
   });
 }
 
-function refuse(
+function refusal(
   pool: EnginePool,
   reason: PlacingRefusalReason,
 ): PlacingDecision {
-  const comeBackMs = Math.max(LEAST_COME_BACK_MS, backlogMs(pool.candidates));
+  const comeBackMs = Math.max(MIN_COME_BACK_MS, meanBacklogMs(pool.candidates));
   return {kind: 'refuse', reason, comeBackMs};
 }
--- a/src/direct/decide/request_weights.ts
+++ b/src/direct/decide/request_weights.ts
@@ -1,70 +1,75 @@
 /**
- * What requests are worth to their callers relative to each other, learned from
- * those that come: a route's usual size says what its requests are worth, and
- * part of that goes by the size of each. Nothing on the wire tells the worth.
+ * Weights of requests: what they are worth to their callers relative to each
+ * other. No header states the weight, so it is estimated from the requests that
+ * arrive. The usual request size of a route determines the weight of its
+ * requests, and a part of the weight follows the size of each request.
  */
 import type {RequestFacts} from '../types.js';
 
-/** Share of a new request in the running means. */
-const NEWEST_SHARE = 0.05;
-/** The same in the mix of all routes, which comes in more unlike sizes. */
-const NEWEST_SHARE_OF_MIX = 0.02;
-/** Routes that are remembered; the oldest goes first. */
-const MOST_ROUTES = 500;
-/** An answer's token is worth and costs about as much as ten of a prompt. */
-const WRITTEN_TOKEN_SIZE = 10;
-/** Worth of a route's requests grows a little more than their usual size. */
+/** Share of a new request in the running mean size of its route. */
+const ROUTE_SMOOTHING = 0.05;
+/** The same for the means over all routes, whose sizes vary more. */
+const MIX_SMOOTHING = 0.02;
+/** Most routes with a mean; the least recently used one is dropped beyond it. */
+const MAX_ROUTES = 500;
+/** An output token is worth and costs about as much as ten prompt tokens. */
+const OUTPUT_TOKEN_SIZE = 10;
+/** Weights of a route grow with this power of its usual size. */
 const WEIGHT_EXPONENT = 1.2;
-/** Share of a request's worth that does not depend on its size. */
+/** Share of a request's weight that does not depend on its own size. */
 const FIXED_SHARE = 0.3;
 
+/** Weights of requests, learned from those that were recorded. */
 export interface RequestWeights {
-  /** Enters a request that takes an engine so long to read; tells its weight. */
-  weigh(route: string, size: number, readMs: number): number;
-  /** Weight of what is asked for, for each millisecond of reading. */
-  weightPerReadMs(): number;
+  /**
+   * Records a request and returns its weight. `size` is a `weightedSize`, and
+   * `prefillMs` the prefill time on one engine in milliseconds.
+   */
+  weigh(route: string, size: number, prefillMs: number): number;
+  /** Mean weight of requests divided by their mean prefill milliseconds. */
+  weightPerPrefillMs(): number;
 }
 
 export function createRequestWeights(): RequestWeights {
   const means = new Map<string, number>();
   let mixWeight = 0;
-  let mixReadMs = 0;
+  let mixPrefillMs = 0;
   return {
-    weigh: (route, size, readMs) => {
-      const before = means.get(route) ?? size;
-      const mean = before + NEWEST_SHARE * (size - before);
+    weigh: (route, size, prefillMs) => {
+      const previousMean = means.get(route) ?? size;
+      const mean = previousMean + ROUTE_SMOOTHING * (size - previousMean);
       means.delete(route);
       means.set(route, mean);
       const oldest = means.keys().next().value;
-      if (means.size > MOST_ROUTES && oldest !== undefined) {
+      if (means.size > MAX_ROUTES && oldest !== undefined) {
         means.delete(oldest);
       }
       const weight = weightOf(size, mean);
-      mixWeight += NEWEST_SHARE_OF_MIX * (weight - mixWeight);
-      mixReadMs += NEWEST_SHARE_OF_MIX * (readMs - mixReadMs);
+      mixWeight += MIX_SMOOTHING * (weight - mixWeight);
+      mixPrefillMs += MIX_SMOOTHING * (prefillMs - mixPrefillMs);
       return weight;
     },
-    weightPerReadMs: () => mixWeight / Math.max(1, mixReadMs),
+    weightPerPrefillMs: () => mixWeight / Math.max(1, mixPrefillMs),
   };
 }
 
 /**
- * Size of a request: a token that is written counts for several read ones. The
- * caller's estimate of its answer goes before the most that it allows, which is
- * the same for all requests of a kind: sized by that, long prompts would weigh
- * half of what they do by their usual answers.
+ * Size of a request in prompt tokens; an output token counts as several. The
+ * caller's estimate of the output takes precedence over its limit, which is the
+ * same for all requests of a kind. By the limit, long prompts would get half of
+ * the weight that their usual output gives them.
  */
 export function weightedSize({
   promptTokens,
   expectedTokens,
   maxTokens,
 }: RequestFacts): number {
-  return promptTokens + WRITTEN_TOKEN_SIZE * (expectedTokens ?? maxTokens);
+  return promptTokens + OUTPUT_TOKEN_SIZE * (expectedTokens ?? maxTokens);
 }
 
-/** What a request's lateness costs, relative to others. */
+/** Cost of a request being late, relative to other requests. */
 export function weightOf(size: number, usualSize: number): number {
   const usual = Math.max(1, usualSize);
-  const bySize = FIXED_SHARE + (1 - FIXED_SHARE) * (size / usual);
-  return usual ** WEIGHT_EXPONENT * bySize;
+  const sizeFactor = FIXED_SHARE + (1 - FIXED_SHARE) * (size / usual);
+  return usual ** WEIGHT_EXPONENT * sizeFactor;
 }
--- a/src/direct/decide/sample_candidates.ts
+++ b/src/direct/decide/sample_candidates.ts
@@ -1,53 +1,60 @@
 /**
- * The replicas that a choice looks at, where there are more than it needs. An
- * entry hears of its own failure domain at once and of the others later, so it
- * looks at its own first, and at a few drawn from the others, to which the work
- * spills when its own are full. Entries that choose in the same instant look at
- * unlike sets, so they do not all take the engine that was best on old news.
+ * Samples the replicas of a large pool that one choice considers. Load reports
+ * from an entry's own failure domain arrive at once and those from other domains
+ * later, so most of the sample is from the own domain. A few replicas of other
+ * domains take the overflow when the own domain is full. Entries that choose at
+ * the same time consider different samples; otherwise all of them would choose
+ * the engine that old load reports show as the best.
  */
 import type {DirectReplica} from '../types.js';
 
 /**
- * Replicas looked at. With all of a large pool in sight, entries on old news
- * would choose the same ones while long prompts come in numbers.
+ * Largest sample; a pool of at most this size is considered whole. If all of a
+ * large pool were considered, entries with old load reports would choose the
+ * same replicas during a burst of long prompts.
  */
-const MOST = 30;
+const MAX_CANDIDATES = 30;
 /**
- * Of them from other failure domains at the least, where there are so many: the
- * best of three drawn ones is far less loaded than most.
+ * Smallest number of sampled replicas from other failure domains, if there are
+ * that many. The best of three random replicas is far less loaded than most.
  */
-const LEAST_FAR = 3;
+const MIN_OTHER_DOMAIN_CANDIDATES = 3;
 
-/** At most `MOST` replicas; `draw` is uniform in [0, 1). */
+/**
+ * At most `MAX_CANDIDATES` replicas for an entry in `failureDomain`. `draw`
+ * returns uniform random numbers in [0, 1).
+ */
 export function sampleCandidates(
   replicas: readonly DirectReplica[],
   failureDomain: string,
   draw: () => number,
 ): readonly DirectReplica[] {
-  if (replicas.length <= MOST) return replicas;
-  const near = replicas.filter(it => it.failureDomain === failureDomain);
-  const far = replicas.filter(it => it.failureDomain !== failureDomain);
-  const farCount = Math.min(
-    far.length,
-    Math.max(LEAST_FAR, MOST - near.length),
+  if (replicas.length <= MAX_CANDIDATES) return replicas;
+  const ownDomain = replicas.filter(it => it.failureDomain === failureDomain);
+  const otherDomains = replicas.filter(
+    it => it.failureDomain !== failureDomain,
+  );
+  const otherCount = Math.min(
+    otherDomains.length,
+    Math.max(MIN_OTHER_DOMAIN_CANDIDATES, MAX_CANDIDATES - ownDomain.length),
   );
   return [
-    ...drawSome(near, MOST - farCount, draw),
-    ...drawSome(far, farCount, draw),
+    ...sample(ownDomain, MAX_CANDIDATES - otherCount, draw),
+    ...sample(otherDomains, otherCount, draw),
   ];
 }
 
-/** So many of the items, each as likely as any other. */
-function drawSome<T>(
+/** A uniform random sample of at most `count` items. */
+function sample<T>(
   items: readonly T[],
   count: number,
   draw: () => number,
 ): readonly T[] {
-  const left = [...items];
-  const most = Math.min(count, left.length);
-  for (let at = 0; at < most; at++) {
-    const other = at + Math.floor(draw() * (left.length - at));
-    [left[at], left[other]] = [left[other], left[at]];
+  const shuffled = [...items];
+  const sampleSize = Math.min(count, shuffled.length);
+  for (let at = 0; at < sampleSize; at++) {
+    const other = at + Math.floor(draw() * (shuffled.length - at));
+    [shuffled[at], shuffled[other]] = [shuffled[other], shuffled[at]];
   }
-  return left.slice(0, most);
+  return shuffled.slice(0, sampleSize);
 }
--- a/src/direct/decide/score_engine.ts
+++ b/src/direct/decide/score_engine.ts
@@ -1,8 +1,9 @@
 /**
- * Judges one engine for one part of a prompt: when the part would be read
- * there, and what those who read and write there would lose by it. What does
- * not depend on the part is worked out once for each engine, since a prompt is
- * judged for groups of many sizes, and an entry may have a quarter of a core.
+ * Scores one engine for one part of a prompt: when the part would be prefilled
+ * there, and the expected loss of the requests that are prefilled or decoding
+ * there. Values that do not depend on the part are computed once per engine. A
+ * prompt is scored for many group sizes, and an entry may have only a quarter of
+ * a core.
  */
 import type {Reader, ReplicaLoad} from '../load_sum.js';
 import type {DirectReplica, EngineFigures} from '../types.js';
@@ -14,75 +15,93 @@
 export interface EngineCandidate {
   readonly replica: DirectReplica;
   readonly load: ReplicaLoad;
-  /** Time taken over time expected, as seen. */
+  /** Measured time of recent answers divided by the expected time. */
   readonly slowness: number;
 }
 
-/** What the choice depends on. */
+/** Properties of the request that the choice depends on. */
 export interface EngineRequest extends FirstEventBounds {
   readonly promptTokens: number;
-  /** What its lateness costs; see `weightOf`. */
+  /** Cost of the request being late, relative to others; see `weightOf`. */
   readonly weight: number;
-  /** Tokens that the answer may take of the memory. */
+  /** Memory that the answer may need, in tokens. */
   readonly answerTokens: number;
+  /** Longest pause between events that is on time, in milliseconds. */
   readonly pauseAimMs: number;
-  /** Uniform in [0, 1); see `TIE_LOSS`. */
+  /** Random number in [0, 1), uniform; see `TIE_BREAK_LOSS`. */
   readonly draw: () => number;
 }
 
-/** An engine as it stands, or will stand after some time. */
+/** State of an engine, now or after some more milliseconds of prefill. */
 export interface EngineState {
   readonly candidate: EngineCandidate;
-  /** Reading ahead, in milliseconds. */
-  readonly aheadMs: number;
-  /** Who is read there, or waits for it. */
+  /** Prefill that is queued or running, in milliseconds. */
+  readonly backlogMs: number;
+  /** Requests whose prompts are being prefilled, or wait for it. */
   readonly readers: readonly Reader[];
-  /** One pass with the newcomer writing, in milliseconds. */
+  /** Time of one pass while the request decodes, in milliseconds. */
   readonly passMs: number;
-  /** Until it has a place, in milliseconds. */
+  /** Expected wait for a request slot, in milliseconds. */
   readonly slotWaitMs: number;
-  /** Loss of opening or crowding the engine, for a short read and any other. */
+  /** See `occupancyPenaltyOf`; `short` applies to a short prefill. */
   readonly occupancyPenalty: {readonly short: number; readonly other: number};
-  /** Drawn loss that parts equals. */
+  /** Small random loss that orders engines of equal loss. */
   readonly tieBreakLoss: number;
 }
 
-/** A part of a prompt: all of it, or one of several even ones. */
+/** The whole prompt, or one of several equal parts of it. */
 export interface PromptPart {
+  /** Prefill time of the part on an idle engine, in milliseconds. */
   readonly prefillMs: number;
-  readonly grouped: boolean;
+  /** The part is prefilled by a member of a group. */
+  readonly isGroupPart: boolean;
 }
 
+/** An engine with the expected effects of prefilling one part there. */
 export interface ScoredEngine {
   readonly candidate: EngineCandidate;
+  /** Expected time from now to the first event, in milliseconds. */
   readonly firstEventMs: number;
-  /** Loss of those who write there, and of opening the engine. */
+  /** Expected loss of other requests there, and the occupancy loss. */
   readonly harm: number;
-  /** Orders the candidates: the harm, and the newcomer's own risk there. */
+  /** Sum of `harm` and the request's own expected loss; lower is better. */
   readonly score: number;
 }
 
-/** Loss of opening an engine that has no like writers, of the newcomer's weight. */
-const SPREAD_OUT_LOSS = 0.03;
-/** What is read within this share of its pause aim goes beside its like. */
-const SHORT_READ_SHARE = 0.4;
-/** Engines are filled up to this share of their places. */
-const FULL_SHARE = 0.7;
-/** Beyond it, each tenth more of the places costs as much as a new engine. */
-const CROWDING = 10;
-/** From a request's arrival to its first event, besides all reading. */
-const PASSES_TO_FIRST = 1.5;
-/** A place is freed about this often at a full engine. */
-const PLACE_WAIT_MS = 150;
-/** Ranks what is otherwise equal: the share of the aim that is used. */
+/**
+ * Loss for an occupancy penalty of 1, as a share of the request's weight; see
+ * `occupancyPenaltyOf`.
+ */
+const OCCUPANCY_LOSS = 0.03;
+/**
+ * A prefill is short if it takes at most this share of the request's pause
+ * objective. Short prefills are placed on engines with similar streams.
+ */
+const SHORT_PREFILL_SHARE = 0.4;
+/** Share of an engine's request slots up to which it is not crowded. */
+const CROWDED_SHARE = 0.7;
+/**
+ * Beyond that share, each further tenth of the slots costs as much as the use of
+ * an engine without similar streams.
+ */
+const CROWDING_SLOPE = 10;
+/** Passes from a request's arrival to its first event, besides all prefill. */
+const PASSES_TO_FIRST_EVENT = 1.5;
+/** Interval at which a full engine frees a slot, in milliseconds. */
+const SLOT_WAIT_MS = 150;
+/**
+ * Loss of a request that uses up its whole latency objective, as a share of its
+ * weight. It orders engines that are otherwise equal.
+ */
 export const TIME_LOSS = 0.1;
 /**
- * Drawn loss that parts equals. Entries that choose in the same instant, before
- * they hear of each other, would all take the first of the idle engines.
+ * Largest random loss that orders engines of equal loss. Without it, entries
+ * that choose at the same time, before they receive each other's load, would all
+ * choose the first idle engine.
  */
-const TIE_LOSS = 0.002;
+const TIE_BREAK_LOSS = 0.002;
 
-/** The engine once so much more time has been spent reading. */
+/** The engine's state after `afterMs` more milliseconds of prefill. */
 export function engineStateOf(
   figures: EngineFigures,
   req: EngineRequest,
@@ -90,57 +109,64 @@
   afterMs: number,
 ): EngineState {
   const {load, slowness, replica} = candidate;
-  const queued = Math.max(0, load.running + 1 - replica.places);
-  const aheadMs = Math.max(0, load.readMs - afterMs);
+  const queueLength = Math.max(0, load.running + 1 - replica.places);
+  const backlogMs = Math.max(0, load.readMs - afterMs);
   return {
     candidate,
-    aheadMs,
-    // One that is overdue by what others told is still read as far as is known.
-    readers: afterMs === 0 || aheadMs > 0 ? load.readers : [],
+    backlogMs,
+    // A backlog of 0 that was computed from other entries' reports may be out of
+    // date. Without news that they ended, the readers still count.
+    readers: afterMs === 0 || backlogMs > 0 ? load.readers : [],
     passMs: passMs(figures, load.running + 1, load.tokens) * slowness,
-    slotWaitMs: queued * PLACE_WAIT_MS,
-    occupancyPenalty: spreadOut(req, candidate),
-    tieBreakLoss: TIE_LOSS * req.draw(),
+    slotWaitMs: queueLength * SLOT_WAIT_MS,
+    occupancyPenalty: occupancyPenaltyOf(req, candidate),
+    tieBreakLoss: TIE_BREAK_LOSS * req.draw(),
   };
 }
 
+/** Expected effects of prefilling the part on the engine. */
 export function scoreEngine(
   req: EngineRequest,
   state: EngineState,
   part: PromptPart,
 ): ScoredEngine {
-  const {candidate, aheadMs, passMs: pass, slotWaitMs: queueMs} = state;
+  const {candidate, backlogMs, passMs: pass, slotWaitMs} = state;
   const {load, slowness} = candidate;
   const {weight} = req;
-  // A group's newest part is read first; newer ones will come before this one.
+  // Engines prefill the newest group part first. The whole backlog counts also
+  // for a group part, since newer parts will be prefilled before it.
   const firstEventMs =
-    PASSES_TO_FIRST * pass + (aheadMs + part.prefillMs) * slowness + queueMs;
-  const isShort = part.prefillMs <= SHORT_READ_SHARE * req.pauseAimMs;
-  const opening = isShort
+    PASSES_TO_FIRST_EVENT * pass +
+    (backlogMs + part.prefillMs) * slowness +
+    slotWaitMs;
+  const isShortPrefill = part.prefillMs <= SHORT_PREFILL_SHARE * req.pauseAimMs;
+  const occupancyPenalty = isShortPrefill
     ? state.occupancyPenalty.short
     : state.occupancyPenalty.other;
   const harm =
-    pausesLoss(load, pass + aheadMs, part.prefillMs) +
-    (part.grouped ? readersLoss(state.readers, part.prefillMs * slowness) : 0) +
-    weight * SPREAD_OUT_LOSS * opening;
-  const timeShare = (req.elapsedMs + firstEventMs) / req.aimMs;
+    writersLoss(load, pass + backlogMs, part.prefillMs) +
+    (part.isGroupPart
+      ? readersLoss(state.readers, part.prefillMs * slowness)
+      : 0) +
+    weight * OCCUPANCY_LOSS * occupancyPenalty;
+  const objectiveShare = (req.elapsedMs + firstEventMs) / req.aimMs;
   const ownLoss =
     firstEventLoss(req, firstEventMs) +
-    TIME_LOSS * timeShare +
+    TIME_LOSS * objectiveShare +
     state.tieBreakLoss;
   return {candidate, firstEventMs, harm, score: harm + weight * ownLoss};
 }
 
-/** When the first event comes at the earliest, whatever the engines' load. */
+/** Expected time to the first event on an idle engine, in milliseconds. */
 export function minFirstEventMs(
   figures: EngineFigures,
-  partReadMs: number,
+  partPrefillMs: number,
 ): number {
-  return PASSES_TO_FIRST * passMs(figures, 1, 0) + partReadMs;
+  return PASSES_TO_FIRST_EVENT * passMs(figures, 1, 0) + partPrefillMs;
 }
 
-/** Lateness that the newcomer's reading adds for those who write there. */
-function pausesLoss(
+/** Loss that the added prefill causes for the decoding requests. */
+function writersLoss(
   {writers}: ReplicaLoad,
   pauseMs: number,
   addedMs: number,
@@ -154,7 +180,7 @@
   return sum;
 }
 
-/** Lateness of those whose reading a group's part goes before. */
+/** Loss of the waiting prompts before which a group part is prefilled. */
 function readersLoss(readers: readonly Reader[], addedMs: number): number {
   let sum = 0;
   for (const {slackMs, marginMs, weight} of readers) {
@@ -166,20 +192,23 @@
 }
 
 /**
- * For a short read 1 where nobody with as short a pause aim writes, and less
- * the more do: requests that are read in a fraction of the pause they bear fill
- * few engines, and leave the rest to long reads. The last places stay free,
- * since other entries choose as well.
+ * Penalty for occupying one more slot of the engine. For a short prefill it is 1
+ * if no stream there has as short a pause objective, and otherwise the share of
+ * free slots. Requests with a short prefill thus fill few engines, and the rest
+ * remain for long prefills. A crowded engine has a penalty of at least 1 for any
+ * prefill: its last slots stay free, since other entries choose it as well.
  */
-function spreadOut(
+function occupancyPenaltyOf(
   req: EngineRequest,
   {load, replica}: EngineCandidate,
 ): EngineState['occupancyPenalty'] {
-  const used = load.running / replica.places;
-  if (used >= FULL_SHARE) {
-    const crowded = 1 + (used - FULL_SHARE) * CROWDING;
-    return {short: crowded, other: crowded};
+  const usedShare = load.running / replica.places;
+  if (usedShare >= CROWDED_SHARE) {
+    const penalty = 1 + (usedShare - CROWDED_SHARE) * CROWDING_SLOPE;
+    return {short: penalty, other: penalty};
   }
-  const alike = load.writers.some(it => it.pauseAimMs <= req.pauseAimMs);
-  return {short: alike ? 1 - used : 1, other: 0};
+  const hasSimilarWriters = load.writers.some(
+    it => it.pauseAimMs <= req.pauseAimMs,
+  );
+  return {short: hasSimilarWriters ? 1 - usedShare : 1, other: 0};
 }
--- a/src/direct/decide/waiting_loss.ts
+++ b/src/direct/decide/waiting_loss.ts
@@ -1,68 +1,76 @@
 /**
- * What a caller loses by waiting, as a share of what its request is worth: most
- * of it once the aim is missed, the rest once it leaves. One step alone has two
- * faults under load. A request that is late already would cost nothing more,
- * and be passed by others until its caller leaves; and one that is a little
- * late would count as much as one that is lost.
+ * Expected loss of a caller that waits, as a share of its request's weight. Most
+ * of the loss comes when the latency objective is missed, and the rest when the
+ * caller gives up. A loss in one step has two faults under load. Further delay of
+ * a late request would cost nothing, so others would be placed before it until
+ * its caller gives up. A slightly late request would count as much as a lost one.
  */
 import {minCallerTimeoutMs} from './caller_timeout.js';
 
 /**
- * Lost with the aim. An answer that comes late is worth about a quarter; the
- * loss is taken as higher, since predictions run short under bursts.
+ * Loss when the latency objective is missed. A late answer is worth about a
+ * quarter. The loss is higher than three quarters because predicted times are
+ * too short under bursts.
  */
-const LATE_SHARE = 0.85;
-/** A first event is at risk with less slack than this share of its bound. */
+const LATE_LOSS = 0.85;
+/** A first event is at risk if its slack is below this share of its bound. */
 const MARGIN_SHARE = 0.25;
-/** A pause is at risk of being late from this share of its aim on. */
-const PAUSE_RISK_FROM = 0.85;
-/** The same of leaving, which stands further from the prediction. */
-const LEAVING_RISK_FROM = 0.7;
+/** A pause is at risk of being late from this share of the pause objective on. */
+const PAUSE_RISK_START = 0.85;
+/**
+ * A pause is at risk of exceeding the caller's timeout from this share of it on.
+ * The share is lower, since the timeout is further from the predicted pause.
+ */
+const TIMEOUT_RISK_START = 0.7;
 
-/** When a request's first event should come, and when its caller leaves. */
+/** Bounds on a request's first event, counted from the request's arrival. */
 export interface FirstEventBounds {
+  /** Latency objective, in milliseconds. */
   readonly aimMs: number;
+  /** Time after which the caller gives up, in milliseconds. */
   readonly callerTimeoutMs: number;
-  /** Time that has passed since the request came. */
+  /** Time since the request arrived, in milliseconds. */
   readonly elapsedMs: number;
 }
 
-/** Expected loss if the first event comes in so many milliseconds. */
+/** Expected loss if the first event is predicted `firstEventMs` from now. */
 export function firstEventLoss(
   {aimMs, callerTimeoutMs: patienceMs, elapsedMs}: FirstEventBounds,
   firstEventMs: number,
 ): number {
-  const atMs = elapsedMs + firstEventMs;
-  return twoSteps(
-    slackRisk(aimMs - atMs, aimMarginMs(aimMs)),
-    slackRisk(patienceMs - atMs, MARGIN_SHARE * patienceMs),
+  const firstEventAtMs = elapsedMs + firstEventMs;
+  return combinedLoss(
+    slackRisk(aimMs - firstEventAtMs, aimMarginMs(aimMs)),
+    slackRisk(patienceMs - firstEventAtMs, MARGIN_SHARE * patienceMs),
   );
 }
 
-/** Expected loss of a stream by one pause of this length. */
+/** Expected loss of a stream by one pause of `pauseMs`. */
 export function pauseLoss(pauseMs: number, pauseAimMs: number): number {
-  return twoSteps(
-    shareRisk(pauseMs / pauseAimMs, PAUSE_RISK_FROM),
-    shareRisk(pauseMs / minCallerTimeoutMs(pauseAimMs), LEAVING_RISK_FROM),
+  return combinedLoss(
+    ratioRisk(pauseMs / pauseAimMs, PAUSE_RISK_START),
+    ratioRisk(pauseMs / minCallerTimeoutMs(pauseAimMs), TIMEOUT_RISK_START),
   );
 }
 
-/** Slack below which a first event may miss its aim, in milliseconds. */
+/** Slack below which a first event may miss its objective, in milliseconds. */
 export function aimMarginMs(aimMs: number): number {
   return aimMs * MARGIN_SHARE;
 }
 
-/** Chance of being late: none with the whole margin left, sure without any. */
+/** Probability of being late: 0 from the whole margin up, 1 without slack. */
 export function slackRisk(slackMs: number, marginMs: number): number {
   return clamp(1 - slackMs / Math.max(1, marginMs));
 }
 
-function shareRisk(share: number, from: number): number {
-  return clamp((share - from) / (1 - from));
+/** Probability of exceeding a bound: 0 up to `start` of it, 1 from the bound. */
+function ratioRisk(ratio: number, start: number): number {
+  return clamp((ratio - start) / (1 - start));
 }
 
-function twoSteps(late: number, left: number): number {
-  return LATE_SHARE * late + (1 - LATE_SHARE) * left;
+/** Loss from the probabilities of being late and of losing the caller. */
+function combinedLoss(lateRisk: number, timeoutRisk: number): number {
+  return LATE_LOSS * lateRisk + (1 - LATE_LOSS) * timeoutRisk;
 }
 
 function clamp(value: number): number {
--- a/src/direct/open_place.ts
+++ b/src/direct/open_place.ts
@@ -115,7 +115,7 @@
   const pool = {
     figures,
     candidates,
-    weightPerReadMs: ctx.worth.weightPerReadMs(),
+    weightPerPrefillMs: ctx.worth.weightPerPrefillMs(),
     fullness: ctx.fullness,
   };
   const decision = placeOrWait(pool, req);
--- a/test/direct/place_or_wait.test.ts
+++ b/test/direct/place_or_wait.test.ts
@@ -75,9 +75,9 @@
 function decide(
   candidates: readonly EngineCandidate[],
   req: PlacingRequest,
-  weightPerReadMs = WEIGHT_PER_READ_MS,
+  weightPerPrefillMs = WEIGHT_PER_READ_MS,
 ) {
-  return placeOrWait({figures: FIGURES, candidates, weightPerReadMs}, req);
+  return placeOrWait({figures: FIGURES, candidates, weightPerPrefillMs}, req);
 }
 
 describe('a prompt whose reading would hold up streams', () => {
@@ -308,7 +308,7 @@
           ...engines(ENGINES - reading),
           ...engines(reading, READING),
         ],
-        weightPerReadMs: 1_600,
+        weightPerPrefillMs: 1_600,
       },
       longest,
     );
