--- a/test/direct/choose_engines.test.ts
+++ b/test/direct/choose_engines.test.ts
@@ -1,4 +1,4 @@
-/** Which engines a prompt is given to, on loads made by hand. */
+/** The engines that are chosen for a prompt, with given loads. */
 import fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
 import {chooseEngines} from '../../src/direct/decide/choose_engines.js';
@@ -24,7 +24,7 @@
   return engineCandidate(id, FIGURES.places, load);
 }
 
-function prompt(promptTokens: number, more: Partial<EngineRequest> = {}) {
+function prompt(promptTokens: number, overrides: Partial<EngineRequest> = {}) {
   return {
     promptTokens,
     weight: weightOf(promptTokens + 5_000, promptTokens + 5_000),
@@ -34,7 +34,7 @@
     callerTimeoutMs: promptTokens > 50_000 ? 12_000 : 2_000,
     elapsedMs: 0,
     draw: () => 0,
-    ...more,
+    ...overrides,
   };
 }
 
@@ -46,51 +46,57 @@
     : [plan.lead, ...plan.helpers].map(it => it.replica.id).sort();
 
 describe('a short prompt', () => {
-  test('joins its like rather than opening an idle engine', () => {
+  test('is placed beside similar streams rather than on an idle engine', () => {
     const busy = engine('b', {running: 3, writers: SHORT_WRITERS});
     const plan = chooseEngines(FIGURES, prompt(5_000), [engine('a'), busy]);
     expect(membersOf(plan)).toEqual(['b']);
   });
 
-  test('opens another engine before the last places are taken', () => {
-    const full = engine('b', {running: 9, writers: SHORT_WRITERS});
-    const plan = chooseEngines(FIGURES, prompt(5_000), [engine('a'), full]);
+  test('is placed on an idle engine before the last slots are taken', () => {
+    const crowded = engine('b', {running: 9, writers: SHORT_WRITERS});
+    const plan = chooseEngines(FIGURES, prompt(5_000), [engine('a'), crowded]);
     expect(membersOf(plan)).toEqual(['a']);
   });
 
-  test('keeps away from an engine that reads a long prompt', () => {
-    const reading = engine('b', {
+  test('avoids an engine that prefills a long prompt', () => {
+    const prefilling = engine('b', {
       running: 3,
       readMs: 800,
       writers: SHORT_WRITERS,
     });
-    const plan = chooseEngines(FIGURES, prompt(5_000), [engine('a'), reading]);
+    const plan = chooseEngines(FIGURES, prompt(5_000), [
+      engine('a'),
+      prefilling,
+    ]);
     expect(membersOf(plan)).toEqual(['a']);
   });
 });
 
 describe('a long prompt', () => {
-  test('keeps away from those who bear only short pauses', () => {
-    const short = engine('a', {running: 5, writers: SHORT_WRITERS});
-    const plan = chooseEngines(FIGURES, prompt(60_000), [short, engine('b')]);
+  test('avoids streams with a short pause objective', () => {
+    const shortStreams = engine('a', {running: 5, writers: SHORT_WRITERS});
+    const plan = chooseEngines(FIGURES, prompt(60_000), [
+      shortStreams,
+      engine('b'),
+    ]);
     expect(membersOf(plan)).toEqual(['b']);
   });
 
-  test('is read in parts where one engine would take too long', () => {
+  test('is split over a group if one engine would take too long', () => {
     const engines = ['a', 'b', 'c', 'd'].map(id => engine(id));
     const plan = chooseEngines(FIGURES, prompt(190_000), engines);
     expect(membersOf(plan).length).toBeGreaterThan(1);
     expect(plan?.partTokens).toBeGreaterThan(0);
   });
 
-  test('waits when no group has the memory', () => {
+  test('gets no plan if no group has the memory', () => {
     const engines = ['a', 'b'].map(id => engine(id, {tokens: 150_000}));
     expect(chooseEngines(FIGURES, prompt(190_000), engines)).toBeUndefined();
   });
 
-  // A group's part goes before all other reading, so a reader without slack
-  // there would miss its aim.
-  test('forms no group over a reader that it would make late', () => {
+  // A group part is prefilled before all other prompts on its engine. A waiting
+  // prompt without slack there would miss its latency objective.
+  test('is not split over an engine where it would delay another prompt', () => {
     const readers = [{slackMs: 10, marginMs: 75, weight: 900_000}];
     const reading = engine('b', {readMs: 100, readers});
     const engines = [engine('a'), reading, engine('c'), engine('d')];
@@ -99,8 +105,8 @@
   });
 });
 
-describe('entries that choose in the same instant', () => {
-  test('part by chance among idle engines', () => {
+describe('entries that choose at the same time', () => {
+  test('choose different idle engines at random', () => {
     const engines = ['a', 'b', 'c', 'd', 'e', 'f'].map(id => engine(id));
     const draws = [0.1, 0.9, 0.3, 0.7, 0.5, 0.2];
     const firsts = [0, 1, 2, 3].map(shift => {
@@ -121,10 +127,9 @@
     writers: fc.constantFrom([], SHORT_WRITERS),
   });
 
-  // Sizes of group are left out where idle engines could not do better than
-  // what is found. Were one left out wrongly, some subset of the engines would
-  // give a better plan than all of them.
-  test('is no worse than the best of any part of the engines', () => {
+  // Group sizes are skipped if they cannot beat the best plan found. If one were
+  // skipped wrongly, a subset of the engines could give a better plan.
+  test('is no worse than the best plan for a subset of the engines', () => {
     fc.assert(
       fc.property(
         fc.array(loadArb, {minLength: 2, maxLength: 20}),
@@ -133,10 +138,10 @@
         (loads, promptTokens, count) => {
           const all = loads.map((load, at) => engine(`e${at}`, load));
           const req = prompt(promptTokens);
-          const part = chooseEngines(FIGURES, req, all.slice(0, count));
+          const subset = chooseEngines(FIGURES, req, all.slice(0, count));
           const best = chooseEngines(FIGURES, req, all);
-          if (part === undefined || count === 1) return;
-          expect(best?.loss).toBeLessThanOrEqual(part.loss + 1e-6);
+          if (subset === undefined || count === 1) return;
+          expect(best?.loss).toBeLessThanOrEqual(subset.loss + 1e-6);
         },
       ),
       {seed: 1, numRuns: 500},
--- a/test/direct/parts.test.ts
+++ b/test/direct/parts.test.ts
@@ -1,4 +1,4 @@
-/** The small parts of the direct path, each by itself. */
+/** Small modules of the direct path, each tested alone. */
 import {describe, expect, test} from 'vitest';
 import {createEventSplitter} from '../../src/direct/event_splitter.js';
 import {createEvidence} from '../../src/direct/evidence.js';
@@ -14,7 +14,7 @@
 import type {VirtualClock} from '../../standins/virtual_clock.js';
 
 describe('events of a stream', () => {
-  test('come whole, however the bytes are cut', () => {
+  test('are whole wherever the bytes are split', () => {
     const text = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata';
     for (let cut = 1; cut < text.length; cut++) {
       const splitter = createEventSplitter();
@@ -28,7 +28,7 @@
 });
 
 describe('evidence for keys', () => {
-  test('grows old on the monotonic clock, and falls with a suspension', async () => {
+  test('expires on the monotonic clock, and after a suspension', async () => {
     const clock = createVirtualClock();
     let wallAhead = 0;
     const evidence = createEvidence(
@@ -42,7 +42,7 @@
     await clock.advance(500);
     wallAhead = 5_000;
     expect(evidence.isFresh()).toBe(false);
-    // Sent before the suspension was noticed: says nothing of the time since.
+    // Sent before the suspension was noticed, so it proves nothing since then.
     evidence.confirm(clock.now() - 1, clock.now() - 1);
     expect(evidence.isFresh()).toBe(false);
     await clock.advance(1);
@@ -54,7 +54,7 @@
 });
 
 describe('the load of a replica', () => {
-  test('is that of all entries, as long as they are heard of', async () => {
+  test('includes the loads of other entries until their reports expire', async () => {
     const clock = createVirtualClock();
     const changes: string[] = [];
     const book = createLoadBook(clock, change => changes.push(change));
@@ -70,8 +70,8 @@
   });
 });
 
-describe('a load that travels', () => {
-  test('arrives as it was, also without a limit on pauses', () => {
+describe('an encoded load', () => {
+  test('decodes to the same value, also without a pause objective', () => {
     const loads = [
       {
         replicaId: 'r',
@@ -110,7 +110,7 @@
   const ids = (fleet: ReturnType<typeof createFleet>) =>
     fleet.serving('s').map(({id}) => id);
 
-  test('that lapsed in an outage serve for a while, those removed do not', async () => {
+  test('that expired in an outage serve for a while, removed ones do not', async () => {
     const clock = createVirtualClock();
     const fleet = fleetOn(clock);
     fleet.setAll(new Map([['a', replica('a')]]));
@@ -125,7 +125,7 @@
     expect(ids(fleet)).toEqual([]);
   });
 
-  test('are left alone for longer the more often they fail', async () => {
+  test('are avoided for longer the more often they fail', async () => {
     const clock = createVirtualClock();
     const health = createReplicaHealth(clock);
     health.failed('a');
@@ -136,7 +136,7 @@
     expect(health.isSuspect('a')).toBe(false);
   });
 
-  test('that were slow are tried again in time', async () => {
+  test('that were slow lose that mark with time', async () => {
     const clock = createVirtualClock();
     const health = createReplicaHealth(clock);
     for (let at = 0; at < 10; at++) health.answered('a', 800, 100);
@@ -147,7 +147,7 @@
 });
 
 describe('a split route', () => {
-  test('gives services their share', () => {
+  test('gives each service its share of the requests', () => {
     const route = {
       targets: [
         {service: 'a', weight: 90},
@@ -164,9 +164,9 @@
 });
 
 describe('log lines', () => {
-  // Nobody reads the pipe. The process goes on, keeps a bounded number of
-  // lines, failures before others, and counts what it dropped.
-  test('are bounded when nobody reads them', () => {
+  // The pipe is not read. The process keeps running with a bounded number of
+  // lines, prefers failures to other lines, and counts dropped ones.
+  test('are bounded when the pipe is not read', () => {
     const metrics = createMetrics();
     const sink = createBoundedSink(metrics, () => undefined);
     const line = (level: string) =>
--- a/test/direct/place_or_wait.test.ts
+++ b/test/direct/place_or_wait.test.ts
@@ -1,4 +1,4 @@
-/** Whether a request is placed, waits or is refused, on loads made by hand. */
+/** Whether a request is placed, waits or is refused, with given loads. */
 import fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
 import type {EngineCandidate} from '../../src/direct/decide/score_engine.js';
@@ -24,10 +24,10 @@
   chunkTokens: 2_048,
   contextMsPerThousand: 0.004,
 };
-/** Of a mix in which a long prompt comes for twenty short ones. */
-const WEIGHT_PER_READ_MS = 2_000;
+/** For a mix of one long prompt to twenty short ones. */
+const WEIGHT_PER_PREFILL_MS = 2_000;
 const SHORT_WEIGHT = weightOf(18_500, 18_500);
-/** Seven short streams that write. */
+/** Seven short streams that are decoding. */
 const SHORT_STREAMS = {
   running: 7,
   tokens: 45_000,
@@ -75,15 +75,14 @@
 function decide(
   candidates: readonly EngineCandidate[],
   req: PlacingRequest,
-  weightPerPrefillMs = WEIGHT_PER_READ_MS,
+  weightPerPrefillMs = WEIGHT_PER_PREFILL_MS,
 ) {
   return placeOrWait({figures: FIGURES, candidates, weightPerPrefillMs}, req);
 }
 
-describe('a prompt whose reading would hold up streams', () => {
-  // Other prompts fill the memory of all engines but three, which write short
-  // streams. Read there, the prompt would hold up twenty of them for 4.7 s each,
-  // and be late itself.
+describe('a prompt whose prefill would delay streams', () => {
+  // The memory of all engines but three is full. On those three, the prompt
+  // would delay twenty short streams by 4.7 s each, and be late itself.
   test('waits while it would cost others more than it gains', () => {
     const filled = ['f1', 'f2', 'f3', 'f4', 'f5', 'f6', 'f7', 'f8'].map(id =>
       engine(id, {running: 1, tokens: 200_000}),
@@ -93,8 +92,8 @@
     expect(decision).toEqual({kind: 'wait', reason: 'costs others more'});
   });
 
-  // Even idle, three engines would be late with it: waiting gains nothing.
-  test('is refused where it could not be in time on idle engines', () => {
+  // Three engines would be late with it even if idle. Waiting gains nothing.
+  test('is refused if it would be late even on idle engines', () => {
     const decision = decide(engines(3, SHORT_STREAMS), longPrompt(417_640));
     expect(decision).toMatchObject({
       kind: 'refuse',
@@ -102,7 +101,7 @@
     });
   });
 
-  test('is placed on engines that are free of them', () => {
+  test('is placed on engines without streams', () => {
     const free = ['f1', 'f2', 'f3', 'f4', 'f5', 'f6'].map(id => engine(id));
     const candidates = [...engines(3, SHORT_STREAMS), ...free];
     const decision = decide(candidates, longPrompt(300_000));
@@ -112,9 +111,9 @@
     expect(members.every(id => id.startsWith('f'))).toBe(true);
   });
 
-  // Parts of 150 ms are being read beside short streams. A second part in the
-  // same pass would make the pause late; a fifth of a second later it does not.
-  test('waits for the parts that are being read', () => {
+  // Prefills of 150 ms run beside short streams. A second one in the same pass
+  // would make the pause late; 200 ms later it does not.
+  test('waits until the current prefills are done', () => {
     const busy = engines(8, {...SHORT_STREAMS, readMs: 150});
     const decision = decide(busy, longPrompt(80_000));
     expect(decision).toEqual({kind: 'wait', reason: 'better later'});
@@ -122,7 +121,7 @@
     expect(after.kind).toBe('place');
   });
 
-  test('waits where no engines have the memory', () => {
+  test('waits if no engines have the memory', () => {
     const full = engines(3, {tokens: 200_000, running: 2});
     const decision = decide(full, longPrompt(190_000));
     expect(decision).toEqual({kind: 'wait', reason: 'no memory'});
@@ -136,8 +135,8 @@
     readers: [{slackMs: 100, marginMs: 750, weight: 1_500_000}],
   });
 
-  // Its aim has passed and the engines are full: read now, it would make others
-  // late for a quarter of its worth. Its caller hears it at once.
+  // Its latency objective has passed. On full engines it would make others late
+  // for a quarter of its value, so its caller is told at once.
   test('is refused when the engines are full', () => {
     const late = longPrompt(300_000, {elapsedMs: 3_100});
     expect(decide(full, late)).toMatchObject({
@@ -162,21 +161,21 @@
     });
   });
 
-  test('comes back when what is ahead has been read', () => {
+  test('is told to come back after the prefill backlog', () => {
     const late = longPrompt(300_000, {elapsedMs: 3_100});
     const decision = decide(full, late);
     expect(decision).toMatchObject({comeBackMs: 900});
   });
 
-  // Its answer is half delivered: what is left of it is served wherever it
-  // costs least, and never refused.
-  test('is placed all the same when it goes on from elsewhere', () => {
-    const going = longPrompt(300_000, {isNew: false, elapsedMs: 9_000});
-    expect(decide(full, going).kind).toBe('place');
+  // A part of its answer has been delivered. The rest is served wherever it
+  // costs least, and is never refused.
+  test('is placed nevertheless if another replica has begun it', () => {
+    const resumed = longPrompt(300_000, {isNew: false, elapsedMs: 9_000});
+    expect(decide(full, resumed).kind).toBe('place');
   });
 });
 
-const loads: fc.Arbitrary<Partial<ReplicaLoad>> = fc.record({
+const loadArb: fc.Arbitrary<Partial<ReplicaLoad>> = fc.record({
   running: fc.nat(14),
   tokens: fc.nat(260_000),
   readMs: fc.nat(3_000),
@@ -196,10 +195,10 @@
     {maxLength: 3},
   ),
 });
-const pools = fc
-  .array(loads, {minLength: 1, maxLength: 14})
-  .map(each => each.map((load, at) => engine(`e${at}`, load)));
-const prompts = fc
+const poolArb = fc
+  .array(loadArb, {minLength: 1, maxLength: 14})
+  .map(loadList => loadList.map((load, at) => engine(`e${at}`, load)));
+const promptArb = fc
   .tuple(fc.integer({min: 1, max: 600_000}), fc.nat(16_000), fc.boolean())
   .map(([tokens, elapsedMs, isNew]) =>
     tokens < 24_000
@@ -211,16 +210,16 @@
 describe('every decision', () => {
   test('is the same for the same input', () => {
     fc.assert(
-      fc.property(pools, prompts, (candidates, req) => {
+      fc.property(poolArb, promptArb, (candidates, req) => {
         expect(decide(candidates, req)).toEqual(decide(candidates, req));
       }),
       RUNS,
     );
   });
 
-  test('places only where there is memory, each engine once', () => {
+  test('places a request only on distinct engines with enough memory', () => {
     fc.assert(
-      fc.property(pools, prompts, (candidates, req) => {
+      fc.property(poolArb, promptArb, (candidates, req) => {
         const decision = decide(candidates, req);
         if (decision.kind !== 'place') return;
         const {lead: first, helpers, partTokens} = decision.plan;
@@ -241,7 +240,7 @@
     );
   });
 
-  test('neither waits nor refuses while idle engines serve in time', () => {
+  test('places a request that idle engines serve in time', () => {
     fc.assert(
       fc.property(
         fc.integer({min: 1, max: 150_000}),
@@ -255,9 +254,9 @@
     );
   });
 
-  test('refuses only what no replica has had, and says when to come back', () => {
+  test('refuses only requests that were never sent, with a retry delay', () => {
     fc.assert(
-      fc.property(pools, prompts, (candidates, req) => {
+      fc.property(poolArb, promptArb, (candidates, req) => {
         const decision = decide(candidates, req);
         if (decision.kind !== 'refuse') return;
         expect(req.isNew).toBe(true);
@@ -267,11 +266,11 @@
     );
   });
 
-  // Nobody may wait for ever: whatever the load, a request whose aim has passed
-  // is placed or refused, but for want of memory.
-  test('lets nobody wait for engines past its aim', () => {
+  // A late request would wait for ever if nothing but its cost to others kept it
+  // waiting. It is placed or refused.
+  test('lets no late request wait because it costs others more', () => {
     fc.assert(
-      fc.property(pools, prompts, (candidates, req) => {
+      fc.property(poolArb, promptArb, (candidates, req) => {
         const late = {...req, elapsedMs: req.aimMs + 1};
         const decision = decide(candidates, late);
         if (decision.kind !== 'wait') return;
@@ -282,7 +281,7 @@
   });
 });
 
-describe('a prompt that is late by its size', () => {
+describe('a prompt that is late even on idle engines', () => {
   const LONGEST = 860_000;
   const ENGINES = 60;
   const POOL: EngineFigures = {
@@ -294,35 +293,34 @@
     readTokensPerMs: 154,
     pairsMsPerMillion: 0.162,
   };
-  const READING = {running: 1, tokens: 60_000, readMs: 4_000};
-  const longest = longPrompt(LONGEST, {
+  const BUSY_LOAD = {running: 1, tokens: 60_000, readMs: 4_000};
+  const longestPrompt = longPrompt(LONGEST, {
     weight: weightOf(LONGEST + 17_000, 277_000),
     aimMs: 4_000,
     callerTimeoutMs: 16_000,
   });
-  const decideWith = (reading: number) =>
+  const decideWithBusy = (busyCount: number) =>
     placeOrWait(
       {
         figures: POOL,
         candidates: [
-          ...engines(ENGINES - reading),
-          ...engines(reading, READING),
+          ...engines(ENGINES - busyCount),
+          ...engines(busyCount, BUSY_LOAD),
         ],
         weightPerPrefillMs: 1_600,
       },
-      longest,
+      longestPrompt,
     );
 
-  // Sixteen engines read a long prompt, forty-four are free. Its first event
-  // comes after 4.2 s on sixteen of these, where 4 s are aimed at: it was
-  // refused, came back after half a second, and was refused again.
+  // 16 engines are busy and 44 free. Its first event takes 4.2 s on 16 free ones
+  // against an objective of 4 s; it was refused, also when it came back.
   test('is placed while engines are free', () => {
-    expect(decideWith(16).kind).toBe('place');
+    expect(decideWithBusy(16).kind).toBe('place');
   });
 
-  // All engines read what can be in time. It would stand in its way.
-  test('is refused at once when there is no room for it', () => {
-    expect(decideWith(ENGINES)).toMatchObject({
+  // All engines prefill prompts that can be in time. It would delay them.
+  test('is refused at once if no engines are free', () => {
+    expect(decideWithBusy(ENGINES)).toMatchObject({
       kind: 'refuse',
       reason: 'late for its cost',
     });
@@ -332,10 +330,9 @@
 describe('the price of engine time', () => {
   const readMs = 4_000;
 
-  // Two prompts are read on a part of the engines, for seconds. The mean of what
-  // all have to read is far over what makes an engine busy, and yet any newcomer
-  // would find free engines.
-  test('is none while any newcomer finds its engines', () => {
+  // Two prompts are prefilled on a part of the engines for seconds. The mean
+  // backlog is far above the busy bound, and yet a whole group of engines is free.
+  test('is zero while a largest group of engines is free', () => {
     const withRoom = [...engines(44, {readMs}), ...engines(16)];
     const without = [...engines(45, {readMs}), ...engines(15)];
     expect(meanBacklog(withRoom)).toBe(1);
@@ -343,8 +340,8 @@
     expect(defaultFullness(without)).toBe(1);
   });
 
-  // Fourteen engines never have room for the largest group and others besides.
-  test('goes by the mean backlog in a small fleet', () => {
+  // Fourteen engines are fewer than the largest group, so it is never free.
+  test('follows the mean backlog in a small fleet', () => {
     const part = [...engines(4, {readMs: 150}), ...engines(10)];
     expect(defaultFullness(part)).toBe(meanBacklog(part));
   });
--- a/test/direct/sample_candidates.test.ts
+++ b/test/direct/sample_candidates.test.ts
@@ -1,4 +1,4 @@
-/** Which replicas a choice looks at. */
+/** The sample of replicas that one choice considers. */
 import fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
 import {sampleCandidates} from '../../src/direct/decide/sample_candidates.js';
@@ -18,13 +18,13 @@
   }));
 }
 
-describe('the replicas that a choice looks at', () => {
-  test('are all of a small fleet', () => {
+describe('the sampled replicas', () => {
+  test('are all replicas of a small fleet', () => {
     const all = replicas(14, 3);
     expect(sampleCandidates(all, 'domain-0', () => 0)).toEqual(all);
   });
 
-  test('are no more in a fleet of hundreds, and distinct', () => {
+  test('are distinct and at most 30 in a fleet of hundreds', () => {
     fc.assert(
       fc.property(
         fc.integer({min: 1, max: 400}),
@@ -45,19 +45,19 @@
     );
   });
 
-  test('are mostly of the own failure domain, and some of the others', () => {
+  test('are mostly from the own failure domain, and some from others', () => {
     const random = createSeededRandom(1);
     const drawn = sampleCandidates(replicas(135, 5), 'domain-2', () =>
       random.next(),
     );
-    const near = drawn.filter(it => it.failureDomain === 'domain-2');
-    expect(near.length).toBe(27);
-    expect(drawn.length - near.length).toBe(3);
+    const own = drawn.filter(it => it.failureDomain === 'domain-2');
+    expect(own.length).toBe(27);
+    expect(drawn.length - own.length).toBe(3);
   });
 
-  // All engines of a domain are gone, and its entries live: their callers are
-  // served by the other domains' engines.
-  test('are the others where the own domain has none', () => {
+  // All engines of a domain are gone while its entries run. Their callers must
+  // be served by engines of other domains.
+  test('are from other failure domains if the own has none', () => {
     const random = createSeededRandom(1);
     const drawn = sampleCandidates(replicas(108, 4), 'domain-9', () =>
       random.next(),
@@ -65,9 +65,9 @@
     expect(drawn).toHaveLength(30);
   });
 
-  // Entries that choose in the same instant know of each other's choice too
-  // late. Looking at one set, they would all take its best engine.
-  test('are unlike sets for entries that draw apart', () => {
+  // Entries that choose at the same time learn of each other's choice too late.
+  // With the same sample, all of them would choose its best engine.
+  test('differ between two random samples', () => {
     const random = createSeededRandom(3);
     const draw = () =>
       sampleCandidates(replicas(135, 1), 'domain-0', () => random.next());
--- a/test/support/engine_candidates.ts
+++ b/test/support/engine_candidates.ts
@@ -1,10 +1,10 @@
-/** Engines with loads made by hand. */
+/** Engines with given loads, for tests of the placement decisions. */
 import type {EngineCandidate} from '../../src/direct/decide/score_engine.js';
 import type {ReplicaLoad} from '../../src/direct/load_sum.js';
 
 const IDLE = {running: 0, tokens: 0, readMs: 0, readers: [], writers: []};
 
-/** An engine of so many places; idle but for the load given. */
+/** An engine with `places` request slots; idle except for the given load. */
 export function engineCandidate(
   id: string,
   places: number,
