--- a/src/side/abandon.ts
+++ b/src/side/abandon.ts
@@ -17,12 +17,12 @@
 ): AbandonHandler {
   const {ctx, table, tombstones, incarnation} = core;
 
-  const ofUnknown = (req: AbandonReq): AbandonRes['state'] => {
-    const before = tombstones.get(req.dispatchId);
-    if (before !== undefined) {
-      return before.started ? 'started' : 'never-started';
+  const abandonUnknown = (req: AbandonReq): AbandonRes['state'] => {
+    const tombstone = tombstones.get(req.dispatchId);
+    if (tombstone !== undefined) {
+      return tombstone.started ? 'started' : 'never-started';
     }
-    const buried = tombstones.add(
+    const recorded = tombstones.add(
       {
         dispatchId: req.dispatchId,
         organisation: '',
@@ -31,41 +31,47 @@
       },
       ctx.clock.now(),
     );
-    return buried ? 'never-started' : 'unknown';
+    return recorded ? 'never-started' : 'unknown';
   };
 
-  const end = (run: Run, why: string): AbandonRes['state'] => {
+  const cancelUnlessSent = (run: Run, message: string): AbandonRes['state'] => {
     const isSentCall = run.offer.kind === 'call' && run.started;
-    if (!isSentCall) lifecycle.cancel(run, 'cancelled', why);
+    if (!isSentCall) lifecycle.cancel(run, 'cancelled', message);
     if (run.started) return 'started';
     return tombstones.get(run.id) === undefined ? 'unknown' : 'never-started';
   };
 
-  const ofRun = (run: Run, entry: string): AbandonRes['state'] => {
+  const abandonOwned = (run: Run, entry: string): AbandonRes['state'] => {
     // Another entry has taken the run over: it is no longer this one's to end.
     if (run.owner !== entry) return run.started ? 'started' : 'unknown';
-    const state = end(run, 'the entry abandoned the run');
+    const state = cancelUnlessSent(run, 'the entry abandoned the run');
     run.delivered = true;
     return state;
   };
 
   /** The caller's own wish, at whichever entry it was told. */
-  const ofCaller = (
+  const cancelForCaller = (
     dispatchId: string,
     organisation: string,
   ): AbandonRes['state'] => {
     const run = table.get(dispatchId);
     // One organisation must not end another's run, nor learn that there is one.
     if (run?.offer.organisation !== organisation) return 'unknown';
-    return end(run, 'the caller cancelled the request at another entry');
+    return cancelUnlessSent(
+      run,
+      'the caller cancelled the request at another entry',
+    );
   };
 
   const decide = (req: AbandonReq): AbandonRes['state'] => {
     const organisation = req.organisation ?? '';
-    if (organisation !== '') return ofCaller(req.dispatchId, organisation);
+    if (organisation !== '')
+      return cancelForCaller(req.dispatchId, organisation);
     if (req.incarnation !== incarnation) return 'unknown';
     const run = table.get(req.dispatchId);
-    return run === undefined ? ofUnknown(req) : ofRun(run, req.entry);
+    return run === undefined
+      ? abandonUnknown(req)
+      : abandonOwned(run, req.entry);
   };
 
   return req => {
--- a/src/side/audit.ts
+++ b/src/side/audit.ts
@@ -29,15 +29,17 @@
   const {ctx, table, memory, options, upstream} = core;
   const client = options.upstream;
 
-  const isOurs = (id: string) => table.get(id)?.state === 'running';
+  const isRunningHere = (id: string) => table.get(id)?.state === 'running';
 
   /** A finished run that is only kept for resuming holds no memory. */
-  const isSpent = (info: EngineRunInfo) =>
+  const isRetainedOnly = (info: EngineRunInfo) =>
     info.state === 'done' && info.memoryTokens === 0;
 
   /** Also what was cancelled here, if the engine never got to know. */
   const freeOrphans = (list: readonly EngineRunInfo[]): number => {
-    const orphans = list.filter(info => !isOurs(info.runId) && !isSpent(info));
+    const orphans = list.filter(
+      info => !isRunningHere(info.runId) && !isRetainedOnly(info),
+    );
     for (const orphan of orphans) {
       ctx.log(SIDE_EVENTS.orphanedRunFreed, {
         dispatchId: orphan.runId,
@@ -49,8 +51,8 @@
     return orphans.length;
   };
 
-  const noteReconciled = (orphans: number) => {
-    if (upstream.reconciled || orphans > 0) return;
+  const markReconciled = (orphanCount: number) => {
+    if (upstream.reconciled || orphanCount > 0) return;
     upstream.reconciled = true;
     core.queueChanged = true;
     ctx.log(SIDE_EVENTS.reconciled, {incarnation: core.incarnation});
@@ -60,8 +62,8 @@
   const releaseUnlisted = (listed: ReadonlySet<string>) => {
     for (const id of memory.holders()) {
       const run = table.get(id);
-      const over = run === undefined || isFinished(run);
-      if (!over || listed.has(id)) continue;
+      const isDone = run === undefined || isFinished(run);
+      if (!isDone || listed.has(id)) continue;
       memory.release(id);
       core.queueChanged = true;
     }
@@ -70,9 +72,10 @@
   const failMissing = (listed: ReadonlySet<string>, sentAt: number) => {
     for (const run of table.occupyingSlots()) {
       // A beat only says that the connection lives, not that the run does.
-      const quiet = run.progress.lastProgressAt < sentAt;
-      const missed = !listed.has(run.id) && run.startedAt < sentAt && quiet;
-      run.missedAudits = missed ? run.missedAudits + 1 : 0;
+      const madeNoProgress = run.progress.lastProgressAt < sentAt;
+      const isMissing =
+        !listed.has(run.id) && run.startedAt < sentAt && madeNoProgress;
+      run.missedAudits = isMissing ? run.missedAudits + 1 : 0;
       if (run.missedAudits < MISSED_AUDIT_LIMIT) continue;
       ctx.log(SIDE_EVENTS.runMissing, {dispatchId: run.id});
       lifecycle.fail(run, {
@@ -82,11 +85,11 @@
     }
   };
 
-  const compare = (list: readonly EngineRunInfo[], sentAt: number) => {
-    const holding = list.filter(info => !isSpent(info));
-    releaseUnlisted(new Set(holding.map(info => info.runId)));
+  const reconcile = (list: readonly EngineRunInfo[], sentAt: number) => {
+    const holdingMemory = list.filter(info => !isRetainedOnly(info));
+    releaseUnlisted(new Set(holdingMemory.map(info => info.runId)));
     failMissing(new Set(list.map(info => info.runId)), sentAt);
-    noteReconciled(freeOrphans(list));
+    markReconciled(freeOrphans(list));
   };
 
   return {
@@ -106,7 +109,7 @@
             cause: err.message,
           }),
         )
-        .ifRight(list => compare(list, sentAt));
+        .ifRight(list => reconcile(list, sentAt));
     },
     handleFreed: (dispatchId, outcome) => {
       outcome
--- a/src/side/channels.ts
+++ b/src/side/channels.ts
@@ -65,22 +65,22 @@
   let lastId = 0;
 
   /** A send can also fail; its channel's end is told by its frames. */
-  const say = (open: OpenChannel, frame: RunDown) => {
+  const sendFrame = (open: OpenChannel, frame: RunDown) => {
     void open.channel.send(frame).catch(() => undefined);
   };
 
   const observe = (id: number, channel: RunServerChannel) => {
-    const ended = (clean: boolean) =>
+    const notifyClosed = (clean: boolean) =>
       ctx.send('runs', {kind: 'channel-closed', channelId: id, clean});
     channel.frames
       .observe(frame => ctx.send('runs', {kind: 'frame', channelId: id, frame}))
       .then(
-        () => ended(true),
-        () => ended(false),
+        () => notifyClosed(true),
+        () => notifyClosed(false),
       );
   };
 
-  const drop = (id: number) => {
+  const closeNow = (id: number) => {
     const open = channels.get(id);
     if (open === undefined) return;
     channels.delete(id);
@@ -97,12 +97,12 @@
     });
     open.nextSeq += 1;
     open.busy = true;
-    const ready = () =>
+    const notifyReady = () =>
       ctx.send('runs', {kind: 'channel-ready', channelId: open.id});
-    open.channel.send(chunk).then(ready, ready);
+    open.channel.send(chunk).then(notifyReady, notifyReady);
   };
 
-  const pump = (run: Run) => {
+  const sendPending = (run: Run) => {
     const open =
       run.channelId === undefined ? undefined : channels.get(run.channelId);
     if (open === undefined || open.busy) return;
@@ -114,13 +114,13 @@
       return;
     open.outcomeSent = true;
     run.outcomeSentAt = ctx.clock.now();
-    say(open, run.outcome);
+    sendFrame(open, run.outcome);
   };
 
   // A go or attach that was lost on its way leaves a channel on which both ends
   // only beat. The entry would wait on it for ever, as a run taken up has no
   // time limit there; closed, it attaches anew on another.
-  const isIdle = (open: OpenChannel, now: number) =>
+  const isUnboundTooLong = (open: OpenChannel, now: number) =>
     open.dispatchId === undefined &&
     now - open.unboundSince > timing.channelSilenceMs;
 
@@ -150,7 +150,7 @@
       const open = channels.get(id);
       if (open === undefined) return;
       if (run.channelId !== undefined && run.channelId !== id) {
-        drop(run.channelId);
+        closeNow(run.channelId);
       }
       run.channelId = id;
       run.outcomeSentAt = undefined;
@@ -159,18 +159,18 @@
     },
     closeWith: (id, frame) => {
       const open = channels.get(id);
-      if (open === undefined || frame === undefined) return drop(id);
+      if (open === undefined || frame === undefined) return closeNow(id);
       open.closing = true;
       // A frame still on its way would be lost by the close.
-      const gone = () => drop(id);
-      open.channel.send(frame).then(gone, gone);
+      const closeAfterSend = () => closeNow(id);
+      open.channel.send(frame).then(closeAfterSend, closeAfterSend);
     },
     sendStarted: run => {
       const open =
         run.channelId === undefined ? undefined : channels.get(run.channelId);
-      if (open !== undefined) say(open, {kind: 'started'});
+      if (open !== undefined) sendFrame(open, {kind: 'started'});
     },
-    sendPending: pump,
+    sendPending,
     markReady: id => {
       const open = channels.get(id);
       if (open !== undefined) open.busy = false;
@@ -178,18 +178,18 @@
     },
     remove: id => {
       const open = channels.get(id);
-      drop(id);
+      closeNow(id);
       return open;
     },
     sweep: () => {
       const now = ctx.clock.now();
-      const silent: number[] = [];
+      const silentIds: number[] = [];
       for (const open of channels.values()) {
         const isSilent = now - open.lastFrameAt > timing.channelSilenceMs;
-        if (isSilent || isIdle(open, now)) silent.push(open.id);
-        else say(open, {kind: 'beat'});
+        if (isSilent || isUnboundTooLong(open, now)) silentIds.push(open.id);
+        else sendFrame(open, {kind: 'beat'});
       }
-      return silent;
+      return silentIds;
     },
     resetSilence: () => {
       for (const open of channels.values()) {
@@ -198,7 +198,7 @@
       }
     },
     closeAll: () => {
-      for (const id of [...channels.keys()]) drop(id);
+      for (const id of [...channels.keys()]) closeNow(id);
     },
     count: () => channels.size,
   };
--- a/src/side/engine_events.ts
+++ b/src/side/engine_events.ts
@@ -20,41 +20,42 @@
   core: SideCore,
   channels: Channels,
   lifecycle: Lifecycle,
-  broke: (run: Run, error: OnyxError) => void,
+  onBroken: (run: Run, error: OnyxError) => void,
 ): EngineEventHandler {
   const {ctx, rates} = core;
 
-  const gap = (run: Run, got: number) =>
+  const gapError = (run: Run, receivedIndex: number) =>
     new OnyxError({
       code: 'upstream-lost',
       step: 'run',
       peer: core.options.node,
-      message: `token ${got} came where ${run.progress.nextToken} was due`,
+      message: `token ${receivedIndex} came where ${run.progress.nextToken} was due`,
       ran: 'yes',
     });
 
-  const prefilled = (run: Run, done: number) => {
-    const count = done - run.progress.prefilledTokens;
+  const handlePrefill = (run: Run, prefilledTokens: number) => {
+    const count = prefilledTokens - run.progress.prefilledTokens;
     if (count <= 0) return;
-    run.progress.prefilledTokens = done;
+    run.progress.prefilledTokens = prefilledTokens;
     rates.recordPrefill(count, ctx.clock.now());
   };
 
-  const learnStep = (run: Run, count: number) => {
+  const learnStepTime = (run: Run, count: number) => {
     const now = ctx.clock.now();
     const {lastTokenAt} = run.progress;
     if (lastTokenAt !== undefined) rates.recordDecode(count, now - lastTokenAt);
     run.progress.lastTokenAt = now;
   };
 
-  const tokens = (run: Run, event: TokensEvent) => {
+  const handleTokens = (run: Run, event: TokensEvent) => {
     const {nextToken} = run.progress;
-    const isCopy = event.index + event.count <= nextToken;
-    if (isCopy && event.count > 0) return;
+    const isDuplicate = event.index + event.count <= nextToken;
+    if (isDuplicate && event.count > 0) return;
     // A gap or a half copy would cut or mix the answer: ask for what is due.
-    if (event.index !== nextToken) return broke(run, gap(run, event.index));
-    if (prefillTokensLeft(run) > 0) prefilled(run, run.offer.promptTokens);
-    learnStep(run, event.count);
+    if (event.index !== nextToken)
+      return onBroken(run, gapError(run, event.index));
+    if (prefillTokensLeft(run) > 0) handlePrefill(run, run.offer.promptTokens);
+    learnStepTime(run, event.count);
     run.progress.nextToken = nextToken + event.count;
     run.stream.resumes = 0;
     const {data, count} = event;
@@ -62,9 +63,9 @@
     channels.sendPending(run);
   };
 
-  const done = (run: Run, event: DoneEvent) => {
+  const handleDone = (run: Run, event: DoneEvent) => {
     if (event.tokens !== run.progress.nextToken) {
-      return broke(run, gap(run, event.tokens));
+      return onBroken(run, gapError(run, event.tokens));
     }
     lifecycle.end(run, event.finishReason, event.cachedTokens);
   };
@@ -77,11 +78,11 @@
     }
     switch (event.kind) {
       case 'prefill':
-        return prefilled(run, event.doneTokens);
+        return handlePrefill(run, event.doneTokens);
       case 'tokens':
-        return tokens(run, event);
+        return handleTokens(run, event);
       case 'done':
-        return done(run, event);
+        return handleDone(run, event);
       case 'failed':
         return lifecycle.fail(run, {
           code: 'upstream-failed',
--- a/src/side/fair_shares.ts
+++ b/src/side/fair_shares.ts
@@ -20,13 +20,14 @@
   return {
     join: (id, active) => {
       if (active.includes(id)) return;
-      const others = active.map(other => served.get(other) ?? 0);
-      const least = others.length === 0 ? 0 : Math.min(...others);
-      served.set(id, Math.max(served.get(id) ?? 0, least));
+      const activeServed = active.map(other => served.get(other) ?? 0);
+      const minServed =
+        activeServed.length === 0 ? 0 : Math.min(...activeServed);
+      served.set(id, Math.max(served.get(id) ?? 0, minServed));
     },
     charge: (id, cost, weight) => {
-      const share = cost / Math.max(weight, Number.MIN_VALUE);
-      served.set(id, (served.get(id) ?? 0) + share);
+      const weightedCost = cost / Math.max(weight, Number.MIN_VALUE);
+      served.set(id, (served.get(id) ?? 0) + weightedCost);
     },
     served: () => served,
   };
--- a/src/side/frame_handler.ts
+++ b/src/side/frame_handler.ts
@@ -39,7 +39,7 @@
 ): FrameHandler {
   const {ctx, table, tombstones, timing} = core;
 
-  const failed = (
+  const failedFrame = (
     dispatchId: string,
     code: string,
     ran: Ran,
@@ -63,21 +63,22 @@
   };
 
   /** A go without an accepted offer never runs, nor does a later copy. */
-  const refuseUnknownGo = (channelId: number, id: string) => {
-    const before = tombstones.get(id);
-    const buried =
-      before !== undefined ||
+  const refuseGoWithoutOffer = (channelId: number, id: string) => {
+    const tombstone = tombstones.get(id);
+    const recorded =
+      tombstone !== undefined ||
       tombstones.add(
         {dispatchId: id, organisation: '', started: false, answer: undefined},
         ctx.clock.now(),
       );
-    const ran = before?.started === true ? 'yes' : buried ? 'no' : 'unknown';
+    const ran =
+      tombstone?.started === true ? 'yes' : recorded ? 'no' : 'unknown';
     const message = 'there is no accepted offer for this dispatch';
-    refuseGo(channelId, failed(id, 'tombstoned', ran, message));
+    refuseGo(channelId, failedFrame(id, 'tombstoned', ran, message));
   };
 
   /** A second go: the run is in other hands or over. */
-  const refuseCopyOfGo = (channelId: number, run: Run) => {
+  const handleDuplicateGo = (channelId: number, run: Run) => {
     if (run.channelId === channelId) return;
     if (run.started || !isFinished(run)) {
       // Saying "not run" of a run that may run would let it run twice.
@@ -85,31 +86,31 @@
       return;
     }
     const message = 'the offer of this dispatch is over';
-    refuseGo(channelId, failed(run.id, 'tombstoned', 'no', message));
+    refuseGo(channelId, failedFrame(run.id, 'tombstoned', 'no', message));
   };
 
-  const go = (channelId: number, frame: Go) => {
+  const handleGo = (channelId: number, frame: Go) => {
     const {dispatchId} = frame;
     if (frame.incarnation !== core.incarnation) {
       // A copy of this go may have run before the restart; that is forgotten.
       const message = 'the side was restarted since the offer';
       refuseGo(
         channelId,
-        failed(dispatchId, 'incarnation', 'unknown', message),
+        failedFrame(dispatchId, 'incarnation', 'unknown', message),
       );
       return;
     }
     const run = table.get(dispatchId);
     if (run === undefined) {
-      refuseUnknownGo(channelId, dispatchId);
+      refuseGoWithoutOffer(channelId, dispatchId);
     } else if (run.state !== 'offered') {
-      refuseCopyOfGo(channelId, run);
+      handleDuplicateGo(channelId, run);
     } else {
-      takeGo(channelId, run, frame);
+      acceptGo(channelId, run, frame);
     }
   };
 
-  const takeGo = (channelId: number, run: Run, frame: Go) => {
+  const acceptGo = (channelId: number, run: Run, frame: Go) => {
     const now = ctx.clock.now();
     run.state = 'receiving';
     run.call = frame.call;
@@ -120,17 +121,17 @@
     if (isHoldOnly(run.offer)) actions.startReserved(run);
   };
 
-  const promptWhole = (run: Run) => {
+  const queueIfPromptComplete = (run: Run) => {
     if (run.state !== 'receiving' || !run.prompt.isComplete()) return;
     run.state = 'queued';
     core.queueChanged = true;
     if (run.offer.group !== undefined) actions.startReserved(run);
   };
 
-  const promptEnd = (run: Run, frame: PromptEnd) => {
+  const handlePromptEnd = (run: Run, frame: PromptEnd) => {
     if (run.state !== 'receiving' || run.prompt.hasFrameCount()) return;
     run.prompt.setFrameCount(frame.count);
-    promptWhole(run);
+    queueIfPromptComplete(run);
     if (run.state !== 'receiving') return;
     run.timers.push(
       ctx.clock.after(timing.promptGapMs, () =>
@@ -143,24 +144,24 @@
     );
   };
 
-  const cancel = (run: Run) => {
+  const handleCancel = (run: Run) => {
     // A call once sent may not be repeated: it runs to its end.
     if (run.offer.kind === 'call' && run.started) return;
     lifecycle.cancel(run, 'cancelled', 'the entry cancelled the run');
   };
 
-  const bound = (channelId: number, run: Run, frame: RunUp) => {
+  const handleRunFrame = (channelId: number, run: Run, frame: RunUp) => {
     if (run.channelId !== channelId) return;
     run.ownerLastSeenAt = ctx.clock.now();
     switch (frame.kind) {
       case 'prompt':
         if (run.state !== 'receiving') return;
         run.prompt.put(frame.seq, frame.data);
-        return promptWhole(run);
+        return queueIfPromptComplete(run);
       case 'prompt-end':
-        return promptEnd(run, frame);
+        return handlePromptEnd(run, frame);
       case 'cancel':
-        return cancel(run);
+        return handleCancel(run);
       case 'go':
       case 'attach':
       case 'ack':
@@ -169,47 +170,58 @@
     }
   };
 
-  const notFound = (channelId: number, id: string) => {
+  const rejectNotFound = (channelId: number, id: string) => {
     const message = 'there is no such run here';
-    channels.closeWith(channelId, failed(id, 'not-found', 'unknown', message));
+    channels.closeWith(
+      channelId,
+      failedFrame(id, 'not-found', 'unknown', message),
+    );
   };
 
-  const attachBuried = (channelId: number, frame: Attach) => {
-    const buried = tombstones.get(frame.dispatchId);
-    if (buried === undefined || buried.organisation !== frame.organisation) {
-      notFound(channelId, frame.dispatchId);
+  const rejectTombstonedAttach = (channelId: number, frame: Attach) => {
+    const tombstone = tombstones.get(frame.dispatchId);
+    if (
+      tombstone === undefined ||
+      tombstone.organisation !== frame.organisation
+    ) {
+      rejectNotFound(channelId, frame.dispatchId);
       return;
     }
-    const ran = buried.started ? 'yes' : 'no';
-    const message = buried.started
+    const ran = tombstone.started ? 'yes' : 'no';
+    const message = tombstone.started
       ? 'the answer is no longer kept'
       : 'the dispatch was refused, lapsed or abandoned';
-    const outcome = failed(frame.dispatchId, 'tombstoned', ran, message);
+    const outcome = failedFrame(frame.dispatchId, 'tombstoned', ran, message);
     channels.closeWith(channelId, outcome);
   };
 
-  const superseded = (run: Run) => {
+  const supersededFrame = (run: Run) => {
     const ran = run.started ? 'yes' : 'unknown';
-    return failed(run.id, 'superseded', ran, `entry ${run.owner} owns the run`);
+    return failedFrame(
+      run.id,
+      'superseded',
+      ran,
+      `entry ${run.owner} owns the run`,
+    );
   };
 
-  const attach = (channelId: number, frame: Attach) => {
+  const handleAttach = (channelId: number, frame: Attach) => {
     const run = table.get(frame.dispatchId);
-    if (run === undefined) return attachBuried(channelId, frame);
+    if (run === undefined) return rejectTombstonedAttach(channelId, frame);
     // Another organisation learns nothing, not even that there is such a run.
     if (run.offer.organisation !== frame.organisation) {
-      return notFound(channelId, frame.dispatchId);
+      return rejectNotFound(channelId, frame.dispatchId);
     }
     if (run.owner !== frame.entry) {
       // A caller that resumed elsewhere moved its run to another entry. Its
       // first entry only sees a broken channel and attaches again; let in, it
       // would take the run back and cancel it as a run without a caller.
       if (frame.takeOver !== true) {
-        channels.closeWith(channelId, superseded(run));
+        channels.closeWith(channelId, supersededFrame(run));
         return;
       }
       if (run.channelId !== undefined) {
-        channels.closeWith(run.channelId, superseded(run));
+        channels.closeWith(run.channelId, supersededFrame(run));
         run.channelId = undefined;
       }
       ctx.log(SIDE_EVENTS.runTakenOver, {
@@ -225,14 +237,14 @@
     channels.bind(channelId, run, frame.fromSeq);
     // The prompt came only in part and can not be sent again.
     if (run.state === 'offered' || run.state === 'receiving') {
-      failUnwhole(run);
+      failIncompletePrompt(run);
       return;
     }
     if (run.started) channels.sendStarted(run);
     channels.sendPending(run);
   };
 
-  const failUnwhole = (run: Run) =>
+  const failIncompletePrompt = (run: Run) =>
     lifecycle.fail(run, {
       code: 'prompt-incomplete',
       message: 'the prompt did not arrive whole',
@@ -245,11 +257,11 @@
       if (open === undefined) return;
       if (open.dispatchId !== undefined) {
         const run = table.get(open.dispatchId);
-        if (run !== undefined) bound(channelId, run, frame);
+        if (run !== undefined) handleRunFrame(channelId, run, frame);
       } else if (frame.kind === 'go') {
-        go(channelId, frame);
+        handleGo(channelId, frame);
       } else if (frame.kind === 'attach') {
-        attach(channelId, frame);
+        handleAttach(channelId, frame);
       }
     },
     channelClosed: (channelId, clean) => {
@@ -259,10 +271,10 @@
       if (run === undefined || run.channelId !== channelId) return;
       run.channelId = undefined;
       run.delivered ||= clean && channel.outcomeSent;
-      if (run.state === 'receiving') failUnwhole(run);
+      if (run.state === 'receiving') failIncompletePrompt(run);
     },
     promptGapExpired: run => {
-      if (run.state === 'receiving') failUnwhole(run);
+      if (run.state === 'receiving') failIncompletePrompt(run);
     },
   };
 }
--- a/src/side/learned_rates.ts
+++ b/src/side/learned_rates.ts
@@ -29,7 +29,7 @@
 };
 
 /** A sample of the prefill rate spans at least this much busy time. */
-const SAMPLE_MS = 20;
+const MIN_SAMPLE_MS = 20;
 
 /**
  * Busy time after which a sample counts for a third. Tokens and time are summed
@@ -37,17 +37,17 @@
  * cost, like a step full of tokens, and call the engine slow for what it was
  * given.
  */
-const MEMORY_MS = 20_000;
+const DECAY_MS = 20_000;
 
 /** Prompt tokens seen from which on the prefill rate is no guess. */
-const LEARNED_TOKENS = 8_000;
+const MIN_LEARNED_TOKENS = 8_000;
 /** Calls seen after which the time of a call is no guess. */
-const LEARNED_CALLS = 8;
+const MIN_LEARNED_CALLS = 8;
 /**
  * An upstream may be so many times as fast as was assumed. A refusal for good
  * on assumptions alone would keep itself up: what is refused teaches nothing.
  */
-const DOUBT = 4;
+const OPTIMISM_FACTOR = 4;
 /**
  * What was learned of an engine that was slow by a fault goes on refusing once
  * the engine is well again, and what is refused teaches nothing: the side would
@@ -55,9 +55,9 @@
  * nothing adds doubt, until some work is taken; the first sample brings the
  * truth back.
  */
-const STALE_MS = 5_000;
+const REFUSAL_PERIOD_MS = 5_000;
 /** With this much doubt all but the plainly impossible is tried. */
-const MOST_DOUBT = 64;
+const MAX_OPTIMISM = 64;
 
 export interface LearnedRates {
   /** Whether any prompt is in prefill; idle time is no sample. */
@@ -83,42 +83,44 @@
 }
 
 export function createLearnedRates(priors: RatePriors): LearnedRates {
-  let perSec = priors.prefillTokensPerSec;
-  let step = priors.stepMs;
-  let call = priors.callMs;
+  let tokensPerSec = priors.prefillTokensPerSec;
+  let meanStepMs = priors.stepMs;
+  let meanCallMs = priors.callMs;
   let busySince: number | undefined;
-  let tokens = 0;
-  let seenMs = 0;
-  let seenTokens = 0;
-  let seenCalls = 0;
+  let sampleTokens = 0;
+  let weightedMs = 0;
+  let weightedTokens = 0;
+  let callCount = 0;
   /** First refusal since the last sample. */
   let refusingSince: number | undefined;
 
   /** By how much a prediction may be too long. */
-  const doubt = (isLearned: boolean, now: number) => {
+  const optimism = (isLearned: boolean, now: number) => {
     const refusingMs = refusingSince === undefined ? 0 : now - refusingSince;
-    const periods = Math.floor(refusingMs / STALE_MS) + (isLearned ? 0 : 1);
-    return Math.min(MOST_DOUBT, DOUBT ** periods);
+    const periods =
+      Math.floor(refusingMs / REFUSAL_PERIOD_MS) + (isLearned ? 0 : 1);
+    return Math.min(MAX_OPTIMISM, OPTIMISM_FACTOR ** periods);
   };
 
-  const blend = (old: number, sample: number) =>
+  const smooth = (old: number, sample: number) =>
     old + priors.alpha * (sample - old);
 
-  const sample = (now: number) => {
-    if (busySince === undefined || tokens === 0) return;
-    const elapsed = now - busySince;
-    if (elapsed < SAMPLE_MS) return;
-    const keep = Math.exp(-elapsed / MEMORY_MS);
-    seenTokens = seenTokens * keep + tokens;
-    seenMs = seenMs * keep + elapsed;
-    perSec = Math.max(1, (seenTokens / seenMs) * 1_000);
+  const takeSample = (now: number) => {
+    if (busySince === undefined || sampleTokens === 0) return;
+    const elapsedMs = now - busySince;
+    if (elapsedMs < MIN_SAMPLE_MS) return;
+    const retained = Math.exp(-elapsedMs / DECAY_MS);
+    weightedTokens = weightedTokens * retained + sampleTokens;
+    weightedMs = weightedMs * retained + elapsedMs;
+    tokensPerSec = Math.max(1, (weightedTokens / weightedMs) * 1_000);
     busySince = now;
-    tokens = 0;
+    sampleTokens = 0;
     refusingSince = undefined;
   };
 
   const prefillMs = (count: number) =>
-    (count / perSec) * 1_000 + priors.contextMsPerTokenSquared * count * count;
+    (count / tokensPerSec) * 1_000 +
+    priors.contextMsPerTokenSquared * count * count;
 
   return {
     setPrefillBusy: (busy, now) => {
@@ -126,34 +128,35 @@
         busySince ??= now;
         return;
       }
-      sample(now);
+      takeSample(now);
       busySince = undefined;
-      tokens = 0;
+      sampleTokens = 0;
     },
     recordPrefill: (count, now) => {
-      tokens += count;
-      sample(now);
+      sampleTokens += count;
+      takeSample(now);
     },
     recordDecode: (count, elapsedMs) => {
       if (count === 0) return;
-      step = blend(step, elapsedMs / count);
+      meanStepMs = smooth(meanStepMs, elapsedMs / count);
       refusingSince = undefined;
     },
     recordCall: elapsedMs => {
-      call = blend(call, elapsedMs);
-      seenCalls += 1;
+      meanCallMs = smooth(meanCallMs, elapsedMs);
+      callCount += 1;
       refusingSince = undefined;
     },
     recordRefusal: now => {
       refusingSince ??= now;
     },
-    prefillTokensPerSec: () => perSec,
-    stepMs: () => step,
-    callMs: () => call,
+    prefillTokensPerSec: () => tokensPerSec,
+    stepMs: () => meanStepMs,
+    callMs: () => meanCallMs,
     prefillMs,
     minPrefillMs: (count, now) =>
-      prefillMs(count) / doubt(seenTokens >= LEARNED_TOKENS, now),
-    minStepMs: now => step / doubt(true, now),
-    minCallMs: now => call / doubt(seenCalls >= LEARNED_CALLS, now),
+      prefillMs(count) / optimism(weightedTokens >= MIN_LEARNED_TOKENS, now),
+    minStepMs: now => meanStepMs / optimism(true, now),
+    minCallMs: now =>
+      meanCallMs / optimism(callCount >= MIN_LEARNED_CALLS, now),
   };
 }
--- a/src/side/lifecycle.ts
+++ b/src/side/lifecycle.ts
@@ -30,7 +30,7 @@
 export function createLifecycle(core: SideCore, channels: Channels): Lifecycle {
   const {ctx, table, tombstones, memory} = core;
 
-  const free = (dispatchId: string) => {
+  const cancelAtEngine = (dispatchId: string) => {
     const {upstream} = core.options;
     if (upstream.kind !== 'engine') return;
     upstream.client
@@ -39,7 +39,7 @@
       .catch(cause => ctx.fail(cause));
   };
 
-  const bury = (run: Run) =>
+  const addTombstone = (run: Run) =>
     tombstones.add(
       {
         dispatchId: run.id,
@@ -63,22 +63,22 @@
     stopListening(run);
     // The engine may still hold the memory: it stays reserved until the engine
     // has confirmed, or two runs would be given the same memory.
-    free(run.id);
+    cancelAtEngine(run.id);
   };
 
-  const close = (run: Run, state: RunState, outcome: Run['outcome']) => {
+  const finish = (run: Run, state: RunState, outcome: Run['outcome']) => {
     run.state = state;
     run.outcome = outcome;
     run.endedAt = ctx.clock.now();
     for (const cancel of run.timers.splice(0)) cancel();
     run.prompt.clear();
-    if (!run.started) bury(run);
+    if (!run.started) addTombstone(run);
     core.queueChanged = true;
     ctx.metrics.count('onyxloft_side_runs_total', {outcome: state});
     channels.sendPending(run);
   };
 
-  const failed = (run: Run, failure: RunFailure): RunFailed => ({
+  const failedFrame = (run: Run, failure: RunFailure): RunFailed => ({
     kind: 'failed',
     dispatchId: run.id,
     ran: failure.ran ?? ranOf(run),
@@ -87,16 +87,16 @@
     retryAfterMs: 0,
   });
 
-  const closeFailed = (run: Run, state: RunState, failure: RunFailure) => {
+  const finishFailed = (run: Run, state: RunState, failure: RunFailure) => {
     if (isFinished(run)) return;
-    const outcome = failed(run, failure);
+    const outcome = failedFrame(run, failure);
     // Left out, answers too long for their time would be forgotten, and the
     // side would go on taking more of them.
     if (failure.code === 'deadline-exceeded') {
       core.lengths.record(run.progress.nextToken);
     }
     stopUpstream(run);
-    close(run, state, outcome);
+    finish(run, state, outcome);
     ctx.log(SIDE_EVENTS.runFailed, {
       dispatchId: run.id,
       state,
@@ -114,7 +114,7 @@
       ctx.invariant(!memory.holds(run.id), 'memory-released-at-end', {
         dispatchId: run.id,
       });
-      close(run, 'ended', {
+      finish(run, 'ended', {
         kind: 'end',
         dispatchId: run.id,
         count: run.chunkLog.count(),
@@ -129,12 +129,12 @@
         ms: Math.round(run.endedAt - run.startedAt),
       });
     },
-    fail: (run, failure) => closeFailed(run, 'failed', failure),
+    fail: (run, failure) => finishFailed(run, 'failed', failure),
     cancel: (run, code, message) =>
-      closeFailed(run, 'cancelled', {code, message}),
-    cancelAtEngine: free,
+      finishFailed(run, 'cancelled', {code, message}),
+    cancelAtEngine,
     forget: run => {
-      bury(run);
+      addTombstone(run);
       table.remove(run.id);
     },
   };
--- a/src/side/memory_ledger.ts
+++ b/src/side/memory_ledger.ts
@@ -20,30 +20,35 @@
 
 export function createMemoryLedger(invariant: Invariant): MemoryLedger {
   const held = new Map<DispatchId, number>();
-  let sum = 0;
-  let capacity = 0;
+  let reservedTokens = 0;
+  let capacityTokens = 0;
 
   return {
     reserve: (dispatchId, tokens) => {
       invariant(!held.has(dispatchId), 'memory-reserved-once', {dispatchId});
       held.set(dispatchId, tokens);
-      sum += tokens;
-      invariant(sum <= capacity, 'memory-within-capacity', {sum, capacity});
+      reservedTokens += tokens;
+      invariant(reservedTokens <= capacityTokens, 'memory-within-capacity', {
+        sum: reservedTokens,
+        capacity: capacityTokens,
+      });
     },
     release: dispatchId => {
       const tokens = held.get(dispatchId);
       if (tokens === undefined) return;
       held.delete(dispatchId);
-      sum -= tokens;
-      invariant(sum >= 0, 'memory-not-negative', {sum});
+      reservedTokens -= tokens;
+      invariant(reservedTokens >= 0, 'memory-not-negative', {
+        sum: reservedTokens,
+      });
     },
     holds: dispatchId => held.has(dispatchId),
     holders: () => [...held.keys()],
-    reserved: () => sum,
-    capacity: () => capacity,
-    free: () => Math.max(0, capacity - sum),
+    reserved: () => reservedTokens,
+    capacity: () => capacityTokens,
+    free: () => Math.max(0, capacityTokens - reservedTokens),
     setCapacity: tokens => {
-      capacity = tokens;
+      capacityTokens = tokens;
     },
   };
 }
--- a/src/side/offers.ts
+++ b/src/side/offers.ts
@@ -19,9 +19,9 @@
 import type {Run} from './run.js';
 
 /** Least time to come back where nothing better is known. */
-const COME_BACK_MS = 100;
+const MIN_RETRY_AFTER_MS = 100;
 /** Coming back does not help: this side can never run it in its time. */
-const NEVER_MS = 0;
+const NO_RETRY_MS = 0;
 
 interface Refusal {
   readonly reason: RefusalReason;
@@ -36,11 +36,11 @@
 export function createOffers(
   core: SideCore,
   shares: FairShares,
-  watch: (run: Run) => void,
+  startTimers: (run: Run) => void,
 ): Offers {
   const {ctx, table, tombstones, memory, bounds, timing, incarnation} = core;
 
-  const refused = (refusal: Refusal): OfferRefused => ({
+  const refusedResponse = (refusal: Refusal): OfferRefused => ({
     kind: 'refused',
     incarnation,
     reason: refusal.reason,
@@ -48,8 +48,8 @@
   });
 
   const hasModel = (req: OfferReq) => {
-    const serves = core.options.upstream.kind;
-    if (req.kind === 'call') return serves === 'service';
+    const upstreamKind = core.options.upstream.kind;
+    if (req.kind === 'call') return upstreamKind === 'service';
     return core.upstream.models.some(
       state =>
         state.ready &&
@@ -70,35 +70,38 @@
     );
   };
 
-  const refuseState = (req: OfferReq): Refusal | undefined => {
+  const checkState = (req: OfferReq): Refusal | undefined => {
     if (req.incarnation !== incarnation) {
-      return {reason: 'incarnation', retryAfterMs: NEVER_MS};
+      return {reason: 'incarnation', retryAfterMs: NO_RETRY_MS};
     }
-    if (core.leaving) return {reason: 'leaving', retryAfterMs: NEVER_MS};
+    if (core.leaving) return {reason: 'leaving', retryAfterMs: NO_RETRY_MS};
     if (isUpstreamDown(core)) {
       return {reason: 'engine-down', retryAfterMs: timing.upstreamDownMs};
     }
-    if (!hasModel(req)) return {reason: 'no-model', retryAfterMs: NEVER_MS};
+    if (!hasModel(req)) return {reason: 'no-model', retryAfterMs: NO_RETRY_MS};
     return undefined;
   };
 
-  const refuseRoom = (req: OfferReq): Refusal | undefined => {
-    const need = memoryTokensOf(req);
-    if (need > memory.capacity() && req.kind === 'completion') {
-      return {reason: 'full', retryAfterMs: NEVER_MS};
+  const checkCapacity = (req: OfferReq): Refusal | undefined => {
+    const neededTokens = memoryTokensOf(req);
+    if (neededTokens > memory.capacity() && req.kind === 'completion') {
+      return {reason: 'full', retryAfterMs: NO_RETRY_MS};
     }
-    if (req.group !== undefined && need > memory.free()) {
-      const afterMs = Math.max(COME_BACK_MS, timeToFreeMemoryMs(core, need));
+    if (req.group !== undefined && neededTokens > memory.free()) {
+      const afterMs = Math.max(
+        MIN_RETRY_AFTER_MS,
+        timeToFreeMemoryMs(core, neededTokens),
+      );
       return {reason: 'full', retryAfterMs: afterMs};
     }
     if (isQueueFull(req)) {
-      const afterMs = Math.max(COME_BACK_MS, timeToFreeSlotMs(core));
+      const afterMs = Math.max(MIN_RETRY_AFTER_MS, timeToFreeSlotMs(core));
       return {reason: 'queue-full', retryAfterMs: afterMs};
     }
     return undefined;
   };
 
-  const refuseTime = (
+  const checkDeadline = (
     req: OfferReq,
     prediction: Prediction,
   ): Refusal | undefined => {
@@ -106,11 +109,11 @@
     const fitsAlone = prediction.minAloneMs <= req.timeLeftMs;
     const excess = prediction.minEndMs - req.timeLeftMs;
     if (!fitsAlone) core.rates.recordRefusal(ctx.clock.now());
-    return {reason: 'too-late', retryAfterMs: fitsAlone ? excess : NEVER_MS};
+    return {reason: 'too-late', retryAfterMs: fitsAlone ? excess : NO_RETRY_MS};
   };
 
   const refuse = (req: OfferReq, refusal: Refusal): OfferRefused => {
-    const answer = refused(refusal);
+    const answer = refusedResponse(refusal);
     // A late copy of an offer to an earlier incarnation may be of a run that
     // started there: buried as refused, it would be called "not run" to the
     // entry that comes back for it, and run twice. Its go is refused by the
@@ -156,7 +159,7 @@
     // Members of a group are all or nothing: what a member promised must still
     // be free when its lead goes, or two groups could wait for each other.
     if (req.group !== undefined) memory.reserve(run.id, run.memoryTokens);
-    watch(run);
+    startTimers(run);
     ctx.log(SIDE_EVENTS.offerAccepted, {
       dispatchId: req.dispatchId,
       organisation: req.organisation,
@@ -168,26 +171,26 @@
   };
 
   /** The answer that a copy of a known offer gets. */
-  const known = (req: OfferReq): OfferRes | undefined => {
-    const buried = tombstones.get(req.dispatchId);
-    if (buried !== undefined) {
+  const previousResponse = (req: OfferReq): OfferRes | undefined => {
+    const tombstone = tombstones.get(req.dispatchId);
+    if (tombstone !== undefined) {
       const tombstoned = {
         reason: 'tombstoned',
-        retryAfterMs: NEVER_MS,
+        retryAfterMs: NO_RETRY_MS,
       } as const;
-      return buried.answer ?? refused(tombstoned);
+      return tombstone.answer ?? refusedResponse(tombstoned);
     }
     return table.get(req.dispatchId)?.answer;
   };
 
   const decide = (req: OfferReq): OfferRes => {
-    const state = refuseState(req) ?? refuseRoom(req);
-    if (state !== undefined) return refuse(req, state);
+    const refusal = checkState(req) ?? checkCapacity(req);
+    if (refusal !== undefined) return refuse(req, refusal);
     const prediction = predict(core, req);
-    const late = refuseTime(req, prediction);
-    if (late !== undefined) return refuse(req, late);
+    const deadlineRefusal = checkDeadline(req, prediction);
+    if (deadlineRefusal !== undefined) return refuse(req, deadlineRefusal);
     return accept(req, prediction);
   };
 
-  return {offer: req => known(req) ?? decide(req)};
+  return {offer: req => previousResponse(req) ?? decide(req)};
 }
--- a/src/side/orders.ts
+++ b/src/side/orders.ts
@@ -35,19 +35,19 @@
   const {upstream} = options;
   const outcomes = new Map<string, OrderRes>();
   const waiting: PendingOrder[] = [];
-  let passed: PendingOrder | undefined;
+  let inFlight: PendingOrder | undefined;
 
-  const answer = (state: OrderRes['state'], reason: string): OrderRes => ({
+  const response = (state: OrderRes['state'], reason: string): OrderRes => ({
     state,
     reason,
     fence: core.fence,
   });
 
-  const fenceSeen = (fence: number) => {
+  const observeFence = (fence: number) => {
     core.fence = Math.max(core.fence, fence);
   };
 
-  const inUse = (req: OrderReq) =>
+  const isModelInUse = (req: OrderReq) =>
     req.action === 'unload' &&
     table.all().some(run => !isFinished(run) && run.offer.model === req.model);
 
@@ -55,7 +55,7 @@
     if (upstream.kind !== 'engine') return 'not-an-engine';
     if (!core.fenceKnown) return 'fence-unknown';
     if (req.fence < core.fence) return 'stale-fence';
-    if (inUse(req)) return 'in-use';
+    if (isModelInUse(req)) return 'in-use';
     return undefined;
   };
 
@@ -66,7 +66,7 @@
       fence: req.fence,
       highestFence: core.fence,
     });
-    reply(answer('refused', reason));
+    reply(response('refused', reason));
   };
 
   const remember = (orderId: string, res: OrderRes) => {
@@ -76,7 +76,7 @@
     if (oldest !== undefined) outcomes.delete(oldest);
   };
 
-  const noteUnload = (req: OrderReq) => {
+  const hideUnloadedModels = (req: OrderReq) => {
     if (req.action !== 'unload') return;
     // The engine's report lags: no offer is taken on what is being unloaded.
     core.upstream.models = core.upstream.models.filter(
@@ -86,11 +86,11 @@
     );
   };
 
-  const pass = (pending: PendingOrder) => {
+  const forward = (pending: PendingOrder) => {
     const {req} = pending;
     if (upstream.kind !== 'engine') return;
-    passed = pending;
-    noteUnload(req);
+    inFlight = pending;
+    hideUnloadedModels(req);
     ctx.log(SIDE_EVENTS.orderPassed, {
       orderId: req.orderId,
       action: req.action,
@@ -107,18 +107,18 @@
   };
 
   /** The number may have grown while an order waited: it is looked at again. */
-  const passNext = () => {
-    while (passed === undefined) {
+  const forwardNext = () => {
+    while (inFlight === undefined) {
       const next = waiting.shift();
       if (next === undefined) return;
       const reason = refusal(next.req);
-      if (reason === undefined) pass(next);
+      if (reason === undefined) forward(next);
       else refuse(next, reason);
     }
   };
 
   const isPending = (orderId: string) =>
-    passed?.req.orderId === orderId ||
+    inFlight?.req.orderId === orderId ||
     waiting.some(pending => pending.req.orderId === orderId);
 
   const settle = (pending: PendingOrder, outcome: Either<OnyxError, void>) => {
@@ -131,10 +131,10 @@
           cause: err.message,
         });
         const reason = err.code === 'stale' ? 'stale-fence' : err.code;
-        reply(answer('refused', reason));
+        reply(response('refused', reason));
       })
       .ifRight(() => {
-        const res = answer(req.action === 'load' ? 'started' : 'done', '');
+        const res = response(req.action === 'load' ? 'started' : 'done', '');
         remember(req.orderId, res);
         reply(res);
       });
@@ -144,23 +144,24 @@
     submit: (req, reply) => {
       const pending = {req, reply};
       const reason = refusal(req);
-      const stale = reason !== undefined && reason !== 'in-use';
-      if (stale) return refuse(pending, reason);
-      fenceSeen(req.fence);
-      const before = outcomes.get(req.orderId);
-      if (before !== undefined) return reply({...before, fence: core.fence});
-      if (isPending(req.orderId)) return reply(answer('started', ''));
+      const isFinal = reason !== undefined && reason !== 'in-use';
+      if (isFinal) return refuse(pending, reason);
+      observeFence(req.fence);
+      const previous = outcomes.get(req.orderId);
+      if (previous !== undefined)
+        return reply({...previous, fence: core.fence});
+      if (isPending(req.orderId)) return reply(response('started', ''));
       waiting.push(pending);
-      passNext();
+      forwardNext();
     },
     handleOutcome: (orderId, outcome) => {
-      const pending = passed;
+      const pending = inFlight;
       if (pending?.req.orderId !== orderId) return;
-      passed = undefined;
+      inFlight = undefined;
       settle(pending, outcome);
-      passNext();
+      forwardNext();
     },
-    observeFence: fenceSeen,
+    observeFence,
     requestFence: () => {
       if (upstream.kind !== 'engine' || core.fenceKnown) return;
       options
@@ -172,14 +173,14 @@
       outcome
         .ifRight(fence => {
           core.fenceKnown = true;
-          fenceSeen(fence);
+          observeFence(fence);
           ctx.log(SIDE_EVENTS.fenceRead, {fence: core.fence});
         })
         .ifLeft(() => {
-          const again = ctx.clock.after(timing.fenceRetryMs, () => {
+          const cancelRetry = ctx.clock.after(timing.fenceRetryMs, () => {
             ctx.send('runs', {kind: 'fence-due'});
           });
-          ctx.own(again);
+          ctx.own(cancelRetry);
         });
     },
   };
--- a/src/side/output_lengths.ts
+++ b/src/side/output_lengths.ts
@@ -5,11 +5,11 @@
  */
 
 /** Answers after which the distribution is used. */
-const LEARNED_ANSWERS = 8;
+const MIN_ANSWERS = 8;
 /** Share of the answers that are no longer than predicted. */
-const COVERED = 0.95;
+const PREDICTED_QUANTILE = 0.95;
 /** What each answer leaves of the weight of those before it. */
-const KEPT = 0.995;
+const DECAY_PER_ANSWER = 0.995;
 
 export interface OutputLengths {
   /** An answer ended, or was cut by its time limit, after so many tokens. */
@@ -26,41 +26,41 @@
 export function createOutputLengths(): OutputLengths {
   /** Weights of answers by the power of two that they are under. */
   const weights: number[] = [];
-  let answers = 0;
+  let answerCount = 0;
 
-  const ended = (tokens: number) => {
+  const record = (tokens: number) => {
     if (tokens <= 0) return;
-    answers += 1;
+    answerCount += 1;
     for (const [index, weight] of weights.entries()) {
-      weights[index] = weight * KEPT;
+      weights[index] = weight * DECAY_PER_ANSWER;
     }
     const index = Math.floor(Math.log2(tokens)) + 1;
     while (weights.length <= index) weights.push(0);
     weights[index] += 1;
   };
 
-  const isLearned = () => answers >= LEARNED_ANSWERS;
+  const hasEnoughAnswers = () => answerCount >= MIN_ANSWERS;
 
-  const likelyLeft = (most: number, already: number) => {
-    const allowed = Math.max(0, most - already);
-    if (!isLearned()) return allowed;
-    const longer = weights.map((weight, index) =>
-      2 ** index > already ? weight : 0,
+  const predictRemaining = (maxTokens: number, generatedTokens: number) => {
+    const allowed = Math.max(0, maxTokens - generatedTokens);
+    if (!hasEnoughAnswers()) return allowed;
+    const totalWeight = weights.map((weight, index) =>
+      2 ** index > generatedTokens ? weight : 0,
     );
-    const all = longer.reduce((sum, weight) => sum + weight, 0);
+    const all = totalWeight.reduce((sum, weight) => sum + weight, 0);
     // Longer than any seen: as much again as there is, within its bound.
-    if (all === 0) return Math.min(allowed, already);
-    let covered = 0;
-    const index = longer.findIndex(weight => {
-      covered += weight;
-      return covered >= COVERED * all;
+    if (all === 0) return Math.min(allowed, generatedTokens);
+    let coveredWeight = 0;
+    const index = totalWeight.findIndex(weight => {
+      coveredWeight += weight;
+      return coveredWeight >= PREDICTED_QUANTILE * all;
     });
-    return Math.min(allowed, 2 ** index - already);
+    return Math.min(allowed, 2 ** index - generatedTokens);
   };
 
   return {
-    record: ended,
-    hasEnoughAnswers: isLearned,
-    predictRemaining: likelyLeft,
+    record,
+    hasEnoughAnswers,
+    predictRemaining,
   };
 }
--- a/src/side/prediction.ts
+++ b/src/side/prediction.ts
@@ -31,15 +31,19 @@
   tokensLeft: number,
 ): number {
   if (offer.kind === 'call') return core.rates.callMs();
-  return ownPrefillMs(core, offer, prefillTokens) + decodeMs(core, tokensLeft);
+  return prefillTimeMs(core, offer, prefillTokens) + decodeMs(core, tokensLeft);
 }
 
-function wholeMs(core: SideCore, offer: OfferReq): number {
+function totalServiceMs(core: SideCore, offer: OfferReq): number {
   const tokens = core.lengths.predictRemaining(offer.maxTokens, 0);
   return serviceMs(core, offer, offer.promptTokens, tokens);
 }
 
-function ownPrefillMs(core: SideCore, offer: OfferReq, tokens: number): number {
+function prefillTimeMs(
+  core: SideCore,
+  offer: OfferReq,
+  tokens: number,
+): number {
   return core.rates.prefillMs(tokens) / (offer.group?.size ?? 1);
 }
 
@@ -51,7 +55,7 @@
  * The least that an offer's own work may take. Until answers were seen only its
  * first token counts: what it is allowed says how long it gets at most.
  */
-function leastServiceMs(core: SideCore, offer: OfferReq): number {
+function minServiceMs(core: SideCore, offer: OfferReq): number {
   const {rates, lengths} = core;
   const now = core.ctx.clock.now();
   if (offer.kind === 'call') return rates.minCallMs(now);
@@ -63,7 +67,7 @@
 }
 
 export function toQueueItem(core: SideCore, run: Run): QueueItem {
-  const left = prefillTokensLeft(run);
+  const prefillTokens = prefillTokensLeft(run);
   const tokensLeft = core.lengths.predictRemaining(
     run.offer.maxTokens,
     run.progress.nextToken,
@@ -75,10 +79,10 @@
     priority: run.offer.priority,
     classIndex: classIndexOf(lengthClassesOf(core), run.offer.promptTokens),
     memoryTokens: run.memoryTokens,
-    prefillTokens: left,
+    prefillTokens,
     enqueuedAt: run.offeredAt,
     deadlineAt: run.deadlineAt,
-    serviceMs: serviceMs(core, run.offer, left, tokensLeft),
+    serviceMs: serviceMs(core, run.offer, prefillTokens, tokensLeft),
   };
 }
 
@@ -106,9 +110,9 @@
 }
 
 /** What holds memory and frees it when it ends. */
-interface Holder {
+interface MemoryHolder {
   readonly memoryTokens: number;
-  readonly leftMs: number;
+  readonly remainingMs: number;
 }
 
 /**
@@ -116,53 +120,57 @@
  * taken for memory that is free at once, and what waits for it would be
  * promised a time that it cannot have.
  */
-function holdersOf(core: SideCore, view: QueueView): readonly Holder[] {
+function memoryHoldersOf(
+  core: SideCore,
+  view: QueueView,
+): readonly MemoryHolder[] {
   const now = core.ctx.clock.now();
-  const holds = core.table
+  const reservations = core.table
     .all()
     .filter(run => isHoldOnly(run.offer) && core.memory.holds(run.id))
     .map(run => ({
       memoryTokens: run.memoryTokens,
-      leftMs: Math.max(0, holdMs(core, run) - (now - run.offeredAt)),
+      remainingMs: Math.max(0, memoryHoldMs(core, run) - (now - run.offeredAt)),
     }));
   const running = view.running.map(item => ({
     memoryTokens: item.memoryTokens,
-    leftMs: item.serviceMs,
+    remainingMs: item.serviceMs,
   }));
-  return [...holds, ...running];
+  return [...reservations, ...running];
 }
 
-function holdMs(core: SideCore, run: Run): number {
+function memoryHoldMs(core: SideCore, run: Run): number {
   const {offer} = run;
-  return wholeMs(core, offer);
+  return totalServiceMs(core, offer);
 }
 
 /** Time until what runs has freed so many places and so much memory. */
-function freedAfterMs(
+function timeToFreeMs(
   core: SideCore,
   view: QueueView,
-  places: number,
+  slots: number,
   memoryTokens: number,
 ): number {
-  let needPlaces = places - (view.maxRunning - view.running.length);
-  let needMemory = view.capacityTokens > 0 ? memoryTokens - view.freeTokens : 0;
-  if (needPlaces <= 0 && needMemory <= 0) return 0;
-  const soonestFirst = [...holdersOf(core, view)].sort(
-    (a, b) => a.leftMs - b.leftMs,
+  let missingSlots = slots - (view.maxRunning - view.running.length);
+  let missingMemory =
+    view.capacityTokens > 0 ? memoryTokens - view.freeTokens : 0;
+  if (missingSlots <= 0 && missingMemory <= 0) return 0;
+  const soonestFirst = [...memoryHoldersOf(core, view)].sort(
+    (a, b) => a.remainingMs - b.remainingMs,
   );
-  let after = 0;
+  let elapsedMs = 0;
   for (const item of soonestFirst) {
-    after = item.leftMs;
-    needPlaces -= 1;
-    needMemory -= item.memoryTokens;
-    if (needPlaces <= 0 && needMemory <= 0) return after;
+    elapsedMs = item.remainingMs;
+    missingSlots -= 1;
+    missingMemory -= item.memoryTokens;
+    if (missingSlots <= 0 && missingMemory <= 0) return elapsedMs;
   }
   // More is ahead than runs: so many more rounds of what runs.
   const rounds = Math.max(
-    needPlaces / Math.max(1, view.maxRunning),
-    needMemory / Math.max(1, view.capacityTokens),
+    missingSlots / Math.max(1, view.maxRunning),
+    missingMemory / Math.max(1, view.capacityTokens),
   );
-  return after * (1 + Math.max(0, rounds));
+  return elapsedMs * (1 + Math.max(0, rounds));
 }
 
 const sum = (numbers: readonly number[]) => numbers.reduce((a, b) => a + b, 0);
@@ -179,7 +187,7 @@
     prefillTokens: offer.promptTokens,
     enqueuedAt: now,
     deadlineAt: now + offer.timeLeftMs,
-    serviceMs: wholeMs(core, offer),
+    serviceMs: totalServiceMs(core, offer),
   };
 }
 
@@ -196,7 +204,7 @@
   const prefillAheadMs = sum(
     ahead.map(other => core.rates.prefillMs(other.prefillTokens)),
   );
-  const blockedMs = freedAfterMs(
+  const blockedMs = timeToFreeMs(
     core,
     view,
     waitingAhead.length + 1,
@@ -206,13 +214,13 @@
   const ownMs =
     offer.kind === 'call'
       ? item.serviceMs
-      : ownPrefillMs(core, offer, offer.promptTokens);
-  const leastMs = leastServiceMs(core, offer);
+      : prefillTimeMs(core, offer, offer.promptTokens);
+  const minMs = minServiceMs(core, offer);
   return {
     firstTokenMs: waitMs + ownMs,
     endMs: waitMs + item.serviceMs,
-    minEndMs: waitMs + leastMs,
-    minAloneMs: leastMs,
+    minEndMs: waitMs + minMs,
+    minAloneMs: minMs,
   };
 }
 
@@ -222,11 +230,11 @@
   memoryTokens: number,
 ): number {
   const view = toQueueView(core, [], new Map());
-  return freedAfterMs(core, view, 0, memoryTokens);
+  return timeToFreeMs(core, view, 0, memoryTokens);
 }
 
 /** Time until a place is free, as predicted. */
 export function timeToFreeSlotMs(core: SideCore): number {
   const view = toQueueView(core, [], new Map());
-  return freedAfterMs(core, view, 1, 0);
+  return timeToFreeMs(core, view, 1, 0);
 }
--- a/src/side/prompt_buffer.ts
+++ b/src/side/prompt_buffer.ts
@@ -23,12 +23,12 @@
   let count: number | undefined;
 
   async function* inOrder(
-    pieces: readonly Uint8Array[],
+    orderedFrames: readonly Uint8Array[],
   ): AsyncIterable<Uint8Array> {
-    yield* pieces;
+    yield* orderedFrames;
   }
 
-  const isWhole = () => {
+  const isComplete = () => {
     if (count === undefined || frames.size < count) return false;
     for (let seq = 0; seq < count; seq++) {
       if (!frames.has(seq)) return false;
@@ -44,15 +44,15 @@
       count ??= total;
     },
     hasFrameCount: () => count !== undefined,
-    isComplete: isWhole,
+    isComplete,
     take: () => {
-      const pieces: Uint8Array[] = [];
+      const orderedFrames: Uint8Array[] = [];
       for (let seq = 0; seq < (count ?? 0); seq++) {
-        const piece = frames.get(seq);
-        if (piece !== undefined) pieces.push(piece);
+        const frame = frames.get(seq);
+        if (frame !== undefined) orderedFrames.push(frame);
       }
       frames.clear();
-      return inOrder(pieces);
+      return inOrder(orderedFrames);
     },
     clear: () => frames.clear(),
   };
--- a/src/side/run_owners.ts
+++ b/src/side/run_owners.ts
@@ -26,7 +26,7 @@
 ): RunOwners {
   const {ctx, table, timing, bounds, tombstones} = core;
 
-  const isSilent = (run: Run) =>
+  const isOwnerSilent = (run: Run) =>
     run.channelId === undefined &&
     ctx.clock.now() - run.ownerLastSeenAt > timing.holdMs;
 
@@ -34,7 +34,7 @@
   // time limit, which for a long prompt is many minutes.
   const cancelOrphans = () => {
     for (const run of table.all()) {
-      if (isFinished(run) || run.state === 'offered' || !isSilent(run))
+      if (isFinished(run) || run.state === 'offered' || !isOwnerSilent(run))
         continue;
       if (run.offer.kind === 'call' && run.started) continue;
       ctx.log(SIDE_EVENTS.ownerLost, {dispatchId: run.id, owner: run.owner});
@@ -42,16 +42,16 @@
     }
   };
 
-  const isBeingRead = (run: Run) =>
+  const isBeingDelivered = (run: Run) =>
     run.channelId !== undefined && run.outcomeSentAt === undefined;
 
   /** On a channel that lives on, what was sent has arrived by now. */
-  const noteDelivered = () => {
-    const before = ctx.clock.now() - timing.channelSilenceMs;
+  const markDelivered = () => {
+    const sentBefore = ctx.clock.now() - timing.channelSilenceMs;
     for (const run of table.finished()) {
       if (run.channelId === undefined || run.outcomeSentAt === undefined)
         continue;
-      if (run.outcomeSentAt < before) run.delivered = true;
+      if (run.outcomeSentAt < sentBefore) run.delivered = true;
     }
   };
 
@@ -64,18 +64,18 @@
     lifecycle.forget(run);
   };
 
-  const forgetOld = () => {
+  const forgetExpired = () => {
     const now = ctx.clock.now();
     const kept: Run[] = [];
     for (const run of table.finished()) {
-      if (run.lateCall || isBeingRead(run)) continue;
+      if (run.lateCall || isBeingDelivered(run)) continue;
       if (now - run.endedAt > timing.retentionMs) forget(run);
       else kept.push(run);
     }
-    forgetOverBound(kept);
+    forgetOverLimit(kept);
   };
 
-  const forgetOverBound = (kept: readonly Run[]) => {
+  const forgetOverLimit = (kept: readonly Run[]) => {
     let bytes = kept.reduce((total, run) => total + run.chunkLog.bytes(), 0);
     const oldestFirst = [...kept].sort((a, b) => a.endedAt - b.endedAt);
     for (const run of oldestFirst) {
@@ -95,12 +95,13 @@
     sweep: () => {
       tombstones.sweep(ctx.clock.now());
       cancelOrphans();
-      noteDelivered();
-      forgetOld();
+      markDelivered();
+      forgetExpired();
     },
     resetSilence: () => {
       for (const run of table.all()) run.ownerLastSeenAt = ctx.clock.now();
     },
-    isAwaited: run => !isFinished(run) || (!run.delivered && !isSilent(run)),
+    isAwaited: run =>
+      !isFinished(run) || (!run.delivered && !isOwnerSilent(run)),
   };
 }
--- a/src/side/run_table.ts
+++ b/src/side/run_table.ts
@@ -16,11 +16,11 @@
   find(requestId: RequestId, organisation: OrganisationId): Run | undefined;
 }
 
-const FURTHEST_FIRST = ['running', 'ended', 'queued', 'receiving'];
+const MOST_ADVANCED_FIRST = ['running', 'ended', 'queued', 'receiving'];
 
 function rank(run: Run): number {
-  const index = FURTHEST_FIRST.indexOf(run.state);
-  return index < 0 ? FURTHEST_FIRST.length : index;
+  const index = MOST_ADVANCED_FIRST.indexOf(run.state);
+  return index < 0 ? MOST_ADVANCED_FIRST.length : index;
 }
 
 export function createRunTable(): RunTable {
--- a/src/side/runs_service.ts
+++ b/src/side/runs_service.ts
@@ -36,18 +36,18 @@
 import {createUpstreamPoller} from './upstream_poller.js';
 
 /** So many missed sweeps mean that the process stood still. */
-const FROZEN_SWEEPS = 3;
+const FREEZE_SWEEPS = 3;
 
 export function createRunsService(options: RunsOptions): ServiceSpec<'runs'> {
-  let starts = 0;
+  let startCount = 0;
   return {
     name: 'runs',
     start: ctx => {
       // A service that failed and was started again has forgotten its
       // tombstones: to its peers it must be another incarnation.
-      const again = starts === 0 ? '' : `-${starts}`;
-      starts += 1;
-      run(createCore(ctx, options, options.incarnation + again));
+      const suffix = startCount === 0 ? '' : `-${startCount}`;
+      startCount += 1;
+      startRunsService(createCore(ctx, options, options.incarnation + suffix));
     },
   };
 }
@@ -85,53 +85,53 @@
   };
 }
 
-function run(core: SideCore): void {
+function startRunsService(core: SideCore): void {
   const {ctx, timing, table} = core;
   const shares = createFairShares();
   const channels = createChannels(core);
   const lifecycle = createLifecycle(core, channels);
   const runner = createUpstreamRunner(core, channels, lifecycle);
   const scheduler = createScheduler(core, shares, lifecycle, runner);
-  const owners = createRunOwners(core, channels, lifecycle);
+  const runOwners = createRunOwners(core, channels, lifecycle);
   const audit = createAudit(core, lifecycle);
   const orders = createOrders(core);
   const upstreamWatch = createUpstreamPoller(core);
-  const abandon = createAbandonHandler(core, lifecycle);
-  const drains: Array<() => void> = [];
+  const handleAbandon = createAbandonHandler(core, lifecycle);
+  const drainReplies: Array<() => void> = [];
   let lastTickAt = ctx.clock.now();
 
-  const due = (
+  const scheduleTimer = (
     target: Run,
-    what: (RunsEvent & {kind: 'due'})['timer'],
+    timer: (RunsEvent & {kind: 'due'})['timer'],
     afterMs: number,
   ) => {
     const dispatchId = target.id;
     target.timers.push(
       ctx.clock.after(afterMs, () =>
-        ctx.send('runs', {kind: 'due', dispatchId, timer: what}),
+        ctx.send('runs', {kind: 'due', dispatchId, timer}),
       ),
     );
   };
 
   const watchDeadline = (target: Run) =>
-    due(target, 'deadline', target.deadlineAt - ctx.clock.now());
+    scheduleTimer(target, 'deadline', target.deadlineAt - ctx.clock.now());
 
   const offers = createOffers(core, shares, target => {
-    due(target, 'lapse', timing.offerLapseMs);
+    scheduleTimer(target, 'lapse', timing.offerLapseMs);
     watchDeadline(target);
   });
-  const frames = createFrameHandler(core, channels, lifecycle, {
+  const frameHandler = createFrameHandler(core, channels, lifecycle, {
     watchDeadline,
     startReserved: scheduler.startReserved,
   });
 
-  const lapse = (target: Run) => {
+  const lapseOffer = (target: Run) => {
     if (target.state !== 'offered') return;
     ctx.log(SIDE_EVENTS.offerLapsed, {dispatchId: target.id});
     lifecycle.cancel(target, 'lapsed', 'no go came for the accepted offer');
   };
 
-  const deadline = (target: Run) => {
+  const handleDeadline = (target: Run) => {
     if (ctx.clock.now() < target.deadlineAt) {
       watchDeadline(target);
       return;
@@ -140,44 +140,44 @@
       code: 'deadline-exceeded',
       message: 'the time limit passed',
     });
-    if (target.lateCall) due(target, 'late-call', timing.lateCallMs);
+    if (target.lateCall) scheduleTimer(target, 'late-call', timing.lateCallMs);
   };
 
-  const lateCall = (target: Run) => {
+  const releaseLateCall = (target: Run) => {
     if (!target.lateCall) return;
     stopListening(target);
     target.lateCall = false;
     core.queueChanged = true;
   };
 
-  const onDue = (message: RunsEvent & {kind: 'due'}) => {
+  const handleTimer = (message: RunsEvent & {kind: 'due'}) => {
     const target = table.get(message.dispatchId);
     if (target === undefined) return;
     switch (message.timer) {
       case 'lapse':
-        return lapse(target);
+        return lapseOffer(target);
       case 'deadline':
-        return deadline(target);
+        return handleDeadline(target);
       case 'prompt-gap':
-        return frames.promptGapExpired(target);
+        return frameHandler.promptGapExpired(target);
       case 'late-call':
-        return lateCall(target);
+        return releaseLateCall(target);
     }
   };
 
-  const checkFrozen = () => {
+  const detectFreeze = () => {
     const now = ctx.clock.now();
-    const gap = now - lastTickAt;
+    const sinceLastTickMs = now - lastTickAt;
     lastTickAt = now;
-    if (gap <= FROZEN_SWEEPS * timing.heartbeatMs) return;
+    if (sinceLastTickMs <= FREEZE_SWEEPS * timing.heartbeatMs) return;
     // While this process stood still it could hear nobody. To take that for
     // the others' silence would end runs whose owners are well.
-    ctx.log(SIDE_EVENTS.sideFrozen, {ms: Math.round(gap)});
+    ctx.log(SIDE_EVENTS.sideFrozen, {ms: Math.round(sinceLastTickMs)});
     channels.resetSilence();
-    owners.resetSilence();
+    runOwners.resetSilence();
   };
 
-  const gauges = () => {
+  const updateGauges = () => {
     const load = loadOf(core);
     ctx.metrics.gauge('onyxloft_side_queue_length', {}, load.queued);
     ctx.metrics.gauge('onyxloft_side_running', {}, load.running);
@@ -188,21 +188,21 @@
     );
   };
 
-  const tick = () => {
-    checkFrozen();
+  const handleTick = () => {
+    detectFreeze();
     for (const id of channels.sweep()) {
       ctx.log(SIDE_EVENTS.channelSilent, {channel: id});
-      frames.channelClosed(id, false);
+      frameHandler.channelClosed(id, false);
     }
-    owners.sweep();
+    runOwners.sweep();
     runner.sweep();
     // Ageing and deadlines change the queue without any event.
     core.queueChanged = true;
-    gauges();
+    updateGauges();
   };
 
-  const heartbeat = (req: SideHeartbeatReq) => {
-    owners.renew(req.entry, req.owned);
+  const handleHeartbeat = (req: SideHeartbeatReq) => {
+    runOwners.renew(req.entry, req.owned);
     orders.observeFence(req.fence);
     if (req.configNumber > (core.config?.number ?? 0)) {
       ctx.send('config', {
@@ -214,22 +214,22 @@
     return heartbeatReplyOf(core);
   };
 
-  const leave = (reply: () => void) => {
+  const startDrain = (reply: () => void) => {
     if (!core.leaving) ctx.log(SIDE_EVENTS.sideLeaving, {});
     core.leaving = true;
-    drains.push(reply);
+    drainReplies.push(reply);
   };
 
-  const onRequest = (message: RunsRequest) => {
+  const handleRequest = (message: RunsRequest) => {
     switch (message.kind) {
       case 'offer':
         return message.reply(offers.offer(message.req));
       case 'abandon':
-        return message.reply(abandon(message.req));
+        return message.reply(handleAbandon(message.req));
       case 'locate':
         return message.reply(locateRun(core, message.req));
       case 'heartbeat':
-        return message.reply(heartbeat(message.req));
+        return message.reply(handleHeartbeat(message.req));
       case 'order':
         return orders.submit(message.req, message.reply);
       case 'channel':
@@ -240,18 +240,18 @@
         core.queueChanged = true;
         return;
       case 'drain':
-        return leave(message.reply);
+        return startDrain(message.reply);
       case 'status':
         return message.reply(statusOf(core, channels.count()));
     }
   };
 
-  const onEvent = (message: RunsEvent) => {
+  const handleEvent = (message: RunsEvent) => {
     switch (message.kind) {
       case 'frame':
-        return frames.handle(message.channelId, message.frame);
+        return frameHandler.handle(message.channelId, message.frame);
       case 'channel-closed':
-        return frames.channelClosed(message.channelId, message.clean);
+        return frameHandler.channelClosed(message.channelId, message.clean);
       case 'channel-ready': {
         const id = channels.markReady(message.channelId);
         const target = id === undefined ? undefined : table.get(id);
@@ -270,9 +270,9 @@
         return;
       }
       case 'due':
-        return onDue(message);
+        return handleTimer(message);
       case 'tick':
-        return tick();
+        return handleTick();
       case 'audit':
         return audit.requestList();
       case 'listed':
@@ -293,21 +293,22 @@
     }
   };
 
-  const answerDrains = () => {
-    if (drains.length === 0 || table.all().some(owners.isAwaited)) return;
+  const replyToDrains = () => {
+    if (drainReplies.length === 0 || table.all().some(runOwners.isAwaited))
+      return;
     if (table.occupyingSlots().length > 0) return;
     ctx.log(SIDE_EVENTS.sideDrained, {});
-    for (const reply of drains.splice(0)) reply();
+    for (const reply of drainReplies.splice(0)) reply();
   };
 
   const handle = (message: RunsMessage) => {
-    if (isRequest(message)) onRequest(message);
-    else onEvent(message);
+    if (isRequest(message)) handleRequest(message);
+    else handleEvent(message);
     if (core.queueChanged) {
       core.queueChanged = false;
       scheduler.startEligible();
     }
-    answerDrains();
+    replyToDrains();
   };
 
   const periodically = (ms: number, message: RunsEvent) =>
--- a/src/side/scheduler.ts
+++ b/src/side/scheduler.ts
@@ -24,7 +24,7 @@
 ): Scheduler {
   const {ctx, table} = core;
 
-  const isLate = (run: Run) => {
+  const failIfLate = (run: Run) => {
     if (ctx.clock.now() < run.deadlineAt) return false;
     lifecycle.fail(run, {
       code: 'deadline-exceeded',
@@ -77,12 +77,12 @@
 
   return {
     startEligible: () => {
-      for (const run of queued()) isLate(run);
+      for (const run of queued()) failIfLate(run);
       if (isUpstreamDown(core)) return;
       while (startNext());
     },
     startReserved: run => {
-      if (isLate(run)) return;
+      if (failIfLate(run)) return;
       const view = toQueueView(core, [run], shares.served());
       const choice = {
         dispatchId: run.id,
--- a/src/side/side_core.ts
+++ b/src/side/side_core.ts
@@ -108,9 +108,9 @@
 }
 
 export function isUpstreamDown(core: SideCore): boolean {
-  const {lastReportAt: heardAt, reconciled} = core.upstream;
+  const {lastReportAt, reconciled} = core.upstream;
   const isEngine = core.options.upstream.kind === 'engine';
   if (isEngine && core.memory.capacity() === 0) return true;
-  if (heardAt === undefined || !reconciled) return true;
-  return core.ctx.clock.now() - heardAt > core.timing.upstreamDownMs;
+  if (lastReportAt === undefined || !reconciled) return true;
+  return core.ctx.clock.now() - lastReportAt > core.timing.upstreamDownMs;
 }
--- a/src/side/state_reports.ts
+++ b/src/side/state_reports.ts
@@ -29,7 +29,7 @@
 
 export function loadOf(core: SideCore): SideLoad {
   const {table, memory, rates, upstream} = core;
-  const all = table.all();
+  const runs = table.all();
   const isShort = (run: Run) =>
     classIndexOf(lengthClassesOf(core), run.offer.promptTokens) === 0;
   return {
@@ -37,17 +37,20 @@
     freeTokens: memory.free(),
     running: table.occupyingSlots().length,
     queued: table.waiting().length,
-    prefillBacklogTokens: prefillBacklog(all),
-    shortBacklogTokens: prefillBacklog(all.filter(isShort)),
+    prefillBacklogTokens: prefillBacklog(runs),
+    shortBacklogTokens: prefillBacklog(runs.filter(isShort)),
     prefillTokensPerSec: rates.prefillTokensPerSec(),
     stepMs: rates.stepMs(),
     reportAgeMs: reportAgeMsOf(core, upstream.lastReportAt),
   };
 }
 
-function reportAgeMsOf(core: SideCore, heardAt: number | undefined): number {
-  if (heardAt === undefined) return 0;
-  return core.ctx.clock.now() - heardAt + core.upstream.reportAgeMs;
+function reportAgeMsOf(
+  core: SideCore,
+  lastReportAt: number | undefined,
+): number {
+  if (lastReportAt === undefined) return 0;
+  return core.ctx.clock.now() - lastReportAt + core.upstream.reportAgeMs;
 }
 
 export function heartbeatReplyOf(core: SideCore): SideHeartbeatRes {
--- a/src/side/tombstones.ts
+++ b/src/side/tombstones.ts
@@ -37,10 +37,10 @@
 
   return {
     add: (tombstone, now) => {
-      const before = entries.get(tombstone.dispatchId);
-      if (before === undefined && entries.size >= limit) return false;
+      const existing = entries.get(tombstone.dispatchId);
+      if (existing === undefined && entries.size >= limit) return false;
       entries.delete(tombstone.dispatchId);
-      const started = tombstone.started || before?.tombstone.started === true;
+      const started = tombstone.started || existing?.tombstone.started === true;
       entries.set(tombstone.dispatchId, {
         tombstone: {...tombstone, started},
         expiresAt: now + ttlMs,
--- a/src/side/upstream_poller.ts
+++ b/src/side/upstream_poller.ts
@@ -13,7 +13,7 @@
   const {ctx, memory} = core;
   const {upstream} = core.options;
 
-  const report = async (): Promise<Either<OnyxError, UpstreamReport>> => {
+  const fetchReport = async (): Promise<Either<OnyxError, UpstreamReport>> => {
     if (upstream.kind === 'engine') {
       const outcome = await upstream.client.report();
       return outcome.map(value => ({kind: 'engine', report: value}));
@@ -22,7 +22,7 @@
     return outcome.map(value => ({kind: 'service', report: value}));
   };
 
-  const take = (value: UpstreamReport) => {
+  const applyReport = (value: UpstreamReport) => {
     core.upstream.lastReportAt = ctx.clock.now();
     core.upstream.reportAgeMs = value.report.ageMs;
     core.queueChanged = true;
@@ -33,11 +33,11 @@
 
   return {
     requestReport: () => {
-      report()
+      fetchReport()
         .then(outcome => ctx.send('runs', {kind: 'reported', outcome}))
         .catch(cause => ctx.fail(cause));
     },
     // Without an answer the last view grows old; see `isUpstreamDown`.
-    handleReport: outcome => void outcome.ifRight(take),
+    handleReport: outcome => void outcome.ifRight(applyReport),
   };
 }
--- a/src/side/upstream_runner.ts
+++ b/src/side/upstream_runner.ts
@@ -25,7 +25,7 @@
   sweep(): void;
 }
 
-async function* nothing(): AsyncIterable<Uint8Array> {
+async function* emptyPrompt(): AsyncIterable<Uint8Array> {
   // A hold has no prompt.
 }
 
@@ -37,7 +37,7 @@
   const {ctx, timing, options, table, tombstones, memory, rates} = core;
   const {upstream} = options;
 
-  const lost = (run: Run, cause: unknown) =>
+  const toLostError = (run: Run, cause: unknown) =>
     cause instanceof OnyxError
       ? cause
       : new OnyxError({
@@ -55,19 +55,19 @@
   ) => {
     run.stream.generation += 1;
     const stream = run.stream.generation;
-    const tell = (event: UpstreamEvent) =>
+    const sendEvent = (event: UpstreamEvent) =>
       ctx.send('runs', {
         kind: 'upstream',
         dispatchId: run.id,
         streamGeneration: stream,
         event,
       });
-    const broken = (cause: unknown) =>
-      tell({from: 'stream', error: lost(run, cause)});
+    const sendBroken = (cause: unknown) =>
+      sendEvent({from: 'stream', error: toLostError(run, cause)});
     const subscription = source.subscribe({
-      next: event => tell(wrap(event)),
-      error: broken,
-      complete: () => broken(new Error('the stream ended early')),
+      next: event => sendEvent(wrap(event)),
+      error: sendBroken,
+      complete: () => sendBroken(new Error('the stream ended early')),
     });
     run.stream.unsubscribe = () => subscription.unsubscribe();
   };
@@ -77,7 +77,7 @@
     listen(run, source, event => ({from: 'engine', event}));
   };
 
-  const handOver = (run: Run, enginePriority: number) => {
+  const sendToUpstream = (run: Run, enginePriority: number) => {
     const {offer} = run;
     if (upstream.kind === 'service') {
       const head = run.call ?? {method: 'GET', path: '/', headers: []};
@@ -98,21 +98,21 @@
       holdOnly,
       prefixHashes: offer.prefixHashes,
     };
-    const prompt = holdOnly ? nothing() : run.prompt.take();
+    const prompt = holdOnly ? emptyPrompt() : run.prompt.take();
     listenToEngine(run, upstream.client.start(req, prompt));
   };
 
-  const noteBusy = () => {
+  const updatePrefillBusy = () => {
     const busy = table
       .occupyingSlots()
       .some(run => run.progress.eventSeen && prefillTokensLeft(run) > 0);
     rates.setPrefillBusy(busy, ctx.clock.now());
   };
 
-  const giveUp = (run: Run, error: OnyxError) =>
+  const failAsLost = (run: Run, error: OnyxError) =>
     lifecycle.fail(run, {code: 'upstream-lost', message: error.message});
 
-  const engineBroke = (run: Run, error: OnyxError) => {
+  const handleEngineBreak = (run: Run, error: OnyxError) => {
     ctx.log(SIDE_EVENTS.streamBroken, {
       dispatchId: run.id,
       nextToken: run.progress.nextToken,
@@ -120,13 +120,13 @@
       code: error.code,
       cause: error.message,
     });
-    const unsent =
+    const wasNotSent =
       error.ran === 'no' && !run.progress.eventSeen && run.stream.resumes === 0;
     stopListening(run);
     // The connection was never made, so no byte of the run went out: asking to
     // take it up would end as "unknown", and a request that may not repeat
     // would be lost though another engine could serve it.
-    if (unsent) {
+    if (wasNotSent) {
       return lifecycle.fail(run, {
         code: error.code,
         message: error.message,
@@ -134,8 +134,8 @@
       });
     }
     // The engine answered that it has no such run: there is nothing to take up.
-    if (error.code === 'not-found') return giveUp(run, error);
-    if (run.stream.resumes >= timing.maxResumes) return giveUp(run, error);
+    if (error.code === 'not-found') return failAsLost(run, error);
+    if (run.stream.resumes >= timing.maxResumes) return failAsLost(run, error);
     const pause = timing.resumeBackoffMs * 2 ** run.stream.resumes;
     run.stream.resumes += 1;
     const stream = run.stream.generation;
@@ -150,31 +150,31 @@
     );
   };
 
-  const engineEvents = createEngineEventHandler(
+  const handleEngineEvent = createEngineEventHandler(
     core,
     channels,
     lifecycle,
-    engineBroke,
+    handleEngineBreak,
   );
 
-  const placeFreed = (run: Run) => {
+  const releaseSlot = (run: Run) => {
     stopListening(run);
     run.lateCall = false;
     core.queueChanged = true;
   };
 
-  const callEvent = (run: Run, event: CallEvent) => {
+  const handleCallEvent = (run: Run, event: CallEvent) => {
     run.progress.eventSeen = true;
     if (isFinished(run)) {
-      if (event.kind === 'done') placeFreed(run);
+      if (event.kind === 'done') releaseSlot(run);
       return;
     }
     switch (event.kind) {
       case 'head':
-        append(run, new Uint8Array(0), event.head);
+        appendChunk(run, new Uint8Array(0), event.head);
         break;
       case 'data':
-        append(run, event.data);
+        appendChunk(run, event.data);
         break;
       case 'done':
         rates.recordCall(ctx.clock.now() - run.startedAt);
@@ -183,7 +183,7 @@
     }
   };
 
-  const append = (
+  const appendChunk = (
     run: Run,
     data: Uint8Array,
     callHead?: (CallEvent & {kind: 'head'})['head'],
@@ -192,16 +192,16 @@
     channels.sendPending(run);
   };
 
-  const callBroke = (run: Run, error: OnyxError) => {
-    if (isFinished(run)) return placeFreed(run);
+  const handleCallBreak = (run: Run, error: OnyxError) => {
+    if (isFinished(run)) return releaseSlot(run);
     stopListening(run);
     // Only the client knows whether a byte was sent; once an event came back,
     // one surely was.
-    const unsent = error.ran === 'no' && !run.progress.eventSeen;
+    const wasNotSent = error.ran === 'no' && !run.progress.eventSeen;
     lifecycle.fail(run, {
       code: error.code,
       message: error.message,
-      ran: unsent ? 'no' : ranOf(run),
+      ran: wasNotSent ? 'no' : ranOf(run),
     });
   };
 
@@ -225,20 +225,20 @@
       run.started = true;
       run.startedAt = ctx.clock.now();
       channels.sendStarted(run);
-      handOver(run, enginePriority);
+      sendToUpstream(run, enginePriority);
     },
     handle: (run, stream, event) => {
       if (stream !== run.stream.generation) return;
       run.progress.lastEventAt = ctx.clock.now();
       if (event.from === 'service') {
-        callEvent(run, event.event);
+        handleCallEvent(run, event.event);
       } else if (event.from === 'engine') {
-        engineEvents(run, event.event);
-        noteBusy();
+        handleEngineEvent(run, event.event);
+        updatePrefillBusy();
       } else if (run.offer.kind === 'call') {
-        callBroke(run, event.error);
+        handleCallBreak(run, event.error);
       } else {
-        engineBroke(run, event.error);
+        handleEngineBreak(run, event.error);
       }
     },
     resume: (run, stream) => {
@@ -253,11 +253,14 @@
       for (const run of table.occupyingSlots()) {
         if (run.stream.unsubscribe === undefined) continue;
         const {eventSeen: seen, lastEventAt} = run.progress;
-        const limit = seen
+        const limitMs = seen
           ? timing.engineSilenceMs
           : timing.firstEventTimeoutMs;
-        if (now - lastEventAt <= limit) continue;
-        engineBroke(run, lost(run, new Error('the stream went silent')));
+        if (now - lastEventAt <= limitMs) continue;
+        handleEngineBreak(
+          run,
+          toLostError(run, new Error('the stream went silent')),
+        );
       }
     },
   };
--- a/src/upstream/engine_protocol.ts
+++ b/src/upstream/engine_protocol.ts
@@ -15,7 +15,7 @@
 /** Header of a start: the `EngineRunReq` as JSON. */
 export const RUN_HEADER = 'x-run';
 
-const count = z.number().int().min(0);
+const nonNegativeInt = z.number().int().min(0);
 
 /** Of `RUN_HEADER`. */
 export const runReqSchema: z.ZodType<EngineRunReq> = z.object({
@@ -23,9 +23,9 @@
   model: z.string(),
   adapter: z.string(),
   priority: z.number(),
-  promptTokens: count,
-  maxTokens: count,
-  memoryTokens: count,
+  promptTokens: nonNegativeInt,
+  maxTokens: nonNegativeInt,
+  memoryTokens: nonNegativeInt,
   groupSize: z.number().int().min(1),
   holdOnly: z.boolean(),
   prefixHashes: z.array(z.string()),
@@ -39,19 +39,19 @@
     z.object({
       runId: z.string(),
       state: z.enum(['waiting', 'prefill', 'decode', 'done', 'hold']),
-      memoryTokens: count,
-      tokens: count,
+      memoryTokens: nonNegativeInt,
+      tokens: nonNegativeInt,
     }),
   ),
 });
 
 /** Answer to a load report. */
 export const reportSchema: z.ZodType<EngineReport> = z.object({
-  capacityTokens: count,
-  usedTokens: count,
-  cacheTokens: count,
-  waiting: count,
-  running: count,
+  capacityTokens: nonNegativeInt,
+  usedTokens: nonNegativeInt,
+  cacheTokens: nonNegativeInt,
+  waiting: nonNegativeInt,
+  running: nonNegativeInt,
   ageMs: z.number(),
   models: z.array(
     z.object({
@@ -70,7 +70,7 @@
 }> = z.object({
   events: z.array(
     z.object({
-      seq: count,
+      seq: nonNegativeInt,
       kind: z.enum(['stored', 'evicted']),
       hash: z.string(),
     }),
@@ -89,18 +89,18 @@
 });
 
 const lineSchema = z.discriminatedUnion('kind', [
-  z.object({kind: z.literal('prefill'), doneTokens: count}),
+  z.object({kind: z.literal('prefill'), doneTokens: nonNegativeInt}),
   z.object({
     kind: z.literal('tokens'),
-    index: count,
-    count,
+    index: nonNegativeInt,
+    count: nonNegativeInt,
     text: z.string(),
   }),
   z.object({
     kind: z.literal('done'),
-    tokens: count,
+    tokens: nonNegativeInt,
     finishReason: z.string(),
-    cachedTokens: count,
+    cachedTokens: nonNegativeInt,
   }),
   z.object({kind: z.literal('beat')}),
   z.object({kind: z.literal('failed'), message: z.string()}),
--- a/src/upstream/http_connection.ts
+++ b/src/upstream/http_connection.ts
@@ -33,7 +33,7 @@
 export function createHttpConnection(
   options: HttpConnectionOptions,
 ): HttpConnection {
-  let made = false;
+  let established = false;
   // No time limits of the library: they would run on the process's clock.
   const client = new Client(options.url, {
     bodyTimeout: 0,
@@ -42,11 +42,11 @@
     pipelining: 1,
   });
   client.on('connect', () => {
-    made = true;
+    established = true;
   });
   return {
     request: req => client.request(req),
-    isEstablished: () => made,
+    isEstablished: () => established,
     close: () => {
       client.destroy().catch(() => {});
     },
@@ -71,21 +71,22 @@
 export function toOnyxError(
   err: unknown,
   connection: HttpConnection,
-  place: ErrorContext,
+  context: ErrorContext,
 ): OnyxError {
-  const isMade = connection.isEstablished();
+  const isEstablished = connection.isEstablished();
   // An error of the body's source may say "not run" of its own work. Once
   // bytes can have gone out, passing that on would let the upstream run twice.
-  if (err instanceof OnyxError && !(isMade && err.ran === 'no')) return err;
-  const {step, peer} = place;
-  const ran: Ran = isMade ? 'unknown' : 'no';
+  if (err instanceof OnyxError && !(isEstablished && err.ran === 'no'))
+    return err;
+  const {step, peer} = context;
+  const ran: Ran = isEstablished ? 'unknown' : 'no';
   const cause = err instanceof Error ? err.message : String(err);
-  if (!isMade && UNSENDABLE_CODES.has((err as {code?: unknown}).code)) {
+  if (!isEstablished && UNSENDABLE_CODES.has((err as {code?: unknown}).code)) {
     const message = `request cannot be sent to ${peer}: ${cause}`;
     return new OnyxError({code: 'bad-request', step, peer, message, ran});
   }
-  const code: ErrorCode = isMade ? place.code : 'peer-unreachable';
-  const message = isMade
+  const code: ErrorCode = isEstablished ? context.code : 'peer-unreachable';
+  const message = isEstablished
     ? `connection to ${peer} broke: ${cause}`
     : `cannot connect to ${peer}: ${cause}`;
   return new OnyxError({code, step, peer, message, ran});
--- a/src/upstream/http_engine.ts
+++ b/src/upstream/http_engine.ts
@@ -54,7 +54,7 @@
   const callTimeoutMs = options.callTimeoutMs ?? 2000;
   const connectTimeoutMs = options.connectTimeoutMs ?? 1000;
 
-  const fault = (code: ErrorCode, step: Step, message: string) => {
+  const engineError = (code: ErrorCode, step: Step, message: string) => {
     return new OnyxError({code, step, peer: url, message, ran: 'unknown'});
   };
 
@@ -65,7 +65,7 @@
       const connection = connect();
       const watch = watchSilence(clock, silenceMs, () => {
         const message = `engine ${url} was silent for ${silenceMs} ms`;
-        push.error(fault('timeout', 'run', message));
+        push.error(engineError('timeout', 'run', message));
       });
       const fail = (err: unknown) => {
         const place = {code: 'upstream-lost', step: 'run', peer: url} as const;
@@ -87,7 +87,7 @@
     push: Push<EngineEvent>,
     touch: () => void,
   ) => {
-    await check(reply, 'run');
+    await checkStatus(reply, 'run');
     const lines = createLineSplitter(MAX_LINE_BYTES);
     for await (const chunk of reply.body) {
       touch();
@@ -98,7 +98,7 @@
       });
     }
     // Ends without a last event: the engine's process has gone.
-    push.error(fault('upstream-lost', 'run', `engine ${url} broke off`));
+    push.error(engineError('upstream-lost', 'run', `engine ${url} broke off`));
   };
 
   const readLine = (line: string): EngineEvent => {
@@ -106,15 +106,15 @@
       return lineToEvent(line);
     } catch {
       const message = `engine ${url} sent a line that is no event`;
-      throw fault('upstream-failed', 'run', message);
+      throw engineError('upstream-failed', 'run', message);
     }
   };
 
-  const check = async (reply: Reply, step: Step) => {
+  const checkStatus = async (reply: Reply, step: Step) => {
     if (reply.statusCode < 300) return;
     const text = await reply.body.text();
     const message = `engine ${url} answered ${reply.statusCode}: ${text}`;
-    throw fault(codeOf(reply.statusCode), step, message);
+    throw engineError(codeOf(reply.statusCode), step, message);
   };
 
   const send = async (
@@ -123,7 +123,7 @@
     step: Step,
   ): Promise<unknown> => {
     const reply = await connection.request(req);
-    await check(reply, step);
+    await checkStatus(reply, step);
     return reply.body.json();
   };
 
@@ -141,7 +141,7 @@
       };
       const cancel = clock.after(callTimeoutMs, () => {
         const message = `engine ${url} gave no answer in ${callTimeoutMs} ms`;
-        settle(Left(fault('timeout', step, message)));
+        settle(Left(engineError('timeout', step, message)));
       });
       const place = {code: 'upstream-failed', step, peer: url} as const;
       send(connection, req, step)
@@ -154,7 +154,7 @@
     return call({method: 'GET', path}, 'run', body => schema.parse(body));
   };
 
-  const json = (value: object) => ({
+  const jsonBody = (value: object) => ({
     headers: {'content-type': 'application/json'},
     body: JSON.stringify(value),
   });
@@ -178,7 +178,7 @@
     report: () => get('/v1/report', reportSchema),
     setPriority: (runId, priority) => {
       const path = runPath(runId);
-      const req = {method: 'PATCH', path, ...json({priority})} as const;
+      const req = {method: 'PATCH', path, ...jsonBody({priority})} as const;
       return call(req, 'run', () => undefined);
     },
     cacheEvents: async afterSeq => {
@@ -188,7 +188,7 @@
     },
     order: order => {
       const path = '/v1/orders';
-      const req = {method: 'POST', path, ...json(order)} as const;
+      const req = {method: 'POST', path, ...jsonBody(order)} as const;
       return call(req, 'order', () => undefined);
     },
   };
--- a/src/upstream/http_service.ts
+++ b/src/upstream/http_service.ts
@@ -67,7 +67,7 @@
     req: Dispatcher.RequestOptions,
   ) => {
     const reply = await connection.request(req);
-    const headers = passedOn(flatten(reply.headers));
+    const headers = forwardedHeaders(toHeaderList(reply.headers));
     push.event({kind: 'head', head: {status: reply.statusCode, headers}});
     for await (const data of reply.body) push.event({kind: 'data', data});
     push.event({kind: 'done'});
@@ -115,7 +115,7 @@
   head: CallHead,
   body: AsyncIterable<Uint8Array>,
 ): Promise<Dispatcher.RequestOptions> {
-  const headers = passedOn(head.headers)
+  const headers = forwardedHeaders(head.headers)
     .filter(({name}) => name.toLowerCase() !== RUN_ID_HEADER)
     .flatMap(({name, value}) => [name, value]);
   return {
@@ -134,10 +134,10 @@
   let first = await pieces.next();
   while (!first.done && first.value.length === 0) first = await pieces.next();
   if (first.done) return null;
-  return Readable.from(joined(first.value, pieces));
+  return Readable.from(concatChunks(first.value, pieces));
 }
 
-async function* joined(
+async function* concatChunks(
   first: Uint8Array,
   rest: AsyncIterator<Uint8Array>,
 ): AsyncIterable<Uint8Array> {
@@ -153,13 +153,13 @@
   }
 }
 
-function passedOn(headers: readonly Header[]): readonly Header[] {
+function forwardedHeaders(headers: readonly Header[]): readonly Header[] {
   return withoutHopHeaders(headers).filter(
     ({name}) => !CLIENT_HEADERS.has(name.toLowerCase()),
   );
 }
 
-function flatten(headers: {
+function toHeaderList(headers: {
   readonly [name: string]: string | string[] | undefined;
 }): readonly Header[] {
   return Object.entries(headers).flatMap(([name, value]) => {
--- a/src/upstream/silence_watch.ts
+++ b/src/upstream/silence_watch.ts
@@ -19,12 +19,12 @@
   silenceMs: number,
   onSilent: () => void,
 ): SilenceWatch {
-  let heardAt = clock.now();
+  let lastHeardAt = clock.now();
   let cancel: Cancel;
 
   // Touching only notes the time: a timer per token would cost too much.
   const check = () => {
-    const leftMs = heardAt + silenceMs - clock.now();
+    const leftMs = lastHeardAt + silenceMs - clock.now();
     if (leftMs > 0) cancel = clock.after(leftMs, check);
     else onSilent();
   };
@@ -32,7 +32,7 @@
   cancel = clock.after(silenceMs, check);
   return {
     touch: () => {
-      heardAt = clock.now();
+      lastHeardAt = clock.now();
     },
     stop: () => cancel(),
   };
