--- a/src/upstream/engine_protocol.ts
+++ b/src/upstream/engine_protocol.ts
@@ -1,6 +1,7 @@
 /**
- * What goes over HTTP between a side and its model engine: paths, the header
- * that describes a run, and the answer's lines of JSON.
+ * Defines the HTTP messages between a side and its model engine: the header
+ * that describes a run, the bodies of requests and responses, and the JSON
+ * lines of an event stream.
  */
 import {z} from 'zod';
 import type {
@@ -12,12 +13,12 @@
   EngineRunReq,
 } from '../types/upstream.js';
 
-/** Header of a start: the `EngineRunReq` as JSON. */
+/** Header of a request that starts a run; its value is an `EngineRunReq`. */
 export const RUN_HEADER = 'x-run';
 
 const nonNegativeInt = z.number().int().min(0);
 
-/** Of `RUN_HEADER`. */
+/** JSON value of `RUN_HEADER`. */
 export const runReqSchema: z.ZodType<EngineRunReq> = z.object({
   runId: z.string().min(1),
   model: z.string(),
@@ -31,7 +32,7 @@
   prefixHashes: z.array(z.string()),
 });
 
-/** Answer to a list of runs. */
+/** Response body of a request for the list of runs. */
 export const runListSchema: z.ZodType<{
   readonly runs: readonly EngineRunInfo[];
 }> = z.object({
@@ -45,7 +46,7 @@
   ),
 });
 
-/** Answer to a load report. */
+/** Response body of a request for the load report. */
 export const reportSchema: z.ZodType<EngineReport> = z.object({
   capacityTokens: nonNegativeInt,
   usedTokens: nonNegativeInt,
@@ -64,7 +65,7 @@
   ),
 });
 
-/** Answer to a read of cache events. */
+/** Response body of a request for cache events. */
 export const cacheEventsSchema: z.ZodType<{
   readonly events: readonly CacheEvent[];
 }> = z.object({
@@ -77,7 +78,7 @@
   ),
 });
 
-/** Body of an order. */
+/** Request body of an order. */
 export const orderSchema: z.ZodType<EngineOrder> = z.object({
   orderId: z.string(),
   fence: z.number(),
@@ -106,7 +107,7 @@
   z.object({kind: z.literal('failed'), message: z.string()}),
 ]);
 
-/** One event as a line of JSON, with its newline. */
+/** Encodes an event as a line of JSON, including the newline. */
 export function eventToLine(event: EngineEvent): string {
   if (event.kind !== 'tokens') return `${JSON.stringify(event)}\n`;
   const {kind, index} = event;
@@ -114,7 +115,7 @@
   return `${JSON.stringify({kind, index, count: event.count, text})}\n`;
 }
 
-/** Reads a line back; throws when it is none of the known events. */
+/** Decodes a line; throws if it is not a known event. */
 export function lineToEvent(line: string): EngineEvent {
   const parsed = lineSchema.parse(JSON.parse(line));
   if (parsed.kind !== 'tokens') return parsed;
--- a/src/upstream/http_connection.ts
+++ b/src/upstream/http_connection.ts
@@ -1,40 +1,41 @@
 /**
- * One HTTP exchange on a connection of its own. A connection that was open
- * before may have gone silent for good, and one that is kept alive may be
- * closed by the other end just as a request goes out on it: then nobody can
- * tell whether the request ran. On a new connection both cannot happen, and
- * whether it was made at all is known.
+ * Performs each HTTP exchange on its own new connection. An idle connection may
+ * have stopped delivering data, and the server may close a kept-alive
+ * connection just as a request is sent on it. In the second case nobody can
+ * tell whether the request ran. A new connection avoids both, and the client
+ * knows whether it was established.
  */
 import {Client} from 'undici';
 import type {Dispatcher} from 'undici';
 import {OnyxError} from '../types/errors.js';
 import type {ErrorCode, Ran, Step} from '../types/errors.js';
 
-/** Where to dial, and for how long. */
+/** Address and connect timeout of an upstream. */
 export interface HttpConnectionOptions {
   /** `http://ip:port` of the upstream. */
   readonly url: string;
+  /** Time limit for establishing a connection. */
   readonly connectTimeoutMs: number;
 }
 
 /** A connection for one exchange. */
 export interface HttpConnection {
-  /** Sends the request; resolves with the head of the answer. */
+  /** Sends the request; resolves with the head of the response. */
   request(
     options: Dispatcher.RequestOptions,
   ): Promise<Dispatcher.ResponseData<null>>;
-  /** Whether the connection was made, so that bytes may have gone out. */
+  /** Whether the connection was established, so bytes may have been sent. */
   isEstablished(): boolean;
-  /** Breaks it at once, whatever is under way. */
+  /** Destroys the connection at once and aborts any exchange on it. */
   close(): void;
 }
 
-/** Prepares a connection; it is dialled by the first request. */
+/** Prepares a connection; the first request establishes it. */
 export function createHttpConnection(
   options: HttpConnectionOptions,
 ): HttpConnection {
   let established = false;
-  // No time limits of the library: they would run on the process's clock.
+  // The library's timeouts are disabled because they do not use our `Clock`.
   const client = new Client(options.url, {
     bodyTimeout: 0,
     headersTimeout: 0,
@@ -53,29 +54,30 @@
   };
 }
 
-/** Where an error arose, for `toOnyxError`. */
+/** Where an error occurred; input of `toOnyxError`. */
 export interface ErrorContext {
   readonly step: Step;
+  /** URL of the upstream. */
   readonly peer: string;
-  /** Code of an error after the connection was made. */
+  /** Code of errors after the connection was established. */
   readonly code: ErrorCode;
 }
 
-/** Errors of the library about a request that it cannot send at all. */
+/** Error codes of the library for a request that it cannot send at all. */
 const UNSENDABLE_CODES: ReadonlySet<unknown> = new Set([
   'UND_ERR_INVALID_ARG',
   'UND_ERR_NOT_SUPPORTED',
 ]);
 
-/** An error of a connection, with step, peer and whether the work ran. */
+/** Converts an error to one with step, peer and whether the work ran. */
 export function toOnyxError(
   err: unknown,
   connection: HttpConnection,
   context: ErrorContext,
 ): OnyxError {
   const isEstablished = connection.isEstablished();
-  // An error of the body's source may say "not run" of its own work. Once
-  // bytes can have gone out, passing that on would let the upstream run twice.
+  // An error of the body's source may carry `ran: 'no'` for its own step. Once
+  // bytes may have been sent, that value would let the request run twice.
   if (err instanceof OnyxError && !(isEstablished && err.ran === 'no'))
     return err;
   const {step, peer} = context;
--- a/src/upstream/http_engine.ts
+++ b/src/upstream/http_engine.ts
@@ -1,7 +1,7 @@
 /**
- * Client of a model engine over HTTP: prompts go up in pieces as the engine
- * takes them, answers come down as lines of JSON. Each run's stream has a
- * connection of its own, and one that falls silent is given up.
+ * Implements the engine client over HTTP. Prompts are streamed with
+ * backpressure, and events are received as lines of JSON. Each run's stream
+ * uses its own connection and fails when the engine is silent for too long.
  */
 import {Readable} from 'node:stream';
 import {Left, Right} from 'purify-ts';
@@ -27,27 +27,28 @@
 import type {Push} from './push_stream.js';
 import {watchSilence} from './silence_watch.js';
 
+/** Maximum size of an event line; a longer line fails the stream. */
 const MAX_LINE_BYTES = 1_000_000;
 
-/** Address and time limits of an engine. */
+/** Address and timeouts of an engine. */
 export interface HttpEngineOptions {
   /** `http://ip:port` of the engine. */
   readonly url: string;
   readonly clock: Clock;
   /**
-   * Silence after which a stream fails, in milliseconds; a few of the
-   * engine's beats. @default 1500
+   * A stream fails when nothing arrives for this long, in milliseconds. Allow
+   * for a few of the engine's heartbeat periods. @default 1500
    */
   readonly silenceMs?: number;
-  /** Time limit of a call other than a stream. @default 2000 */
+  /** Time limit of a call other than a stream, in ms. @default 2000 */
   readonly callTimeoutMs?: number;
-  /** @default 1000 */
+  /** Time limit for establishing a connection, in ms. @default 1000 */
   readonly connectTimeoutMs?: number;
 }
 
 type Reply = Dispatcher.ResponseData<null>;
 
-/** Makes a client; nothing is dialled before its first use. */
+/** Creates a client; it connects on first use. */
 export function createHttpEngine(options: HttpEngineOptions): EngineClient {
   const {url, clock} = options;
   const silenceMs = options.silenceMs ?? 1500;
@@ -97,7 +98,7 @@
         if (event.kind === 'done' || event.kind === 'failed') push.end();
       });
     }
-    // Ends without a last event: the engine's process has gone.
+    // The response ended without a final event: the engine's process exited.
     push.error(engineError('upstream-lost', 'run', `engine ${url} broke off`));
   };
 
--- a/src/upstream/http_service.ts
+++ b/src/upstream/http_service.ts
@@ -1,7 +1,8 @@
 /**
- * Client of a plain service over HTTP. Method, path, headers, body and status
- * pass on whole. Each call has a connection of its own, so that one which may
- * not be repeated is never caught by the end of a connection kept alive.
+ * Implements the client of a plain service over HTTP. It forwards method, path,
+ * headers, body and status unchanged, except for hop-by-hop headers and those
+ * that the client sets itself. Each call uses its own connection: a kept-alive
+ * connection might be closed while a call that must not be repeated is sent.
  */
 import {Readable} from 'node:stream';
 import {Left, Right} from 'purify-ts';
@@ -22,14 +23,14 @@
 import {pushStream} from './push_stream.js';
 import type {Push} from './push_stream.js';
 
-/** Header by which the service can tell a run. */
+/** Header that carries the run's id, so that the service can identify it. */
 const RUN_ID_HEADER = 'x-onyxloft-run-id';
 
-/** Headers that this client sets or answers for itself. */
+/** Headers that are not forwarded because this client sets or handles them. */
 const CLIENT_HEADERS: ReadonlySet<string> = new Set([
-  // Answered by the entry: the body is already here when the call goes out.
+  // The entry has handled it: the body is complete before the call is sent.
   'expect',
-  // The upstream's own, set from its address.
+  // Set from the upstream's address.
   'host',
 ]);
 
@@ -39,20 +40,20 @@
   ageMs: z.number(),
 });
 
-/** Address and time limits of a plain service. */
+/** Address and timeouts of a plain service. */
 export interface HttpServiceOptions {
   /** `http://ip:port` of the service. */
   readonly url: string;
   readonly clock: Clock;
-  /** Where the service reports its load. @default "/-/report" */
+  /** Path of the service's load report. @default "/-/report" */
   readonly reportPath?: string;
-  /** Time limit of a load report. @default 2000 */
+  /** Time limit of a load report, in milliseconds. @default 2000 */
   readonly reportTimeoutMs?: number;
-  /** @default 1000 */
+  /** Time limit for establishing a connection, in ms. @default 1000 */
   readonly connectTimeoutMs?: number;
 }
 
-/** Makes a client; nothing is dialled before its first use. */
+/** Creates a client; it connects on first use. */
 export function createHttpService(options: HttpServiceOptions): ServiceClient {
   const {url, clock} = options;
   const reportPath = options.reportPath ?? '/-/report';
@@ -126,7 +127,10 @@
   };
 }
 
-/** Null for an empty body: a GET with a chunked one is refused by many. */
+/**
+ * Returns null for an empty body. Many services refuse a GET with an empty
+ * chunked body.
+ */
 async function bodyOrNull(
   body: AsyncIterable<Uint8Array>,
 ): Promise<Readable | null> {
--- a/src/upstream/line_splitter.ts
+++ b/src/upstream/line_splitter.ts
@@ -1,14 +1,19 @@
-/** Cuts a byte stream into lines, across the borders of its chunks. */
+/**
+ * Splits a byte stream into lines. A line may span any number of chunks.
+ */
 
 const NEWLINE = 0x0a;
 
-/** Keeps the part of a line that has not ended yet. */
+/** Splits chunks into lines and buffers an incomplete last line. */
 export interface LineSplitter {
-  /** Calls `onLine` for each line that is whole now, without its newline. */
+  /** Calls `onLine` for each completed line, without its newline. */
   push(chunk: Uint8Array, onLine: (line: string) => void): void;
 }
 
-/** Throws from `push` when a line grows over `maxBytes`. */
+/**
+ * Creates a splitter. Its `push` throws when a line exceeds `maxBytes`, so that
+ * a faulty sender cannot exhaust the memory.
+ */
 export function createLineSplitter(maxBytes: number): LineSplitter {
   let rest: Uint8Array[] = [];
   let restBytes = 0;
--- a/src/upstream/push_stream.ts
+++ b/src/upstream/push_stream.ts
@@ -1,22 +1,29 @@
 /**
- * A `most` stream whose source pushes: the usual shape of an answer that comes
- * in over a connection. One observer.
+ * Creates `most` streams from sources that push their events, such as responses
+ * that arrive over a connection. A stream supports one observer.
  */
 import {Stream} from 'most';
 import type {Disposable, Scheduler, Sink} from 'most';
 
-/** The source's end of a stream. Nothing passes after an end or error. */
+/**
+ * Producer side of a stream. Calls after an end or an error, or after the
+ * observer unsubscribed, have no effect.
+ */
 export interface Push<T> {
+  /** Emits a value. */
   event(value: T): void;
+  /** Ends the stream. */
   end(): void;
+  /** Fails the stream. */
   error(err: Error): void;
-  /** True after an end, an error, or when the observer has gone. */
+  /** Whether the stream ended or failed or its observer unsubscribed. */
   isClosed(): boolean;
 }
 
 /**
- * Makes a stream. `start` runs when it is observed and returns what to release
- * once it closes, by either end; it must not push before it returns.
+ * Creates a stream. `start` runs when the stream is observed and must not push
+ * before it returns. It returns a cleanup function that runs once when the
+ * source or the observer closes the stream.
  */
 export function pushStream<T>(start: (push: Push<T>) => () => void): Stream<T> {
   const run = (sink: Sink<T>, scheduler: Scheduler): Disposable<T> => {
@@ -39,7 +46,8 @@
       try {
         sink.event(scheduler.now(), value);
       } catch (err) {
-        // An observer that throws must fail its own stream, not the source.
+        // An observer that throws fails its own stream; the source must not
+        // receive the exception.
         error(err as Error);
       }
     };
--- a/src/upstream/silence_watch.ts
+++ b/src/upstream/silence_watch.ts
@@ -1,19 +1,20 @@
 /**
- * Tells when a connection has been quiet for too long. An established
- * connection can go silent for good, without an error, when something between
- * the two ends loses track of it; a read would then wait for ever. The engine
- * sends beats, so that quiet means trouble, and a new connection cures it.
+ * Detects connections that have been silent for too long. A device between both
+ * ends can lose the state of an established connection. Nothing arrives then
+ * and no error is raised, so a read would wait forever. The engine sends
+ * heartbeats, so silence shows a fault, and a new connection resolves it.
  */
 import type {Cancel, Clock} from '../types/runtime.js';
 
-/** A running watch. */
+/** A running silence timer. */
 export interface SilenceWatch {
-  /** Something was heard. */
+  /** Records that data arrived. */
   touch(): void;
+  /** Stops the timer. */
   stop(): void;
 }
 
-/** Calls `onSilent` once, when nothing was heard for `silenceMs`. */
+/** Calls `onSilent` once, when nothing has arrived for `silenceMs`. */
 export function watchSilence(
   clock: Clock,
   silenceMs: number,
@@ -22,7 +23,7 @@
   let lastHeardAt = clock.now();
   let cancel: Cancel;
 
-  // Touching only notes the time: a timer per token would cost too much.
+  // `touch` only records the time: a new timer per token would be too costly.
   const check = () => {
     const leftMs = lastHeardAt + silenceMs - clock.now();
     if (leftMs > 0) cancel = clock.after(leftMs, check);
