--- a/src/side/abandon.ts
+++ b/src/side/abandon.ts
@@ -1,7 +1,8 @@
 /**
- * Answers an entry that sent a go and heard nothing: did it start? "Never
- * started" is said only after the id was tombstoned, so that a go still on its
- * way can not run after the answer.
+ * Handles `abandon` calls: an entry that got no reply to its `go` gives the
+ * dispatch up and asks whether the run started. The reply is `never-started`
+ * only after a tombstone for the id was recorded. A `go` that is still in
+ * transit therefore cannot start the run after the reply.
  */
 import type {AbandonReq, AbandonRes} from '../types/peer_messages.js';
 import {SIDE_EVENTS} from '../utils/events.js';
@@ -9,14 +10,17 @@
 import type {Lifecycle} from './lifecycle.js';
 import type {Run} from './run.js';
 
+/** Cancels or tombstones a dispatch and replies with its state. */
 export type AbandonHandler = (req: AbandonReq) => AbandonRes;
 
+/** Creates the handler of `abandon` calls. */
 export function createAbandonHandler(
   core: SideCore,
   lifecycle: Lifecycle,
 ): AbandonHandler {
   const {ctx, table, tombstones, incarnation} = core;
 
+  /** A dispatch that is not in the run table. */
   const abandonUnknown = (req: AbandonReq): AbandonRes['state'] => {
     const tombstone = tombstones.get(req.dispatchId);
     if (tombstone !== undefined) {
@@ -34,6 +38,7 @@
     return recorded ? 'never-started' : 'unknown';
   };
 
+  /** Cancels a run. A call that was sent to its service keeps running. */
   const cancelUnlessSent = (run: Run, message: string): AbandonRes['state'] => {
     const isSentCall = run.offer.kind === 'call' && run.started;
     if (!isSentCall) lifecycle.cancel(run, 'cancelled', message);
@@ -42,20 +47,20 @@
   };
 
   const abandonOwned = (run: Run, entry: string): AbandonRes['state'] => {
-    // Another entry has taken the run over: it is no longer this one's to end.
+    // Another entry has taken the run over, so this entry must not cancel it.
     if (run.owner !== entry) return run.started ? 'started' : 'unknown';
     const state = cancelUnlessSent(run, 'the entry abandoned the run');
     run.delivered = true;
     return state;
   };
 
-  /** The caller's own wish, at whichever entry it was told. */
+  /** The caller cancels its request, possibly at an entry that is not owner. */
   const cancelForCaller = (
     dispatchId: string,
     organisation: string,
   ): AbandonRes['state'] => {
     const run = table.get(dispatchId);
-    // One organisation must not end another's run, nor learn that there is one.
+    // An organisation must not cancel or detect another organisation's run.
     if (run?.offer.organisation !== organisation) return 'unknown';
     return cancelUnlessSent(
       run,
--- a/src/side/audit.ts
+++ b/src/side/audit.ts
@@ -1,8 +1,9 @@
 /**
- * Compares the engine's list of runs with the own table. A run that this
- * incarnation does not know would hold the engine's memory for good: it is
- * from an earlier incarnation, or its cancel was lost. A run that the engine
- * lost would keep its caller waiting to the time limit.
+ * Reconciles the side's run table with the engine's list of runs. Runs that
+ * only the engine has come from an earlier incarnation or from a lost cancel;
+ * they would hold engine memory forever, so the audit cancels them. Runs that
+ * the engine has lost would keep their callers waiting until the time limit,
+ * so the audit fails them.
  */
 import type {Either} from 'purify-ts';
 import type {OnyxError} from '../types/errors.js';
@@ -12,30 +13,40 @@
 import type {Lifecycle} from './lifecycle.js';
 import {isFinished} from './run.js';
 
-/** One list may have been made just before a run came to the engine. */
+/**
+ * A run fails when this many consecutive engine lists lack it. One list is not
+ * enough: the engine may have made it just before the run arrived.
+ */
 const MISSED_AUDIT_LIMIT = 2;
 
+/** Periodic reconciliation with the engine. */
 export interface Audit {
-  /** Asks the engine for its list. */
+  /** Requests the engine's list of runs; does nothing for a plain service. */
   requestList(): void;
+  /** Reconciles with a list that was requested at `sentAt`. */
   handleList(
     sentAt: number,
     outcome: Either<OnyxError, readonly EngineRunInfo[]>,
   ): void;
+  /** Releases the reserved memory once the engine has confirmed a cancel. */
   handleFreed(dispatchId: string, outcome: Either<OnyxError, void>): void;
 }
 
+/** Creates the audit of one side. */
 export function createAudit(core: SideCore, lifecycle: Lifecycle): Audit {
   const {ctx, table, memory, options, upstream} = core;
   const client = options.upstream;
 
   const isRunningHere = (id: string) => table.get(id)?.state === 'running';
 
-  /** A finished run that is only kept for resuming holds no memory. */
+  /** The engine keeps a finished run for resuming; it holds no memory. */
   const isRetainedOnly = (info: EngineRunInfo) =>
     info.state === 'done' && info.memoryTokens === 0;
 
-  /** Also what was cancelled here, if the engine never got to know. */
+  /**
+   * Cancels all runs at the engine that do not run here. These include runs
+   * that were cancelled here when the engine did not receive the cancel.
+   */
   const freeOrphans = (list: readonly EngineRunInfo[]): number => {
     const orphans = list.filter(
       info => !isRunningHere(info.runId) && !isRetainedOnly(info),
@@ -58,7 +69,7 @@
     ctx.log(SIDE_EVENTS.reconciled, {incarnation: core.incarnation});
   };
 
-  /** What the engine no longer lists, it no longer holds memory for. */
+  /** Releases the memory of finished runs that the engine no longer lists. */
   const releaseUnlisted = (listed: ReadonlySet<string>) => {
     for (const id of memory.holders()) {
       const run = table.get(id);
@@ -71,7 +82,7 @@
 
   const failMissing = (listed: ReadonlySet<string>, sentAt: number) => {
     for (const run of table.occupyingSlots()) {
-      // A beat only says that the connection lives, not that the run does.
+      // Heartbeats do not count: they show a live connection, not a live run.
       const madeNoProgress = run.progress.lastProgressAt < sentAt;
       const isMissing =
         !listed.has(run.id) && run.startedAt < sentAt && madeNoProgress;
--- a/src/side/channels.ts
+++ b/src/side/channels.ts
@@ -1,8 +1,9 @@
 /**
- * Open channels of runs: who talks on them, what was sent, and whether they
- * are still alive. An established connection can go silent for good while new
- * ones work; both ends beat, so that silence shows and the entry can come back
- * on a new one. Closing a channel never ends its run.
+ * Manages the open channels between entries and runs: which run each channel
+ * serves, which chunk it sends next, and when a frame last arrived. An
+ * established connection can stop delivering data without an error while new
+ * connections work. Both ends therefore send heartbeats, and a silent channel
+ * is closed so that the entry reconnects. Closing a channel never ends its run.
  */
 import type {DispatchId} from '../types/ids.js';
 import type {RunDown} from '../types/peer_messages.js';
@@ -14,57 +15,76 @@
 interface OpenChannel {
   readonly id: number;
   readonly channel: RunServerChannel;
+  /** The run's dispatch; undefined until a go or attach has arrived. */
   dispatchId: DispatchId | undefined;
-  /** Next chunk to send. */
+  /** Sequence number of the next chunk to send. */
   nextSeq: number;
-  /** A chunk is on its way and the channel can not take another yet. */
+  /** A chunk is being sent and the channel cannot accept another yet. */
   busy: boolean;
   outcomeSent: boolean;
-  /** It is closed once the last frame has gone; nothing more is heard. */
+  /** A last frame is being sent; later incoming frames are ignored. */
   closing: boolean;
+  /** Clock time in milliseconds when the last frame arrived. */
   lastFrameAt: number;
-  /** Since when a go or attach is awaited. */
+  /** Clock time in milliseconds since which a go or attach is awaited. */
   unboundSince: number;
 }
 
+/** The open channels of one side, by channel id. */
 export interface Channels {
+  /** Registers a new channel and observes its frames. */
   open(channel: RunServerChannel): void;
-  /** Notes that a frame came; undefined when the channel is closed. */
+  /** Records that a frame arrived; undefined when the channel is closed. */
   recordFrame(channelId: number): OpenChannelView | undefined;
-  /** Makes this the run's channel; an earlier one is closed. */
+  /**
+   * Makes this the run's channel and sends chunks from `fromSeq` on. An earlier
+   * channel of the run is closed.
+   */
   bind(channelId: number, run: Run, fromSeq: number): void;
-  /** Says something out of turn and closes. */
+  /** Sends a last frame, if one is given, and closes the channel. */
   closeWith(channelId: number, frame: RunDown | undefined): void;
   /** Sends `started` on the run's channel. */
   sendStarted(run: Run): void;
-  /** Sends what the run has and its channel can take. */
+  /** Sends the next chunk or the outcome if the run's channel can accept it. */
   sendPending(run: Run): void;
+  /** Records that the channel can accept a frame; returns its dispatch. */
   markReady(channelId: number): DispatchId | undefined;
-  /** Forgets a closed channel; the run it belonged to. */
+  /** Removes a closed channel and returns its last state. */
   remove(channelId: number): ClosedChannel | undefined;
-  /** Beats on all; gives the ids of the silent and the idle ones. */
+  /**
+   * Sends a heartbeat on each live channel. Returns the ids of channels that
+   * are silent or have waited too long for a go or attach.
+   */
   sweep(): readonly number[];
-  /** After a freeze of this process: silence proves nothing. */
+  /**
+   * Restarts all silence timers. Needed after this process was frozen: it could
+   * not receive frames meanwhile, so silence does not show a dead peer.
+   */
   resetSilence(): void;
   closeAll(): void;
   count(): number;
 }
 
+/** An open channel, as its frame handler sees it. */
 export interface OpenChannelView {
+  /** Undefined until a go or attach has arrived. */
   readonly dispatchId: DispatchId | undefined;
 }
 
+/** Last state of a closed channel. */
 export interface ClosedChannel {
   readonly dispatchId: DispatchId | undefined;
+  /** The run's outcome was sent on this channel. */
   readonly outcomeSent: boolean;
 }
 
+/** Creates an empty set of channels. */
 export function createChannels(core: SideCore): Channels {
   const {ctx, timing} = core;
   const channels = new Map<number, OpenChannel>();
   let lastId = 0;
 
-  /** A send can also fail; its channel's end is told by its frames. */
+  /** Ignores a failed send: the end of `frames` reports a broken channel. */
   const sendFrame = (open: OpenChannel, frame: RunDown) => {
     void open.channel.send(frame).catch(() => undefined);
   };
@@ -117,9 +137,9 @@
     sendFrame(open, run.outcome);
   };
 
-  // A go or attach that was lost on its way leaves a channel on which both ends
-  // only beat. The entry would wait on it for ever, as a run taken up has no
-  // time limit there; closed, it attaches anew on another.
+  // After a lost go or attach, both ends of the channel send only heartbeats.
+  // An entry that attached to an existing run has no time limit for it and
+  // would wait forever. Closing the channel makes it attach on a new one.
   const isUnboundTooLong = (open: OpenChannel, now: number) =>
     open.dispatchId === undefined &&
     now - open.unboundSince > timing.channelSilenceMs;
@@ -161,7 +181,7 @@
       const open = channels.get(id);
       if (open === undefined || frame === undefined) return closeNow(id);
       open.closing = true;
-      // A frame still on its way would be lost by the close.
+      // Closing before the send completes would lose the frame.
       const closeAfterSend = () => closeNow(id);
       open.channel.send(frame).then(closeAfterSend, closeAfterSend);
     },
--- a/src/side/chunk_log.ts
+++ b/src/side/chunk_log.ts
@@ -1,20 +1,24 @@
 /**
- * An answer's chunks, numbered from 0 and kept so that any entry can take up
- * the answer from any chunk on.
+ * Stores the chunks of one answer, numbered from 0. They are kept so that any
+ * entry can resume the answer from any chunk.
  */
 import type {Chunk} from '../types/peer_messages.js';
 import {createDigest} from '../utils/digest.js';
 
+/** The chunks of one answer, in order. */
 export interface ChunkLog {
+  /** Appends a chunk under the next sequence number. */
   append(chunk: Omit<Chunk, 'kind' | 'seq'>): void;
   get(seq: number): Chunk | undefined;
-  /** Number of chunks, which is the number of the next one. */
+  /** Number of chunks; also the sequence number of the next chunk. */
   count(): number;
+  /** Total size of the chunks' data in bytes. */
   bytes(): number;
   /** Hash over all chunk bytes in order. */
   digest(): string;
 }
 
+/** Creates an empty log. */
 export function createChunkLog(): ChunkLog {
   const chunks: Chunk[] = [];
   const digest = createDigest();
--- a/src/side/engine_events.ts
+++ b/src/side/engine_events.ts
@@ -1,6 +1,7 @@
 /**
- * What an engine's events do to their run: tokens become chunks, in order and
- * once each; progress teaches the rates.
+ * Applies an engine's events to their run. Tokens are appended to the answer as
+ * chunks, each token once and in order. Prefill and decode progress updates the
+ * learned rates.
  */
 import {OnyxError} from '../types/errors.js';
 import type {EngineEvent} from '../types/upstream.js';
@@ -13,9 +14,13 @@
 type TokensEvent = EngineEvent & {readonly kind: 'tokens'};
 type DoneEvent = EngineEvent & {readonly kind: 'done'};
 
+/** Applies one event to its run. */
 export type EngineEventHandler = (run: Run, event: EngineEvent) => void;
 
-/** `broke` is called when the stream can not be trusted any further. */
+/**
+ * Creates the handler. `onBroken` is called when the event stream has a gap or
+ * a partial duplicate, so that it must be resumed from the next token.
+ */
 export function createEngineEventHandler(
   core: SideCore,
   channels: Channels,
@@ -51,7 +56,8 @@
     const {nextToken} = run.progress;
     const isDuplicate = event.index + event.count <= nextToken;
     if (isDuplicate && event.count > 0) return;
-    // A gap or a half copy would cut or mix the answer: ask for what is due.
+    // A gap would truncate the answer and a partial duplicate would repeat
+    // tokens, so the stream is resumed from the next expected token.
     if (event.index !== nextToken)
       return onBroken(run, gapError(run, event.index));
     if (prefillTokensLeft(run) > 0) handlePrefill(run, run.offer.promptTokens);
@@ -71,7 +77,7 @@
   };
 
   return (run, event) => {
-    // A resume that only beats says nothing of the run yet.
+    // A resumed stream that brings only heartbeats shows no run progress.
     if (event.kind !== 'beat') {
       run.progress.eventSeen = true;
       run.progress.lastProgressAt = ctx.clock.now();
--- a/src/side/fair_shares.ts
+++ b/src/side/fair_shares.ts
@@ -1,19 +1,25 @@
 /**
- * Service that each organisation got, divided by its weight. The queue takes
- * the least served first, so that one that sends much waits for its own.
+ * Tracks the service that each organisation received, divided by its weight.
+ * The queue starts runs of the least served organisation first. An organisation
+ * with many requests therefore delays its own requests, not those of others.
  */
 import type {OrganisationId} from '../types/ids.js';
 
+/** Weighted service received, by organisation. */
 export interface FairShares {
   /**
-   * An organisation without open runs sends one. It starts at the least of the
-   * active ones: time in which it asked for nothing is no credit.
+   * Called before an organisation gets a new run; `active` lists the
+   * organisations with open runs. An organisation that was inactive is raised
+   * to the least served active one, so that idle time earns no credit.
    */
   join(id: OrganisationId, active: readonly OrganisationId[]): void;
+  /** Adds the cost of a started run: tokens of a completion, 1 for a call. */
   charge(id: OrganisationId, cost: number, weight: number): void;
+  /** Service received divided by weight, by organisation. */
   served(): ReadonlyMap<OrganisationId, number>;
 }
 
+/** Creates a record in which no organisation has received service. */
 export function createFairShares(): FairShares {
   const served = new Map<OrganisationId, number>();
 
--- a/src/side/frame_handler.ts
+++ b/src/side/frame_handler.ts
@@ -1,5 +1,7 @@
 /**
- * Frames from entries on runs' channels: go with the prompt, attach, cancel.
+ * Handles frames that entries send on the channels of runs. A `go` with the
+ * prompt starts an accepted offer, an `attach` resumes a run's answer, and a
+ * `cancel` ends the run.
  */
 import type {
   Attach,
@@ -16,21 +18,28 @@
 import {isHoldOnly, isFinished} from './run.js';
 import type {Run} from './run.js';
 
+/** Handles the frames and the end of each channel. */
 export interface FrameHandler {
+  /** Handles one frame from an entry. */
   handle(channelId: number, frame: RunUp): void;
-  /** The channel is gone; its run goes on unless its prompt is not whole. */
+  /**
+   * The channel was closed; `clean` when the other end closed it. Its run
+   * continues unless its prompt is still incomplete.
+   */
   channelClosed(channelId: number, clean: boolean): void;
-  /** Missing prompt frames had their time. */
+  /** Fails a run whose missing prompt frames did not arrive in time. */
   promptGapExpired(run: Run): void;
 }
 
+/** Actions of other parts of the service that frames trigger. */
 export interface FrameActions {
   /** Sets the timer of the run's time limit. */
   readonly watchDeadline: (run: Run) => void;
-  /** Starts a group's member or lead: its memory is reserved already. */
+  /** Starts a group's member or lead, whose memory is reserved already. */
   readonly startReserved: (run: Run) => void;
 }
 
+/** Creates the frame handler of one side. */
 export function createFrameHandler(
   core: SideCore,
   channels: Channels,
@@ -62,7 +71,7 @@
     channels.closeWith(channelId, frame);
   };
 
-  /** A go without an accepted offer never runs, nor does a later copy. */
+  /** Refuses a go without an accepted offer and tombstones its dispatch. */
   const refuseGoWithoutOffer = (channelId: number, id: string) => {
     const tombstone = tombstones.get(id);
     const recorded =
@@ -77,11 +86,11 @@
     refuseGo(channelId, failedFrame(id, 'tombstoned', ran, message));
   };
 
-  /** A second go: the run is in other hands or over. */
+  /** A second go for a dispatch whose run has another channel or is finished. */
   const handleDuplicateGo = (channelId: number, run: Run) => {
     if (run.channelId === channelId) return;
     if (run.started || !isFinished(run)) {
-      // Saying "not run" of a run that may run would let it run twice.
+      // The run may execute: a reply of `ran: 'no'` would let it run twice.
       channels.closeWith(channelId, undefined);
       return;
     }
@@ -92,7 +101,8 @@
   const handleGo = (channelId: number, frame: Go) => {
     const {dispatchId} = frame;
     if (frame.incarnation !== core.incarnation) {
-      // A copy of this go may have run before the restart; that is forgotten.
+      // A copy of this go may have run before the restart, which lost the
+      // record of it. Whether it ran is therefore unknown.
       const message = 'the side was restarted since the offer';
       refuseGo(
         channelId,
@@ -145,7 +155,7 @@
   };
 
   const handleCancel = (run: Run) => {
-    // A call once sent may not be repeated: it runs to its end.
+    // A call that was sent may not be repeated, so it runs to its end.
     if (run.offer.kind === 'call' && run.started) return;
     lifecycle.cancel(run, 'cancelled', 'the entry cancelled the run');
   };
@@ -178,6 +188,7 @@
     );
   };
 
+  /** An attach to a dispatch that is not in the run table. */
   const rejectTombstonedAttach = (channelId: number, frame: Attach) => {
     const tombstone = tombstones.get(frame.dispatchId);
     if (
@@ -208,14 +219,15 @@
   const handleAttach = (channelId: number, frame: Attach) => {
     const run = table.get(frame.dispatchId);
     if (run === undefined) return rejectTombstonedAttach(channelId, frame);
-    // Another organisation learns nothing, not even that there is such a run.
+    // Another organisation must not learn that the run exists.
     if (run.offer.organisation !== frame.organisation) {
       return rejectNotFound(channelId, frame.dispatchId);
     }
     if (run.owner !== frame.entry) {
-      // A caller that resumed elsewhere moved its run to another entry. Its
-      // first entry only sees a broken channel and attaches again; let in, it
-      // would take the run back and cancel it as a run without a caller.
+      // A caller that resumed at another entry has moved its run there. The
+      // first entry sees only a broken channel and attaches again. If that were
+      // accepted, the first entry would take the run back and cancel it, since
+      // it has no caller for the run.
       if (frame.takeOver !== true) {
         channels.closeWith(channelId, supersededFrame(run));
         return;
@@ -235,7 +247,7 @@
     run.ownerLastSeenAt = ctx.clock.now();
     run.delivered = false;
     channels.bind(channelId, run, frame.fromSeq);
-    // The prompt came only in part and can not be sent again.
+    // Only part of the prompt arrived, and it cannot be sent again.
     if (run.state === 'offered' || run.state === 'receiving') {
       failIncompletePrompt(run);
       return;
--- a/src/side/learned_rates.ts
+++ b/src/side/learned_rates.ts
@@ -1,20 +1,22 @@
 /**
- * What the side learns of its engine's speed from the events it sees: prompt
- * tokens prefilled per second over all runs, and the time of one decode step.
- * Priors stand until something was seen.
+ * Estimates the speed of the side's upstream from observed events: prompt
+ * tokens prefilled per second over all runs, the time of one decode step, and
+ * the time of one call to a plain service. Priors apply until there are
+ * observations.
  */
 
+/** Rates that are assumed before anything was observed. */
 export interface RatePriors {
-  /** @default 8000 */
+  /** Prompt tokens prefilled per second, over all runs. @default 8000 */
   readonly prefillTokensPerSec: number;
-  /** @default 25 */
+  /** Time of one decode step in milliseconds. @default 25 */
   readonly stepMs: number;
-  /** Time of one call to a plain service. @default 100 */
+  /** Time of one call to a plain service in milliseconds. @default 100 */
   readonly callMs: number;
-  /** Weight of a new sample of step or call time. @default 0.2 */
+  /** Weight of a new sample in the mean step or call time. @default 0.2 */
   readonly alpha: number;
   /**
-   * Extra prefill time by attention over a long context, in milliseconds per
+   * Extra prefill time for attention over a long context, in milliseconds per
    * token squared. @default 0
    */
   readonly contextMsPerTokenSquared: number;
@@ -28,60 +30,76 @@
   contextMsPerTokenSquared: 0,
 };
 
-/** A sample of the prefill rate spans at least this much busy time. */
+/**
+ * Minimum busy time that a sample of the prefill rate spans. Shorter spans keep
+ * accumulating tokens.
+ */
 const MIN_SAMPLE_MS = 20;
 
 /**
- * Busy time after which a sample counts for a third. Tokens and time are summed
- * apart: a mean of rates would weigh a step with one small prompt, mostly fixed
- * cost, like a step full of tokens, and call the engine slow for what it was
- * given.
+ * Busy time after which the weight of a sample has decayed to about a third
+ * (1/e). Tokens and time are summed separately. A mean of rates would weigh a
+ * step with one small prompt, which is mostly fixed cost, like a step full of
+ * tokens, and would underestimate the engine.
  */
 const DECAY_MS = 20_000;
 
-/** Prompt tokens seen from which on the prefill rate is no guess. */
+/**
+ * Weight of observed prompt tokens from which the prefill rate counts as
+ * learned. Below it the rate is still treated as an assumption.
+ */
 const MIN_LEARNED_TOKENS = 8_000;
-/** Calls seen after which the time of a call is no guess. */
+/** Observed calls from which the time of a call counts as learned. */
 const MIN_LEARNED_CALLS = 8;
 /**
- * An upstream may be so many times as fast as was assumed. A refusal for good
- * on assumptions alone would keep itself up: what is refused teaches nothing.
+ * Factor by which an upstream may be faster than assumed. Without it, a refusal
+ * based only on the priors would repeat forever, because refused work gives no
+ * observations.
  */
 const OPTIMISM_FACTOR = 4;
 /**
- * What was learned of an engine that was slow by a fault goes on refusing once
- * the engine is well again, and what is refused teaches nothing: the side would
- * serve no long prompt ever after. So each period in which it refused and saw
- * nothing adds doubt, until some work is taken; the first sample brings the
- * truth back.
+ * After each period of this length with refusals and no observation, the factor
+ * applies once more. An engine that was slow because of a fault teaches a rate
+ * that is too low. The side would then refuse long prompts even after the
+ * engine has recovered, and learn nothing from them. The first sample resets
+ * the factor.
  */
 const REFUSAL_PERIOD_MS = 5_000;
-/** With this much doubt all but the plainly impossible is tried. */
+/**
+ * Upper bound of the accumulated factor. At this bound only work that clearly
+ * cannot end in time is refused.
+ */
 const MAX_OPTIMISM = 64;
 
+/** Estimated rates; all times are in milliseconds. */
 export interface LearnedRates {
-  /** Whether any prompt is in prefill; idle time is no sample. */
-  setPrefillBusy(busy: boolean, now: number): void;
+  /** Sets whether any prompt is in prefill; idle time is not sampled. */
+  setPrefillBusy(isBusy: boolean, now: number): void;
+  /** Records that so many prompt tokens were prefilled. */
   recordPrefill(tokens: number, now: number): void;
-  /** `count` tokens of one run came `elapsedMs` after its last ones. */
+  /** Records `count` tokens that came `elapsedMs` after the run's last ones. */
   recordDecode(count: number, elapsedMs: number): void;
-  /** A call to a plain service took so long. */
+  /** Records the duration of a call to a plain service. */
   recordCall(elapsedMs: number): void;
-  /** Work was refused as too late. */
+  /** Records that work was refused because it would end too late. */
   recordRefusal(now: number): void;
+  /** Prompt tokens prefilled per second, over all runs. */
   prefillTokensPerSec(): number;
+  /** Mean time of one decode step. */
   stepMs(): number;
+  /** Mean time of one call to a plain service. */
   callMs(): number;
-  /** Predicted time to prefill so many tokens, nothing else running. */
+  /** Predicted time to prefill so many tokens when nothing else runs. */
   prefillMs(tokens: number): number;
-  /** The least that it may take: the prediction, less what is in doubt. */
+  /** The predicted prefill time divided by the current optimism. */
   minPrefillMs(tokens: number, now: number): number;
-  /** The same for one decode step. */
+  /** The time of one decode step divided by the current optimism. */
   minStepMs(now: number): number;
-  /** The same for a call. */
+  /** The time of one call divided by the current optimism. */
   minCallMs(now: number): number;
 }
 
+/** Creates an estimator that starts with the priors. */
 export function createLearnedRates(priors: RatePriors): LearnedRates {
   let tokensPerSec = priors.prefillTokensPerSec;
   let meanStepMs = priors.stepMs;
@@ -91,10 +109,10 @@
   let weightedMs = 0;
   let weightedTokens = 0;
   let callCount = 0;
-  /** First refusal since the last sample. */
+  /** Time of the first refusal since the last sample. */
   let refusingSince: number | undefined;
 
-  /** By how much a prediction may be too long. */
+  /** Factor by which a prediction may be too long. */
   const optimism = (isLearned: boolean, now: number) => {
     const refusingMs = refusingSince === undefined ? 0 : now - refusingSince;
     const periods =
@@ -123,8 +141,8 @@
     priors.contextMsPerTokenSquared * count * count;
 
   return {
-    setPrefillBusy: (busy, now) => {
-      if (busy) {
+    setPrefillBusy: (isBusy, now) => {
+      if (isBusy) {
         busySince ??= now;
         return;
       }
--- a/src/side/lifecycle.ts
+++ b/src/side/lifecycle.ts
@@ -1,6 +1,7 @@
 /**
- * How a run leaves the living: ended, failed or cancelled. What it held is
- * released, what it leaves behind is recorded, its owner is told.
+ * Finishes runs as ended, failed or cancelled. Finishing a run releases its
+ * memory, stops its timers and its upstream stream, records its outcome, and
+ * sends the outcome to the entry that owns it.
  */
 import type {Ran} from '../types/errors.js';
 import type {RunFailed} from '../types/peer_messages.js';
@@ -10,23 +11,30 @@
 import {isFinished, ranOf} from './run.js';
 import type {Run, RunState} from './run.js';
 
+/** Why a run failed or was cancelled. */
 export interface RunFailure {
+  /** Code that is sent to the entry. */
   readonly code: string;
   readonly message: string;
-  /** @default what the run's progress shows */
+  /** Whether the run executed. @default as the run's progress shows */
   readonly ran?: Ran;
 }
 
+/** Transitions of runs to their final states. */
 export interface Lifecycle {
+  /** Finishes a run with a complete answer. */
   end(run: Run, finishReason: string, cachedTokens: number): void;
+  /** Fails a run; does nothing for a finished one. */
   fail(run: Run, failure: RunFailure): void;
+  /** Cancels a run; does nothing for a finished one. */
   cancel(run: Run, code: string, message: string): void;
-  /** Asks the engine to end a run and free its memory. */
+  /** Asks the engine to cancel a run and free its memory. */
   cancelAtEngine(dispatchId: string): void;
-  /** Forgets a run that is over; its id stays remembered. */
+  /** Removes a finished run from the table and tombstones its id. */
   forget(run: Run): void;
 }
 
+/** Creates the transitions of one side. */
 export function createLifecycle(core: SideCore, channels: Channels): Lifecycle {
   const {ctx, table, tombstones, memory} = core;
 
@@ -50,7 +58,7 @@
       ctx.clock.now(),
     );
 
-  /** A call once sent is not cut: it may not be repeated. */
+  /** Stops a run at its upstream. A call that was sent keeps running. */
   const stopUpstream = (run: Run) => {
     if (!run.started) {
       memory.release(run.id);
@@ -61,8 +69,8 @@
       return;
     }
     stopListening(run);
-    // The engine may still hold the memory: it stays reserved until the engine
-    // has confirmed, or two runs would be given the same memory.
+    // The engine may still hold the memory. It stays reserved until the engine
+    // confirms the cancel, so that two runs are never given the same memory.
     cancelAtEngine(run.id);
   };
 
@@ -90,8 +98,8 @@
   const finishFailed = (run: Run, state: RunState, failure: RunFailure) => {
     if (isFinished(run)) return;
     const outcome = failedFrame(run, failure);
-    // Left out, answers too long for their time would be forgotten, and the
-    // side would go on taking more of them.
+    // Answers that are too long for their time limit must be recorded too.
+    // Otherwise the side would keep accepting runs that cannot end in time.
     if (failure.code === 'deadline-exceeded') {
       core.lengths.record(run.progress.nextToken);
     }
@@ -140,7 +148,7 @@
   };
 }
 
-/** Events of the stream listened to until now are dropped from here on. */
+/** Unsubscribes from the run's current event stream and drops its events. */
 export function stopListening(run: Run): void {
   run.stream.unsubscribe?.();
   run.stream.unsubscribe = undefined;
--- a/src/side/memory_ledger.ts
+++ b/src/side/memory_ledger.ts
@@ -1,23 +1,31 @@
 /**
- * Who holds how much of the engine's memory, in tokens. The engine's own
- * report lags, so the side counts for itself: what it has handed out is held
- * until the engine has confirmed its release.
+ * Accounts for the engine's memory, in tokens, by dispatch. The engine's own
+ * report lags, so the side counts the memory that it has reserved. A started
+ * run's memory stays reserved until the run ends or the engine confirms its
+ * release.
  */
 import type {DispatchId} from '../types/ids.js';
 import type {Invariant} from '../types/runtime.js';
 
+/** Reservations of the engine's memory; all amounts are in tokens. */
 export interface MemoryLedger {
+  /** Reserves memory for a dispatch that holds none yet. */
   reserve(dispatchId: DispatchId, tokens: number): void;
-  /** Right also for an id that holds nothing. */
+  /** Releases a dispatch's memory; does nothing if it holds none. */
   release(dispatchId: DispatchId): void;
   holds(dispatchId: DispatchId): boolean;
+  /** The dispatches that hold memory. */
   holders(): readonly DispatchId[];
+  /** Sum of all reservations. */
   reserved(): number;
+  /** Memory of the engine; 0 until its first report. */
   capacity(): number;
+  /** Capacity less reservations, at least 0. */
   free(): number;
   setCapacity(tokens: number): void;
 }
 
+/** Creates a ledger without capacity; broken rules go to `invariant`. */
 export function createMemoryLedger(invariant: Invariant): MemoryLedger {
   const held = new Map<DispatchId, number>();
   let reservedTokens = 0;
--- a/src/side/messages.ts
+++ b/src/side/messages.ts
@@ -1,6 +1,7 @@
 /**
- * Messages of the services of a side process. `runs` owns the upstream's
- * capacity and the runs on it; `peers` owns the listening socket.
+ * Declares the messages between the services of a side process. The `runs`
+ * service owns the upstream's capacity and the runs on it; the `peers` service
+ * owns the listening socket.
  */
 import type {Either} from 'purify-ts';
 import type {NumberedDeclarations} from '../types/config.js';
@@ -29,10 +30,10 @@
   ServiceReport,
 } from '../types/upstream.js';
 
-/** To `runs`. */
+/** Any message to `runs`. */
 export type RunsMessage = RunsRequest | RunsEvent;
 
-/** What other services ask of `runs`. */
+/** Requests from other services to `runs`. */
 export type RunsRequest =
   | {
       readonly kind: 'offer';
@@ -61,48 +62,60 @@
     }
   /** A peer opened a run's channel. */
   | {readonly kind: 'channel'; readonly channel: RunServerChannel}
-  /** Newest accepted declarations. */
+  /** The newest accepted configuration. */
   | {readonly kind: 'config'; readonly config: NumberedDeclarations}
-  /** No new offers; replies when nothing runs or waits for its owner. */
+  /**
+   * Stops accepting offers. Replies once no run is active and no outcome waits
+   * for its owner.
+   */
   | {readonly kind: 'drain'; readonly reply: () => void}
   | {readonly kind: 'status'; readonly reply: (status: SideStatus) => void};
 
-/** What `runs` sends itself from its timers, streams and channels. */
+/** Messages that `runs` sends to itself from timers, streams and channels. */
 export type RunsEvent =
   | {readonly kind: 'frame'; readonly channelId: number; readonly frame: RunUp}
-  /** `clean`: the other end closed it, rather than the connection broke. */
+  /** `clean`: the other end closed the channel; the connection did not break. */
   | {
       readonly kind: 'channel-closed';
       readonly channelId: number;
       readonly clean: boolean;
     }
-  /** The channel can take another frame. */
+  /** The channel can accept another chunk. */
   | {readonly kind: 'channel-ready'; readonly channelId: number}
+  /** An event of a run's upstream stream. */
   | {
       readonly kind: 'upstream';
       readonly dispatchId: DispatchId;
       readonly streamGeneration: number;
       readonly event: UpstreamEvent;
     }
+  /** A timer of a run has fired. */
   | {
       readonly kind: 'due';
       readonly dispatchId: DispatchId;
       readonly timer: 'lapse' | 'deadline' | 'prompt-gap' | 'late-call';
     }
+  /** The delay before a broken engine stream is resumed has passed. */
   | {
       readonly kind: 'resume-due';
       readonly dispatchId: DispatchId;
       readonly streamGeneration: number;
     }
+  /** Time for heartbeats, sweeps and gauges. */
   | {readonly kind: 'tick'}
+  /** Time to request the engine's list of runs. */
   | {readonly kind: 'audit'}
+  /** The engine's list of runs that was requested at `sentAt`. */
   | {
       readonly kind: 'listed';
       readonly sentAt: number;
       readonly outcome: Either<OnyxError, readonly EngineRunInfo[]>;
     }
+  /** Time to request the upstream's load report. */
   | {readonly kind: 'report'}
+  /** Time to read the highest fencing number. */
   | {readonly kind: 'fence-due'}
+  /** The upstream's load report. */
   | {
       readonly kind: 'reported';
       readonly outcome: Either<OnyxError, UpstreamReport>;
@@ -113,22 +126,25 @@
       readonly dispatchId: DispatchId;
       readonly outcome: Either<OnyxError, void>;
     }
+  /** The highest fencing number as read from the lease. */
   | {
       readonly kind: 'fence-read';
       readonly outcome: Either<OnyxError, FencingNumber>;
     }
+  /** The engine's response to an order. */
   | {
       readonly kind: 'order-done';
       readonly orderId: string;
       readonly outcome: Either<OnyxError, void>;
     };
 
-/** Events of an upstream's stream; `broken` when it ended with an error. */
+/** An event of an upstream's stream; from `stream` when the stream ended. */
 export type UpstreamEvent =
   | {readonly from: 'engine'; readonly event: EngineEvent}
   | {readonly from: 'service'; readonly event: CallEvent}
   | {readonly from: 'stream'; readonly error: OnyxError};
 
+/** A load report of either kind of upstream. */
 export type UpstreamReport =
   | {readonly kind: 'engine'; readonly report: EngineReport}
   | {readonly kind: 'service'; readonly report: ServiceReport};
@@ -136,19 +152,25 @@
 /** State of a side, as shown to operators and checked by tests. */
 export interface SideStatus {
   readonly incarnation: string;
+  /** The side is draining and accepts no new offers. */
   readonly leaving: boolean;
-  /** Its upstream answers and holds nothing of an earlier incarnation. */
+  /** The upstream reports and holds no runs of an earlier incarnation. */
   readonly upstreamUp: boolean;
   readonly load: SideLoad;
+  /** Engine memory reserved for runs, in tokens. */
   readonly reservedTokens: number;
   readonly runs: readonly SideRunStatus[];
+  /** Number of ids that must not run again. */
   readonly tombstones: number;
+  /** Number of open channels. */
   readonly channels: number;
 }
 
+/** State of one run, as shown to operators. */
 export interface SideRunStatus {
   readonly dispatchId: DispatchId;
   readonly state: string;
+  /** The entry that owns the run. */
   readonly owner: string;
 }
 
--- a/src/side/offers.ts
+++ b/src/side/offers.ts
@@ -1,6 +1,6 @@
 /**
- * Takes or refuses offers. An offer that is taken has a place in the queue; it
- * lapses without a go. A copy of an offer gets the answer of the first.
+ * Accepts or refuses offers of runs. An accepted offer is queued and lapses if
+ * no `go` follows. A duplicate of an offer gets the same reply as the first.
  */
 import type {
   OfferAccepted,
@@ -18,21 +18,25 @@
 import {createRun, isFinished, memoryTokensOf} from './run.js';
 import type {Run} from './run.js';
 
-/** Least time to come back where nothing better is known. */
+/** Minimum delay before a retry; applies when the prediction is shorter. */
 const MIN_RETRY_AFTER_MS = 100;
-/** Coming back does not help: this side can never run it in its time. */
+/** Tells the entry not to retry here: this side can never accept the offer. */
 const NO_RETRY_MS = 0;
 
+/** Why an offer is refused, and when a retry makes sense. */
 interface Refusal {
   readonly reason: RefusalReason;
+  /** 0 when a retry at this side does not help. */
   readonly retryAfterMs: number;
 }
 
+/** Handles offers of runs. */
 export interface Offers {
+  /** Accepts or refuses an offer. */
   offer(req: OfferReq): OfferRes;
 }
 
-/** `watch` sets the timers of an accepted run. */
+/** `startTimers` sets the timers of an accepted run. */
 export function createOffers(
   core: SideCore,
   shares: FairShares,
@@ -60,16 +64,21 @@
 
   const isQueueFull = (req: OfferReq) => {
     const waiting = table.waiting();
-    const tokens = waiting.reduce((sum, r) => sum + r.offer.promptTokens, 0);
-    // Without room to remember an id, a late copy of it could run: no offer is
-    // taken that could not be buried.
+    const waitingTokens = waiting.reduce(
+      (sum, r) => sum + r.offer.promptTokens,
+      0,
+    );
+    // An offer whose id could not be tombstoned is not accepted: without a
+    // tombstone, a late copy of it could run.
     if (tombstones.isFull()) return true;
     if (waiting.length >= bounds.maxQueued) return true;
     return (
-      waiting.length > 0 && tokens + req.promptTokens > bounds.maxQueuedTokens
+      waiting.length > 0 &&
+      waitingTokens + req.promptTokens > bounds.maxQueuedTokens
     );
   };
 
+  /** Refuses an offer that the side cannot serve in its current state. */
   const checkState = (req: OfferReq): Refusal | undefined => {
     if (req.incarnation !== incarnation) {
       return {reason: 'incarnation', retryAfterMs: NO_RETRY_MS};
@@ -82,42 +91,47 @@
     return undefined;
   };
 
+  /** Refuses an offer for lack of memory or of space in the queue. */
   const checkCapacity = (req: OfferReq): Refusal | undefined => {
     const neededTokens = memoryTokensOf(req);
     if (neededTokens > memory.capacity() && req.kind === 'completion') {
       return {reason: 'full', retryAfterMs: NO_RETRY_MS};
     }
     if (req.group !== undefined && neededTokens > memory.free()) {
-      const afterMs = Math.max(
+      const retryAfterMs = Math.max(
         MIN_RETRY_AFTER_MS,
         timeToFreeMemoryMs(core, neededTokens),
       );
-      return {reason: 'full', retryAfterMs: afterMs};
+      return {reason: 'full', retryAfterMs};
     }
     if (isQueueFull(req)) {
-      const afterMs = Math.max(MIN_RETRY_AFTER_MS, timeToFreeSlotMs(core));
-      return {reason: 'queue-full', retryAfterMs: afterMs};
+      const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, timeToFreeSlotMs(core));
+      return {reason: 'queue-full', retryAfterMs};
     }
     return undefined;
   };
 
+  /** Refuses an offer that cannot end within its time limit. */
   const checkDeadline = (
     req: OfferReq,
     prediction: Prediction,
   ): Refusal | undefined => {
     if (prediction.minEndMs <= req.timeLeftMs) return undefined;
     const fitsAlone = prediction.minAloneMs <= req.timeLeftMs;
-    const excess = prediction.minEndMs - req.timeLeftMs;
+    const excessMs = prediction.minEndMs - req.timeLeftMs;
     if (!fitsAlone) core.rates.recordRefusal(ctx.clock.now());
-    return {reason: 'too-late', retryAfterMs: fitsAlone ? excess : NO_RETRY_MS};
+    return {
+      reason: 'too-late',
+      retryAfterMs: fitsAlone ? excessMs : NO_RETRY_MS,
+    };
   };
 
   const refuse = (req: OfferReq, refusal: Refusal): OfferRefused => {
     const answer = refusedResponse(refusal);
-    // A late copy of an offer to an earlier incarnation may be of a run that
-    // started there: buried as refused, it would be called "not run" to the
-    // entry that comes back for it, and run twice. Its go is refused by the
-    // incarnation alone.
+    // An offer to an earlier incarnation may be a late copy of one whose run
+    // started there. With a tombstone for a refused offer, the side would tell
+    // the entry that the run did not execute, and it would run twice. No
+    // tombstone is needed: the incarnation check alone refuses its go.
     if (refusal.reason !== 'incarnation') {
       tombstones.add(
         {
@@ -156,8 +170,9 @@
     const run = createRun({offer: req, answer, now: ctx.clock.now()});
     shares.join(req.organisation, activeOrganisations());
     table.add(run);
-    // Members of a group are all or nothing: what a member promised must still
-    // be free when its lead goes, or two groups could wait for each other.
+    // A group starts with all members or not at all. A member's memory is
+    // reserved at its offer so that it is still free when the lead starts.
+    // Otherwise two groups could wait for each other.
     if (req.group !== undefined) memory.reserve(run.id, run.memoryTokens);
     startTimers(run);
     ctx.log(SIDE_EVENTS.offerAccepted, {
@@ -170,7 +185,7 @@
     return answer;
   };
 
-  /** The answer that a copy of a known offer gets. */
+  /** The reply to a duplicate of a known offer; undefined for a new one. */
   const previousResponse = (req: OfferReq): OfferRes | undefined => {
     const tombstone = tombstones.get(req.dispatchId);
     if (tombstone !== undefined) {
--- a/src/side/orders.ts
+++ b/src/side/orders.ts
@@ -1,9 +1,9 @@
 /**
- * Orders of the placer to the engine. Some engines ignore fencing numbers, so
- * the side, the only one that gives its engine orders, fences them itself: one
- * at a time, none with a number below the highest seen. A side that was just
- * started has seen none, so it reads the lease first; otherwise a placer long
- * replaced could order through it.
+ * Forwards the placer's orders to the engine. Some engines ignore fencing
+ * numbers. The side is the only sender of orders to its engine, so it enforces
+ * fencing itself: it forwards one order at a time and refuses each order whose
+ * number is below the highest seen. After a start it first reads the number
+ * from the lease, so that a replaced placer cannot send orders through it.
  */
 import type {Either} from 'purify-ts';
 import type {OnyxError} from '../types/errors.js';
@@ -12,24 +12,36 @@
 import type {SideCore} from './side_core.js';
 import {isFinished} from './run.js';
 
+/**
+ * Outcomes kept for duplicates of an order; beyond this bound the oldest is
+ * dropped.
+ */
 const MAX_REMEMBERED_ORDERS = 256;
 
+/** Replies to the placer. */
 type Reply = (res: OrderRes) => void;
 
+/** An order without a reply yet. */
 interface PendingOrder {
   readonly req: OrderReq;
   readonly reply: Reply;
 }
 
+/** Handles the placer's orders. */
 export interface Orders {
+  /** Refuses, queues or forwards an order. */
   submit(req: OrderReq, reply: Reply): void;
+  /** Handles the engine's response to the order in flight. */
   handleOutcome(orderId: string, outcome: Either<OnyxError, void>): void;
+  /** Raises the highest fencing number seen. */
   observeFence(fence: number): void;
+  /** Handles the number read from the lease; retries later after an error. */
   handleFence(outcome: Either<OnyxError, number>): void;
-  /** Asks for the highest fencing number. */
+  /** Reads the highest fencing number, unless it is known already. */
   requestFence(): void;
 }
 
+/** Creates the order handling of one side. */
 export function createOrders(core: SideCore): Orders {
   const {ctx, options, table, timing} = core;
   const {upstream} = options;
@@ -78,7 +90,8 @@
 
   const hideUnloadedModels = (req: OrderReq) => {
     if (req.action !== 'unload') return;
-    // The engine's report lags: no offer is taken on what is being unloaded.
+    // The engine's report lags. Until it arrives, offers for the model that is
+    // being unloaded must already be refused.
     core.upstream.models = core.upstream.models.filter(
       state =>
         state.model !== req.model ||
@@ -106,7 +119,10 @@
       .catch(cause => ctx.fail(cause));
   };
 
-  /** The number may have grown while an order waited: it is looked at again. */
+  /**
+   * Forwards the next waiting order. Each one is checked again, since the
+   * highest fencing number may have risen while it waited.
+   */
   const forwardNext = () => {
     while (inFlight === undefined) {
       const next = waiting.shift();
--- a/src/side/output_lengths.ts
+++ b/src/side/output_lengths.ts
@@ -1,30 +1,34 @@
 /**
- * What the side learns of how long answers get. The tokens that a caller allows
- * are only a bound, often far above the answer: a run predicted at its bound
- * would be refused as too late although it ends in good time.
+ * Learns the distribution of answer lengths. The number of tokens that a caller
+ * allows is only an upper bound and often far above the actual length. A side
+ * that predicted each answer at its bound would refuse runs as too late that
+ * would end in time.
  */
 
-/** Answers after which the distribution is used. */
+/** Number of answers from which the distribution is used. */
 const MIN_ANSWERS = 8;
-/** Share of the answers that are no longer than predicted. */
+/** Share of the answers that are at most as long as predicted. */
 const PREDICTED_QUANTILE = 0.95;
-/** What each answer leaves of the weight of those before it. */
+/** Factor by which each new answer reduces the weight of earlier ones. */
 const DECAY_PER_ANSWER = 0.995;
 
+/** Distribution of answer lengths in tokens. */
 export interface OutputLengths {
-  /** An answer ended, or was cut by its time limit, after so many tokens. */
+  /** Records the length of an answer that ended or hit its time limit. */
   record(tokens: number): void;
+  /** Whether enough answers were recorded to use the distribution. */
   hasEnoughAnswers(): boolean;
   /**
-   * Tokens still to come, in all but few cases, of an answer that has so many
-   * already and may have `most`; all that are allowed until enough answers
-   * were seen.
+   * Predicts how many more tokens an answer gets that has `generatedTokens` and
+   * is allowed `maxTokens`. At most one answer in twenty gets more. Until
+   * enough answers were recorded, this is the number of tokens still allowed.
    */
-  predictRemaining(most: number, already: number): number;
+  predictRemaining(maxTokens: number, generatedTokens: number): number;
 }
 
+/** Creates an empty distribution. */
 export function createOutputLengths(): OutputLengths {
-  /** Weights of answers by the power of two that they are under. */
+  /** Weight at index i: answers of at least 2^(i-1) and under 2^i tokens. */
   const weights: number[] = [];
   let answerCount = 0;
 
@@ -44,16 +48,16 @@
   const predictRemaining = (maxTokens: number, generatedTokens: number) => {
     const allowed = Math.max(0, maxTokens - generatedTokens);
     if (!hasEnoughAnswers()) return allowed;
-    const totalWeight = weights.map((weight, index) =>
+    const longerWeights = weights.map((weight, index) =>
       2 ** index > generatedTokens ? weight : 0,
     );
-    const all = totalWeight.reduce((sum, weight) => sum + weight, 0);
-    // Longer than any seen: as much again as there is, within its bound.
-    if (all === 0) return Math.min(allowed, generatedTokens);
+    const totalWeight = longerWeights.reduce((sum, weight) => sum + weight, 0);
+    // Longer than any recorded answer: assume that its length doubles.
+    if (totalWeight === 0) return Math.min(allowed, generatedTokens);
     let coveredWeight = 0;
-    const index = totalWeight.findIndex(weight => {
+    const index = longerWeights.findIndex(weight => {
       coveredWeight += weight;
-      return coveredWeight >= PREDICTED_QUANTILE * all;
+      return coveredWeight >= PREDICTED_QUANTILE * totalWeight;
     });
     return Math.min(allowed, 2 ** index - generatedTokens);
   };
--- a/src/side/peer_handlers.ts
+++ b/src/side/peer_handlers.ts
@@ -1,14 +1,15 @@
-/** Turns calls and channels of peers into messages to `runs`. */
+/** Converts calls and channels from peers into messages to `runs`. */
 import type {ServiceContext, ServiceName} from '../types/kernel.js';
 import type {PeerHandlers} from '../types/transport.js';
 import './messages.js';
 
-/** The part of a service context or kernel that handlers need. */
+/** The methods of a service context or kernel that the handlers need. */
 export type PeerHandlerContext = Pick<
   ServiceContext<ServiceName>,
   'ask' | 'send'
 >;
 
+/** Creates the handlers of all peer calls that `runs` answers. */
 export function createSidePeerHandlers(ctx: PeerHandlerContext): PeerHandlers {
   return {
     offer: req => ctx.ask('runs', reply => ({kind: 'offer', req, reply})),
--- a/src/side/prediction.ts
+++ b/src/side/prediction.ts
@@ -1,6 +1,7 @@
 /**
- * Predicts when a run will give its first token and when it will end, from
- * the learned rates and what is ahead of it under the queue policy.
+ * Predicts when a run will produce its first token and when it will end. The
+ * prediction uses the learned rates and the runs that the queue policy puts
+ * ahead of it. Offers are refused when the predicted end is too late.
  */
 import type {OfferReq} from '../types/peer_messages.js';
 import type {OrganisationId} from '../types/ids.js';
@@ -11,19 +12,22 @@
 import {isHoldOnly, memoryTokensOf, prefillTokensLeft} from './run.js';
 import type {Run} from './run.js';
 
+/** Ageing step of the queue until a configuration is known. */
 const DEFAULT_AGEING_MS = 10_000;
 
+/** Predicted times of an offer from now, in milliseconds. */
 export interface Prediction {
+  /** Time to the first token, including the time in the queue. */
   readonly firstTokenMs: number;
-  /** Time to the end, the queue included. */
+  /** Time to the end, including the time in the queue. */
   readonly endMs: number;
-  /** The same at the least that its own work may take. */
+  /** Time to the end if its own work takes the minimum time. */
   readonly minEndMs: number;
-  /** The least time to the end if nothing were ahead. */
+  /** Minimum time to the end if no other run were ahead. */
   readonly minAloneMs: number;
 }
 
-/** Time from start to end of a run with so much prefill and decode left. */
+/** Time from start to end for the remaining prefill and decode of a run. */
 function serviceMs(
   core: SideCore,
   offer: OfferReq,
@@ -34,11 +38,13 @@
   return prefillTimeMs(core, offer, prefillTokens) + decodeMs(core, tokensLeft);
 }
 
+/** Time from start to end of the whole run of an offer. */
 function totalServiceMs(core: SideCore, offer: OfferReq): number {
   const tokens = core.lengths.predictRemaining(offer.maxTokens, 0);
   return serviceMs(core, offer, offer.promptTokens, tokens);
 }
 
+/** Prefill time of an offer; the members of a group share the prefill. */
 function prefillTimeMs(
   core: SideCore,
   offer: OfferReq,
@@ -52,8 +58,9 @@
 }
 
 /**
- * The least that an offer's own work may take. Until answers were seen only its
- * first token counts: what it is allowed says how long it gets at most.
+ * Minimum time that an offer's own work may take. Until enough answers were
+ * recorded this covers only the prefill, because the allowed number of tokens
+ * is only an upper bound of the answer's length.
  */
 function minServiceMs(core: SideCore, offer: OfferReq): number {
   const {rates, lengths} = core;
@@ -66,6 +73,7 @@
   return prefillMs + tokens * rates.minStepMs(now);
 }
 
+/** A run as the queue policy sees it. */
 export function toQueueItem(core: SideCore, run: Run): QueueItem {
   const prefillTokens = prefillTokensLeft(run);
   const tokensLeft = core.lengths.predictRemaining(
@@ -86,7 +94,7 @@
   };
 }
 
-/** The queue as a policy sees it. */
+/** The queue as the policy sees it. */
 export function toQueueView(
   core: SideCore,
   waiting: readonly Run[],
@@ -109,16 +117,17 @@
   };
 }
 
-/** What holds memory and frees it when it ends. */
+/** A run that holds memory until it ends. */
 interface MemoryHolder {
   readonly memoryTokens: number;
+  /** Predicted time until its end. */
   readonly remainingMs: number;
 }
 
 /**
- * Members of groups hold memory without running here. Left out, they would be
- * taken for memory that is free at once, and what waits for it would be
- * promised a time that it cannot have.
+ * All holders of memory: running runs and members of groups. Members hold
+ * memory without running here. If they were left out, their memory would count
+ * as free at once, and waiting runs would get predictions that are too early.
  */
 function memoryHoldersOf(
   core: SideCore,
@@ -139,12 +148,13 @@
   return [...reservations, ...running];
 }
 
+/** Predicted time for which a group member holds its memory. */
 function memoryHoldMs(core: SideCore, run: Run): number {
   const {offer} = run;
   return totalServiceMs(core, offer);
 }
 
-/** Time until what runs has freed so many places and so much memory. */
+/** Predicted time until so many slots and so much memory are free. */
 function timeToFreeMs(
   core: SideCore,
   view: QueueView,
@@ -165,7 +175,8 @@
     missingMemory -= item.memoryTokens;
     if (missingSlots <= 0 && missingMemory <= 0) return elapsedMs;
   }
-  // More is ahead than runs: so many more rounds of what runs.
+  // The current runs do not free enough: assume as many further rounds of the
+  // same duration as the missing slots and memory require.
   const rounds = Math.max(
     missingSlots / Math.max(1, view.maxRunning),
     missingMemory / Math.max(1, view.capacityTokens),
@@ -175,6 +186,7 @@
 
 const sum = (numbers: readonly number[]) => numbers.reduce((a, b) => a + b, 0);
 
+/** A new offer as the queue policy sees it. */
 function offerToQueueItem(core: SideCore, offer: OfferReq): QueueItem {
   const now = core.ctx.clock.now();
   return {
@@ -191,6 +203,7 @@
   };
 }
 
+/** Predicts the times of a new offer behind the current queue. */
 export function predict(core: SideCore, offer: OfferReq): Prediction {
   const item = offerToQueueItem(core, offer);
   const view = toQueueView(core, core.table.waiting(), new Map());
@@ -224,7 +237,7 @@
   };
 }
 
-/** Time until so much memory is free, as predicted. */
+/** Predicted time until so much memory is free. */
 export function timeToFreeMemoryMs(
   core: SideCore,
   memoryTokens: number,
@@ -233,7 +246,7 @@
   return timeToFreeMs(core, view, 0, memoryTokens);
 }
 
-/** Time until a place is free, as predicted. */
+/** Predicted time until a slot is free. */
 export function timeToFreeSlotMs(core: SideCore): number {
   const view = toQueueView(core, [], new Map());
   return timeToFreeMs(core, view, 1, 0);
--- a/src/side/prompt_buffer.ts
+++ b/src/side/prompt_buffer.ts
@@ -1,23 +1,26 @@
 /**
- * Collects a prompt's frames. A run starts only when its prompt is whole: a
- * frame lost, doubled or out of order can then never reach an upstream, and a
- * prompt that does not come whole is known not to have run.
+ * Collects the frames of a prompt. A run starts only when its prompt is
+ * complete. Lost, duplicated or reordered frames therefore never reach an
+ * upstream, and a run with an incomplete prompt is known not to have executed.
  */
 
+/** The frames of one prompt. */
 export interface PromptBuffer {
-  /** Copies of a frame are dropped. */
+  /** Stores a frame; drops duplicates. */
   put(seq: number, data: Uint8Array): void;
-  /** The number of frames is known. */
+  /** Sets the total number of frames. */
   setFrameCount(count: number): void;
+  /** Whether the total number of frames is known. */
   hasFrameCount(): boolean;
-  /** All frames are here. */
+  /** Whether all frames have arrived. */
   isComplete(): boolean;
-  /** Hands the frames over, in order, and keeps none. */
+  /** Removes the frames and returns them in order. */
   take(): AsyncIterable<Uint8Array>;
   /** Drops all frames. */
   clear(): void;
 }
 
+/** Creates an empty buffer. */
 export function createPromptBuffer(): PromptBuffer {
   const frames = new Map<number, Uint8Array>();
   let count: number | undefined;
--- a/src/side/run.ts
+++ b/src/side/run.ts
@@ -1,10 +1,10 @@
 /**
- * The record of one run at its side, and the questions asked of it. Only the
- * `runs` service changes it.
+ * Declares the record of one run at its side and functions that derive facts
+ * from it. Only the `runs` service changes the record.
  *
- * States: offered -> (go) receiving -> (prompt whole) queued -> running ->
- * ended | failed | cancelled. Each state before the last three may turn into
- * failed or cancelled.
+ * States: offered -> (go) receiving -> (prompt complete) queued -> running ->
+ * ended | failed | cancelled. Each unfinished state may also change to failed
+ * or cancelled.
  */
 import type {Ran} from '../types/errors.js';
 import type {DispatchId, NodeId} from '../types/ids.js';
@@ -21,6 +21,7 @@
 import type {PromptBuffer} from './prompt_buffer.js';
 import {createPromptBuffer} from './prompt_buffer.js';
 
+/** State of a run at its side. */
 export type RunState =
   | 'offered'
   | 'receiving'
@@ -30,68 +31,86 @@
   | 'failed'
   | 'cancelled';
 
-/** What was seen of a run at its upstream. */
+/** Progress of a run according to its upstream's events. */
 export interface RunProgress {
+  /** Prompt tokens prefilled so far. */
   prefilledTokens: number;
-  /** Index of the next token wanted. */
+  /** Index of the next expected token. */
   nextToken: number;
-  /** Any event at all came from the upstream. */
+  /** An event other than a heartbeat came from the upstream. */
   eventSeen: boolean;
+  /** Clock time of the last event, heartbeats included. */
   lastEventAt: number;
-  /** The same, beats left out. */
+  /** Clock time of the last event that is not a heartbeat. */
   lastProgressAt: number;
-  /** When the last tokens came; undefined before the first. */
+  /** Clock time of the last tokens; undefined before the first ones. */
   lastTokenAt: number | undefined;
 }
 
-/** The stream of events from the upstream that is listened to now. */
+/** The subscription to the run's current event stream from the upstream. */
 export interface RunStream {
-  /** Counts up; events of earlier streams are dropped. */
+  /** Increases with each new stream; events of earlier streams are dropped. */
   generation: number;
+  /** Ends the subscription; undefined when there is none. */
   unsubscribe: Cancel | undefined;
-  /** Takings-up since the last new token. */
+  /** Consecutive resumes without a new token. */
   resumes: number;
 }
 
+/** One run at its side. Times are clock times in milliseconds. */
 export interface Run {
   readonly id: DispatchId;
   readonly offer: OfferReq;
+  /** The reply to the offer; duplicates of the offer get it too. */
   readonly answer: OfferAccepted;
+  /** Engine memory that the run needs, in tokens. */
   readonly memoryTokens: number;
   readonly offeredAt: number;
   readonly prompt: PromptBuffer;
+  /** The chunks of its answer. */
   readonly chunkLog: ChunkLog;
   readonly progress: RunProgress;
   readonly stream: RunStream;
+  /** Cancel functions of its pending timers. */
   readonly timers: Cancel[];
   state: RunState;
   /** The entry that owns the run. */
   owner: NodeId;
+  /** When the owner last sent a frame or listed the run in a heartbeat. */
   ownerLastSeenAt: number;
+  /** When the run's time limit passes. */
   deadlineAt: number;
+  /** Method, path and headers of a call; from its go. */
   call: CallHead | undefined;
+  /** The channel that serves the run; undefined when it has none. */
   channelId: number | undefined;
-  /** It was handed to the upstream. */
+  /** The run was sent to the upstream. */
   started: boolean;
+  /** When it was sent to the upstream; 0 before that. */
   startedAt: number;
-  /** A call past its end here whose upstream has not answered yet. */
+  /** A call that is finished here while its upstream has not replied yet. */
   lateCall: boolean;
+  /** The last frame for the owner; undefined until the run is finished. */
   outcome: RunEnd | RunFailed | undefined;
+  /** When the run finished; 0 before that. */
   endedAt: number;
-  /** When the outcome was sent on the run's present channel. */
+  /** When the outcome was sent on the run's current channel. */
   outcomeSentAt: number | undefined;
-  /** The owner has got the outcome. */
+  /** The owner has received the outcome or abandoned the run. */
   delivered: boolean;
-  /** Audits in a row in which the engine did not list it. */
+  /** Consecutive audits in which the engine's list lacked the run. */
   missedAudits: number;
 }
 
+/** Input of `createRun`. */
 export interface NewRun {
   readonly offer: OfferReq;
   readonly answer: OfferAccepted;
+  /** Current clock time. */
   readonly now: number;
 }
 
+/** Creates the record of an accepted offer. */
 export function createRun(input: NewRun): Run {
   const {offer, now} = input;
   return {
@@ -129,7 +148,7 @@
   };
 }
 
-/** Memory that a run of this offer holds, in tokens; 0 for a call. */
+/** Engine memory that a run of this offer needs, in tokens; 0 for a call. */
 export function memoryTokensOf(offer: OfferReq): number {
   if (offer.kind === 'call') return 0;
   if (offer.group !== undefined) return offer.group.holdTokens;
@@ -141,29 +160,30 @@
   return offer.group !== undefined && !offer.group.lead;
 }
 
+/** Whether the run is ended, failed or cancelled. */
 export function isFinished(run: Run): boolean {
   return (
     run.state === 'ended' || run.state === 'failed' || run.state === 'cancelled'
   );
 }
 
-/** Accepted and not yet handed to the upstream. */
+/** Whether the run is accepted and not yet sent to the upstream. */
 export function isWaiting(run: Run): boolean {
   return !isFinished(run) && run.state !== 'running';
 }
 
-/** Whether it occupies a place at the upstream. */
+/** Whether the run occupies one of the upstream's slots for concurrent runs. */
 export function occupiesSlot(run: Run): boolean {
   return run.state === 'running' || run.lateCall;
 }
 
-/** Prompt tokens still to prefill. */
+/** Prompt tokens not yet prefilled. */
 export function prefillTokensLeft(run: Run): number {
   if (isFinished(run) || isHoldOnly(run.offer)) return 0;
   return Math.max(0, run.offer.promptTokens - run.progress.prefilledTokens);
 }
 
-/** What can honestly be said of a run that fails now. */
+/** Whether a run that fails now executed, as far as its progress shows. */
 export function ranOf(run: Run): Ran {
   if (!run.started) return 'no';
   return run.progress.eventSeen ? 'yes' : 'unknown';
--- a/src/side/run_owners.ts
+++ b/src/side/run_owners.ts
@@ -1,6 +1,7 @@
 /**
- * Ownership of runs by entries, as leases kept alive by heartbeats and open
- * channels, and how long what is over is kept.
+ * Manages the ownership of runs by entries. Ownership is a lease that an open
+ * channel or the entry's heartbeats renew; a run whose owner is silent is
+ * cancelled. This module also removes finished runs after their retention.
  */
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {Channels} from './channels.js';
@@ -9,16 +10,22 @@
 import {isFinished} from './run.js';
 import type {Run} from './run.js';
 
+/** Leases of entries on runs. */
 export interface RunOwners {
-  /** An entry said which dispatches it owns. */
+  /** Renews the leases on the dispatches that an entry's heartbeat lists. */
   renew(entry: string, owned: readonly string[]): void;
+  /** Cancels runs of silent owners and removes expired runs and tombstones. */
   sweep(): void;
-  /** After a freeze of this process: no entry could be heard. */
+  /**
+   * Renews all leases. Needed after this process was frozen, when it could not
+   * receive heartbeats from any entry.
+   */
   resetSilence(): void;
-  /** Somebody may still come for the run's outcome. */
+  /** Whether the run is active or its owner may still fetch the outcome. */
   isAwaited(run: Run): boolean;
 }
 
+/** Creates the leases of one side. */
 export function createRunOwners(
   core: SideCore,
   channels: Channels,
@@ -30,8 +37,8 @@
     run.channelId === undefined &&
     ctx.clock.now() - run.ownerLastSeenAt > timing.holdMs;
 
-  // An entry that died never says so. Its runs would hold memory until their
-  // time limit, which for a long prompt is many minutes.
+  // An entry that crashed does not cancel its runs. They would hold memory
+  // until their time limit, which for a long prompt is many minutes.
   const cancelOrphans = () => {
     for (const run of table.all()) {
       if (isFinished(run) || run.state === 'offered' || !isOwnerSilent(run))
@@ -45,7 +52,10 @@
   const isBeingDelivered = (run: Run) =>
     run.channelId !== undefined && run.outcomeSentAt === undefined;
 
-  /** On a channel that lives on, what was sent has arrived by now. */
+  /**
+   * Marks outcomes as delivered whose channel stayed open for the channel
+   * silence limit after the send.
+   */
   const markDelivered = () => {
     const sentBefore = ctx.clock.now() - timing.channelSilenceMs;
     for (const run of table.finished()) {
@@ -56,7 +66,8 @@
   };
 
   const forget = (run: Run) => {
-    // An id that can not be remembered stays in the table until it can be.
+    // Without space for a tombstone, the run stays in the table so that its id
+    // is not forgotten.
     if (tombstones.isFull() && tombstones.get(run.id) === undefined) return;
     if (run.channelId !== undefined) {
       channels.closeWith(run.channelId, undefined);
@@ -66,18 +77,22 @@
 
   const forgetExpired = () => {
     const now = ctx.clock.now();
-    const kept: Run[] = [];
+    const retained: Run[] = [];
     for (const run of table.finished()) {
       if (run.lateCall || isBeingDelivered(run)) continue;
       if (now - run.endedAt > timing.retentionMs) forget(run);
-      else kept.push(run);
+      else retained.push(run);
     }
-    forgetOverLimit(kept);
+    forgetOverLimit(retained);
   };
 
-  const forgetOverLimit = (kept: readonly Run[]) => {
-    let bytes = kept.reduce((total, run) => total + run.chunkLog.bytes(), 0);
-    const oldestFirst = [...kept].sort((a, b) => a.endedAt - b.endedAt);
+  /** Removes the oldest finished runs while the kept answers are too large. */
+  const forgetOverLimit = (retained: readonly Run[]) => {
+    let bytes = retained.reduce(
+      (total, run) => total + run.chunkLog.bytes(),
+      0,
+    );
+    const oldestFirst = [...retained].sort((a, b) => a.endedAt - b.endedAt);
     for (const run of oldestFirst) {
       if (bytes <= bounds.retentionBytes) return;
       bytes -= run.chunkLog.bytes();
--- a/src/side/run_table.ts
+++ b/src/side/run_table.ts
@@ -1,21 +1,28 @@
-/** All runs that a side knows, by dispatch id. */
+/** Holds all runs that a side knows, by dispatch id. */
 import type {DispatchId, OrganisationId, RequestId} from '../types/ids.js';
 import {isHoldOnly, isFinished, isWaiting, occupiesSlot} from './run.js';
 import type {Run} from './run.js';
 
+/** The runs of one side. */
 export interface RunTable {
   add(run: Run): void;
   get(id: DispatchId): Run | undefined;
   remove(id: DispatchId): void;
   all(): readonly Run[];
+  /** Runs that are accepted and not yet sent to the upstream. */
   waiting(): readonly Run[];
-  /** Occupy a place at the upstream. */
+  /** Runs that occupy a slot of the upstream. */
   occupyingSlots(): readonly Run[];
+  /** Runs that are ended, failed or cancelled. */
   finished(): readonly Run[];
-  /** The furthest run of a request, holds left out. */
+  /**
+   * The most advanced run of a request. Group members that only hold memory
+   * are ignored.
+   */
   find(requestId: RequestId, organisation: OrganisationId): Run | undefined;
 }
 
+/** Order of states for `find`; states that are not listed come last. */
 const MOST_ADVANCED_FIRST = ['running', 'ended', 'queued', 'receiving'];
 
 function rank(run: Run): number {
@@ -23,6 +30,7 @@
   return index < 0 ? MOST_ADVANCED_FIRST.length : index;
 }
 
+/** Creates an empty table. */
 export function createRunTable(): RunTable {
   const runs = new Map<DispatchId, Run>();
   const select = (test: (run: Run) => boolean) =>
--- a/src/side/runs_service.ts
+++ b/src/side/runs_service.ts
@@ -1,7 +1,7 @@
 /**
- * The `runs` service: sole owner of one upstream's capacity and of the runs on
- * it. It takes one message at a time; what its timers, streams and channels
- * have to say comes through its mailbox too.
+ * The `runs` service of a side: the only owner of an upstream's capacity and of
+ * the runs on it. It handles one message at a time. Timers, streams and
+ * channels also report through its mailbox, so no state changes concurrently.
  */
 import {followConfig} from '../config/follow_config.js';
 import type {ServiceContext, ServiceSpec} from '../types/kernel.js';
@@ -35,16 +35,17 @@
 import {createUpstreamRunner} from './upstream_runner.js';
 import {createUpstreamPoller} from './upstream_poller.js';
 
-/** So many missed sweeps mean that the process stood still. */
+/** A gap of more than this many heartbeat periods means a frozen process. */
 const FREEZE_SWEEPS = 3;
 
+/** Declares the `runs` service. */
 export function createRunsService(options: RunsOptions): ServiceSpec<'runs'> {
   let startCount = 0;
   return {
     name: 'runs',
     start: ctx => {
-      // A service that failed and was started again has forgotten its
-      // tombstones: to its peers it must be another incarnation.
+      // A restart after a failure loses the tombstones, so the service must
+      // have a new incarnation for its peers.
       const suffix = startCount === 0 ? '' : `-${startCount}`;
       startCount += 1;
       startRunsService(createCore(ctx, options, options.incarnation + suffix));
@@ -85,6 +86,7 @@
   };
 }
 
+/** Creates the parts of the service and connects them to its mailbox. */
 function startRunsService(core: SideCore): void {
   const {ctx, timing, table} = core;
   const shares = createFairShares();
@@ -170,8 +172,8 @@
     const sinceLastTickMs = now - lastTickAt;
     lastTickAt = now;
     if (sinceLastTickMs <= FREEZE_SWEEPS * timing.heartbeatMs) return;
-    // While this process stood still it could hear nobody. To take that for
-    // the others' silence would end runs whose owners are well.
+    // A frozen process receives nothing. Counting that time as silence of the
+    // entries would cancel runs whose owners are healthy.
     ctx.log(SIDE_EVENTS.sideFrozen, {ms: Math.round(sinceLastTickMs)});
     channels.resetSilence();
     runOwners.resetSilence();
@@ -196,7 +198,7 @@
     }
     runOwners.sweep();
     runner.sweep();
-    // Ageing and deadlines change the queue without any event.
+    // Ageing and deadlines change the order of the queue without any event.
     core.queueChanged = true;
     updateGauges();
   };
--- a/src/side/scheduler.ts
+++ b/src/side/scheduler.ts
@@ -1,4 +1,6 @@
-/** Starts waiting runs as the queue policy says, and logs each decision. */
+/**
+ * Starts waiting runs in the order of the queue policy and logs each decision.
+ */
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {SideCore} from './side_core.js';
 import {isUpstreamDown} from './side_core.js';
@@ -9,13 +11,15 @@
 import type {Run} from './run.js';
 import type {UpstreamRunner} from './upstream_runner.js';
 
+/** Starts runs on the upstream. */
 export interface Scheduler {
-  /** Starts all that may start now. */
+  /** Starts all waiting runs that may start now. */
   startEligible(): void;
-  /** Starts a member of a group, whose memory is reserved already. */
+  /** Starts a member or lead of a group, whose memory is reserved already. */
   startReserved(run: Run): void;
 }
 
+/** Creates the scheduler of one side. */
 export function createScheduler(
   core: SideCore,
   shares: FairShares,
@@ -24,6 +28,7 @@
 ): Scheduler {
   const {ctx, table} = core;
 
+  /** Fails a run whose time limit has passed; returns whether it did. */
   const failIfLate = (run: Run) => {
     if (ctx.clock.now() < run.deadlineAt) return false;
     lifecycle.fail(run, {
@@ -86,8 +91,9 @@
       const view = toQueueView(core, [run], shares.served());
       const choice = {
         dispatchId: run.id,
-        // By the policy as for any other run: a group's long prefill with the
-        // bare priority of a short prompt would stop short ones on its lead.
+        // The policy sets the priority as for any other run. With its declared
+        // priority alone, the long prefill of a group would block short prompts
+        // on the lead's engine.
         enginePriority: core.options.queuePolicy.enginePriority(
           toQueueItem(core, run),
         ),
--- a/src/side/side_core.ts
+++ b/src/side/side_core.ts
@@ -1,6 +1,7 @@
 /**
- * What the parts of the `runs` service share: its context, its settings and
- * its state. Made anew at each start of the service.
+ * Declares the options and the shared state of the `runs` service. All parts
+ * of the service receive one `SideCore`, which is created anew at each start
+ * of the service. The functions here derive limits and health from that state.
  */
 import type {Either} from 'purify-ts';
 import type {LengthClass, NumberedDeclarations} from '../types/config.js';
@@ -23,17 +24,19 @@
 import type {SideBounds, SideTiming} from './timing.js';
 import type {Tombstones} from './tombstones.js';
 
+/** Client of the side's upstream: a model engine or a plain service. */
 export type SideUpstream =
   | {readonly kind: 'engine'; readonly client: EngineClient}
   | {readonly kind: 'service'; readonly client: ServiceClient};
 
-/** Reads the highest fencing number ever given out. */
+/** Reads the highest fencing number ever issued. */
 export type ReadFence = () => Promise<Either<OnyxError, FencingNumber>>;
 
+/** Options of the `runs` service. */
 export interface RunsOptions {
   readonly upstream: SideUpstream;
   readonly node: NodeId;
-  /** Random at each process start. */
+  /** Identifies this process start; chosen at random by each process. */
   readonly incarnation: Incarnation;
   readonly pool: PoolId;
   readonly failureDomain: FailureDomain;
@@ -45,20 +48,26 @@
   readonly bounds?: Partial<SideBounds>;
   /** @default DEFAULT_RATE_PRIORS */
   readonly priors?: Partial<RatePriors>;
-  /** Length classes until a configuration is known. */
+  /** Length classes that apply until a configuration is known. */
   readonly lengthClasses?: readonly LengthClass[];
 }
 
-/** What was last heard of the upstream. */
+/** The upstream's state according to its latest load report. */
 export interface UpstreamView {
-  /** When it last answered; undefined before the first time. */
+  /** Clock time of the latest report; undefined before the first report. */
   lastReportAt: number | undefined;
+  /** Age of the latest report when it arrived. */
   reportAgeMs: number;
+  /** Models on the engine; empty for a plain service. */
   models: readonly ModelState[];
-  /** Runs of earlier incarnations were freed. */
+  /**
+   * The engine holds no runs of earlier incarnations any more. Always true for
+   * a plain service.
+   */
   reconciled: boolean;
 }
 
+/** Shared state of the parts of the `runs` service. */
 export interface SideCore {
   readonly ctx: ServiceContext<'runs'>;
   readonly options: RunsOptions;
@@ -71,17 +80,19 @@
   readonly rates: LearnedRates;
   readonly lengths: OutputLengths;
   readonly upstream: UpstreamView;
+  /** Newest accepted configuration; undefined until one has arrived. */
   config: NumberedDeclarations | undefined;
+  /** The side is draining and accepts no new offers. */
   leaving: boolean;
   /** Highest fencing number seen. */
   fence: FencingNumber;
-  /** The lease was read after the start. */
+  /** The fencing number was read from the placer's lease since the start. */
   fenceKnown: boolean;
-  /** A run may be startable since the last look at the queue. */
+  /** The scheduler must run because a waiting run may be able to start. */
   queueChanged: boolean;
 }
 
-/** One class for all, until a configuration is known. */
+/** A single length class for all prompts; used until one is configured. */
 const SINGLE_CLASS: readonly LengthClass[] = [
   {
     name: 'any',
@@ -92,13 +103,14 @@
   },
 ];
 
+/** The length classes in force, shortest first. */
 export function lengthClassesOf(core: SideCore): readonly LengthClass[] {
   const declared = core.config?.declarations.lengthClasses ?? [];
   if (declared.length > 0) return declared;
   return core.options.lengthClasses ?? SINGLE_CLASS;
 }
 
-/** Runs at once on the upstream. */
+/** Maximum number of concurrent runs on the upstream. */
 export function maxConcurrentRuns(core: SideCore): number {
   if (core.options.upstream.kind === 'engine') return core.bounds.maxRunning;
   const declared = core.config?.declarations.services.find(
@@ -107,6 +119,10 @@
   return declared?.maxRunning ?? core.bounds.maxRunning;
 }
 
+/**
+ * Whether the upstream cannot take runs: no recent report, an engine without
+ * capacity, or an engine that is not reconciled yet.
+ */
 export function isUpstreamDown(core: SideCore): boolean {
   const {lastReportAt, reconciled} = core.upstream;
   const isEngine = core.options.upstream.kind === 'engine';
--- a/src/side/state_reports.ts
+++ b/src/side/state_reports.ts
@@ -1,4 +1,7 @@
-/** What a side tells of itself: load, heartbeat answers, where a run is. */
+/**
+ * Builds the reports of a side's state: its load, its heartbeat replies, the
+ * location of a run, and the status for operators.
+ */
 import type {
   LocateReq,
   LocateRes,
@@ -13,6 +16,7 @@
 import {prefillTokensLeft} from './run.js';
 import type {Run, RunState} from './run.js';
 
+/** The state that a `locate` reply gives for each state of a run. */
 const LOCATE_STATES: {readonly [S in RunState]: LocateRes['state']} = {
   offered: 'none',
   receiving: 'queued',
@@ -23,10 +27,12 @@
   cancelled: 'failed',
 };
 
+/** Prompt tokens of these runs that are not prefilled yet. */
 function prefillBacklog(runs: readonly Run[]): number {
   return runs.reduce((sum, run) => sum + prefillTokensLeft(run), 0);
 }
 
+/** The side's current load, with its learned rates. */
 export function loadOf(core: SideCore): SideLoad {
   const {table, memory, rates, upstream} = core;
   const runs = table.all();
@@ -45,6 +51,7 @@
   };
 }
 
+/** Age of the upstream's report, including its age when it arrived. */
 function reportAgeMsOf(
   core: SideCore,
   lastReportAt: number | undefined,
@@ -53,6 +60,7 @@
   return core.ctx.clock.now() - lastReportAt + core.upstream.reportAgeMs;
 }
 
+/** Reply to an entry's heartbeat. */
 export function heartbeatReplyOf(core: SideCore): SideHeartbeatRes {
   const {options} = core;
   return {
@@ -68,6 +76,7 @@
   };
 }
 
+/** Reply to a `locate` call; state `none` when the request has no run here. */
 export function locateRun(core: SideCore, req: LocateReq): LocateRes {
   const run = core.table.find(req.requestId, req.organisation);
   const state = run === undefined ? 'none' : LOCATE_STATES[run.state];
@@ -84,6 +93,7 @@
   };
 }
 
+/** Status for operators; `channels` is the number of open channels. */
 export function statusOf(core: SideCore, channels: number): SideStatus {
   return {
     incarnation: core.incarnation,
--- a/src/side/timing.ts
+++ b/src/side/timing.ts
@@ -1,40 +1,42 @@
-/** Times and bounds of the side process, each with its default. */
+/** Timeouts, periods and limits of the side process, with their defaults. */
 
+/** Times in milliseconds, and the number of resumes. */
 export interface SideTiming {
-  /** Period of beats on channels and of the sweep. @default 1000 */
+  /** Period of heartbeats on channels and of sweeps. @default 1000 */
   readonly heartbeatMs: number;
-  /** A channel that brought nothing for this long is closed. @default 3000 */
+  /** A channel without any frame for this long is closed. @default 3000 */
   readonly channelSilenceMs: number;
-  /** A run whose owner is not heard for this long is ended. @default 10000 */
+  /** A run whose owner is silent for this long is cancelled. @default 10000 */
   readonly holdMs: number;
-  /** An accepted offer without a go lapses after this. @default 1000 */
+  /** An accepted offer without a go lapses after this time. @default 1000 */
   readonly offerLapseMs: number;
-  /** How long an id is remembered after its run is forgotten. @default 120000 */
+  /** How long a tombstone is kept after it was recorded. @default 120000 */
   readonly tombstoneMs: number;
-  /** How long an answer is kept after its end. @default 60000 */
+  /** How long a finished run and its answer are kept. @default 60000 */
   readonly retentionMs: number;
-  /** Period of the comparison with the engine's list. @default 5000 */
+  /** Period of audits against the engine's list of runs. @default 5000 */
   readonly auditMs: number;
-  /** Period of asking the upstream for its report. @default 1000 */
+  /** Period of requests for the upstream's load report. @default 1000 */
   readonly reportMs: number;
   /** Without a report for this long the upstream is down. @default 5000 */
   readonly upstreamDownMs: number;
-  /** Engine stream without any event for this long is broken. @default 3000 */
+  /** An engine stream without an event for this long is broken. @default 3000 */
   readonly engineSilenceMs: number;
-  /** The same before the first event, while the prompt is sent. @default 15000 */
+  /** As above, before the first event, while the prompt is sent. @default 15000 */
   readonly firstEventTimeoutMs: number;
-  /** First pause before a stream is taken up again; doubles. @default 100 */
+  /** First delay before a stream is resumed; doubles each time. @default 100 */
   readonly resumeBackoffMs: number;
-  /** Takings-up in a row without a new token. @default 5 */
+  /** A run fails after this many resumes without a new token. @default 5 */
   readonly maxResumes: number;
-  /** Missing prompt frames may still come for this long. @default 1000 */
+  /** How long missing frames may arrive after the prompt's end. @default 1000 */
   readonly promptGapMs: number;
-  /** A late call's place is kept for this long after its limit. @default 60000 */
+  /** A late call keeps its slot this long after its time limit. @default 60000 */
   readonly lateCallMs: number;
-  /** Period of asking for the fencing number until known. @default 2000 */
+  /** Delay before a failed read of the fencing number repeats. @default 2000 */
   readonly fenceRetryMs: number;
 }
 
+/** Defaults of `SideTiming`. */
 export const DEFAULT_SIDE_TIMING: SideTiming = {
   heartbeatMs: 1_000,
   channelSilenceMs: 3_000,
@@ -54,19 +56,27 @@
   fenceRetryMs: 2_000,
 };
 
+/** Limits of what the side keeps and runs. */
 export interface SideBounds {
-  /** Runs at once on the upstream. @default 64 */
+  /** Concurrent runs on the upstream; further runs wait. @default 64 */
   readonly maxRunning: number;
-  /** Accepted runs that wait. @default 256 */
+  /** Waiting runs; at the limit, offers are refused. @default 256 */
   readonly maxQueued: number;
-  /** Prompt tokens of accepted runs that wait. @default 8000000 */
+  /**
+   * Prompt tokens of waiting runs; an offer that would exceed the limit is
+   * refused unless no run waits. @default 8000000
+   */
   readonly maxQueuedTokens: number;
-  /** Ids remembered; at the bound new offers are refused. @default 50000 */
+  /** Tombstones; at the limit, offers are refused. @default 50000 */
   readonly maxTombstones: number;
-  /** Bytes of kept answers of ended runs. @default 33554432 */
+  /**
+   * Bytes of answers of finished runs; above the limit, the oldest are removed.
+   * @default 33554432
+   */
   readonly retentionBytes: number;
 }
 
+/** Defaults of `SideBounds`. */
 export const DEFAULT_SIDE_BOUNDS: SideBounds = {
   maxRunning: 64,
   maxQueued: 256,
--- a/src/side/upstream_poller.ts
+++ b/src/side/upstream_poller.ts
@@ -1,14 +1,18 @@
-/** Keeps the view of the upstream by its own report. */
+/** Polls the upstream's load report and updates the side's view of it. */
 import type {Either} from 'purify-ts';
 import type {OnyxError} from '../types/errors.js';
 import type {SideCore} from './side_core.js';
 import type {UpstreamReport} from './messages.js';
 
+/** Requests and handles load reports. */
 export interface UpstreamPoller {
+  /** Requests a report; the reply arrives as a message to `runs`. */
   requestReport(): void;
+  /** Updates the view; a failed request leaves it unchanged. */
   handleReport(outcome: Either<OnyxError, UpstreamReport>): void;
 }
 
+/** Creates the poller of one side's upstream. */
 export function createUpstreamPoller(core: SideCore): UpstreamPoller {
   const {ctx, memory} = core;
   const {upstream} = core.options;
@@ -37,7 +41,8 @@
         .then(outcome => ctx.send('runs', {kind: 'reported', outcome}))
         .catch(cause => ctx.fail(cause));
     },
-    // Without an answer the last view grows old; see `isUpstreamDown`.
+    // After failed requests the last report becomes stale; `isUpstreamDown`
+    // then reports the upstream as down.
     handleReport: outcome => void outcome.ifRight(applyReport),
   };
 }
--- a/src/side/upstream_runner.ts
+++ b/src/side/upstream_runner.ts
@@ -1,7 +1,7 @@
 /**
- * Hands runs to the upstream and listens to what comes back. A stream that
- * breaks is taken up again from the next token on a new connection; a call to
- * a plain service is made once and never repeated here.
+ * Sends runs to the upstream and handles the events that come back. A broken
+ * engine stream is resumed from the next token on a new connection. A call to a
+ * plain service is sent once and never repeated here.
  */
 import type {Stream} from 'most';
 import {OnyxError} from '../types/errors.js';
@@ -16,19 +16,23 @@
 import {isHoldOnly, isFinished, prefillTokensLeft, ranOf} from './run.js';
 import type {Run} from './run.js';
 
+/** Runs work on the upstream. */
 export interface UpstreamRunner {
-  /** Hands a run to the upstream; once for each id. */
+  /** Sends a run to the upstream; at most once for each id. */
   start(run: Run, enginePriority: number): void;
-  handle(run: Run, stream: number, event: UpstreamEvent): void;
-  resume(run: Run, stream: number): void;
-  /** Treats engine streams without any event for too long as broken. */
+  /** Handles an event; drops events of earlier stream generations. */
+  handle(run: Run, generation: number, event: UpstreamEvent): void;
+  /** Resumes a broken engine stream, unless it was replaced meanwhile. */
+  resume(run: Run, generation: number): void;
+  /** Treats engine streams without an event for too long as broken. */
   sweep(): void;
 }
 
 async function* emptyPrompt(): AsyncIterable<Uint8Array> {
-  // A hold has no prompt.
+  // A run that only holds memory has no prompt.
 }
 
+/** Creates the runner of one side's upstream. */
 export function createUpstreamRunner(
   core: SideCore,
   channels: Channels,
@@ -54,12 +58,12 @@
     wrap: (event: E) => UpstreamEvent,
   ) => {
     run.stream.generation += 1;
-    const stream = run.stream.generation;
+    const generation = run.stream.generation;
     const sendEvent = (event: UpstreamEvent) =>
       ctx.send('runs', {
         kind: 'upstream',
         dispatchId: run.id,
-        streamGeneration: stream,
+        streamGeneration: generation,
         event,
       });
     const sendBroken = (cause: unknown) =>
@@ -103,10 +107,10 @@
   };
 
   const updatePrefillBusy = () => {
-    const busy = table
+    const isBusy = table
       .occupyingSlots()
       .some(run => run.progress.eventSeen && prefillTokensLeft(run) > 0);
-    rates.setPrefillBusy(busy, ctx.clock.now());
+    rates.setPrefillBusy(isBusy, ctx.clock.now());
   };
 
   const failAsLost = (run: Run, error: OnyxError) =>
@@ -123,9 +127,9 @@
     const wasNotSent =
       error.ran === 'no' && !run.progress.eventSeen && run.stream.resumes === 0;
     stopListening(run);
-    // The connection was never made, so no byte of the run went out: asking to
-    // take it up would end as "unknown", and a request that may not repeat
-    // would be lost though another engine could serve it.
+    // The connection was never established, so no byte of the run was sent. A
+    // resume would end with `ran: 'unknown'`, and a request that may not be
+    // repeated would be lost although another engine could serve it.
     if (wasNotSent) {
       return lifecycle.fail(run, {
         code: error.code,
@@ -133,18 +137,18 @@
         ran: 'no',
       });
     }
-    // The engine answered that it has no such run: there is nothing to take up.
+    // The engine does not have the run, so there is nothing to resume.
     if (error.code === 'not-found') return failAsLost(run, error);
     if (run.stream.resumes >= timing.maxResumes) return failAsLost(run, error);
-    const pause = timing.resumeBackoffMs * 2 ** run.stream.resumes;
+    const delayMs = timing.resumeBackoffMs * 2 ** run.stream.resumes;
     run.stream.resumes += 1;
-    const stream = run.stream.generation;
+    const generation = run.stream.generation;
     run.timers.push(
-      ctx.clock.after(pause, () =>
+      ctx.clock.after(delayMs, () =>
         ctx.send('runs', {
           kind: 'resume-due',
           dispatchId: run.id,
-          streamGeneration: stream,
+          streamGeneration: generation,
         }),
       ),
     );
@@ -195,8 +199,8 @@
   const handleCallBreak = (run: Run, error: OnyxError) => {
     if (isFinished(run)) return releaseSlot(run);
     stopListening(run);
-    // Only the client knows whether a byte was sent; once an event came back,
-    // one surely was.
+    // Only the client knows whether a byte was sent. An event from the service
+    // shows that one was.
     const wasNotSent = error.ran === 'no' && !run.progress.eventSeen;
     lifecycle.fail(run, {
       code: error.code,
@@ -218,17 +222,17 @@
       if (upstream.kind === 'engine' && !memory.holds(run.id)) {
         memory.reserve(run.id, run.memoryTokens);
       }
-      // From the first byte on the upstream may run it, whatever becomes of
-      // this process. `started` is set and told before, so that no answer
-      // given later can claim that it did not run.
+      // The upstream may execute the run from the first byte on, even if this
+      // process fails. `started` is therefore set and sent before the first
+      // byte, so that no later reply can claim that the run did not execute.
       run.state = 'running';
       run.started = true;
       run.startedAt = ctx.clock.now();
       channels.sendStarted(run);
       sendToUpstream(run, enginePriority);
     },
-    handle: (run, stream, event) => {
-      if (stream !== run.stream.generation) return;
+    handle: (run, generation, event) => {
+      if (generation !== run.stream.generation) return;
       run.progress.lastEventAt = ctx.clock.now();
       if (event.from === 'service') {
         handleCallEvent(run, event.event);
@@ -241,9 +245,9 @@
         handleEngineBreak(run, event.error);
       }
     },
-    resume: (run, stream) => {
+    resume: (run, generation) => {
       if (upstream.kind !== 'engine' || run.state !== 'running') return;
-      if (stream !== run.stream.generation) return;
+      if (generation !== run.stream.generation) return;
       const {nextToken} = run.progress;
       listenToEngine(run, upstream.client.resume(run.id, nextToken));
     },
