--- a/test/http_engine.test.ts
+++ b/test/http_engine.test.ts
@@ -1,4 +1,4 @@
-// The engine's client and the engine program's routes, over real sockets.
+/** The HTTP client of an engine and the stand-in's routes, on real sockets. */
 import {afterEach, expect, test} from 'vitest';
 import {createEngineModel} from '../standins/engine_model.js';
 import {createEngineRoutes} from '../standins/engine_routes.js';
@@ -47,7 +47,7 @@
   return answerText(hash.slice(0, 8), tokens);
 }
 
-test('a long prompt goes up in pieces and its answer comes down whole', async () => {
+test('a long prompt is streamed and its answer arrives complete', async () => {
   const {client, model} = await setUp();
   const piece = 'archive '.repeat(8_192);
   async function* pieces(): AsyncIterable<Uint8Array> {
@@ -61,7 +61,7 @@
   expect(model.counts().runsStarted).toEqual({'a/b.1': 1});
 });
 
-test('calls other than runs come back typed', async () => {
+test('calls other than runs return typed results', async () => {
   const {client} = await setUp();
   const hold = runReq('hold', {memoryTokens: 7_000, holdOnly: true});
   const held = collect(client.start(hold, promptOf('')));
@@ -86,11 +86,9 @@
   expect(old.extract()).toMatchObject({code: 'stale', step: 'order'});
 });
 
-// Something between side and engine forgets the connection in mid-answer: no
-// byte comes any more and no error either. The client sees the lack of beats,
-// gives the stream up, and the run is taken up on a new connection: the answer
-// is whole and was made once.
-test('a stream gone silent is given up and resumed on a new one', async () => {
+// A connection can stop delivering data without an error. The client must
+// detect the missing heartbeats; the engine must not run the request again.
+test('a silent stream fails and is resumed on a new connection', async () => {
   const {client, model, setFaults} = await setUp(300);
   const req = runReq('r', {maxTokens: 200});
   const before = collect(client.start(req, promptOf('prompt')));
@@ -104,9 +102,9 @@
   expect(model.counts().runsStarted).toEqual({r: 1});
 });
 
-// A dead engine resets what is open and takes nothing new. What was never
-// connected did not run; of the rest the client cannot know.
-test('errors say whether the run can have run', async () => {
+// A crashed engine resets open connections and accepts no new ones. A run that
+// was never connected did not execute; of others the client cannot know.
+test('errors report whether the run may have executed', async () => {
   const {client, setFaults, url} = await setUp();
   const run = collect(
     client.start(runReq('r', {maxTokens: 5_000}), promptOf('p')),
@@ -116,11 +114,11 @@
   await until(() => isOver(run));
   expect(run.err).toMatchObject({code: 'upstream-lost', ran: 'unknown'});
   await setFaults({dead: false});
-  const gone = collect(client.resume('r', 0));
-  await until(() => isOver(gone));
-  expect(gone.err).toMatchObject({code: 'not-found', peer: url});
-  const nobody = createHttpEngine({url: 'http://127.0.0.1:1', clock});
-  const refused = collect(nobody.start(runReq('q'), promptOf('p')));
+  const afterRestart = collect(client.resume('r', 0));
+  await until(() => isOver(afterRestart));
+  expect(afterRestart.err).toMatchObject({code: 'not-found', peer: url});
+  const unreachable = createHttpEngine({url: 'http://127.0.0.1:1', clock});
+  const refused = collect(unreachable.start(runReq('q'), promptOf('p')));
   await until(() => isOver(refused));
   expect(refused.err).toMatchObject({code: 'peer-unreachable', ran: 'no'});
 });
--- a/test/plain_service.test.ts
+++ b/test/plain_service.test.ts
@@ -1,4 +1,4 @@
-// The plain service, its HTTP client and its client in memory.
+/** The stand-in of a plain service with its HTTP and in-memory clients. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {afterEach, describe, expect, test} from 'vitest';
 import {createMemoryService} from '../standins/memory_service.js';
@@ -33,8 +33,8 @@
   return {method, path, headers: [{name: 'x-own', value: 'yes'}]};
 }
 
-/** Makes a call; resolves with its events and its error, if any. */
-async function callOnce(
+/** Sends a call; resolves with its response and its error, if any. */
+async function sendCall(
   client: ServiceClient,
   head: CallHead,
   body: AsyncIterable<Uint8Array> = promptOf(''),
@@ -61,10 +61,10 @@
 }
 
 describe('calls over HTTP', () => {
-  test('method, path, body and status are passed on whole', async () => {
+  test('method, path, body and status are forwarded unchanged', async () => {
     const {core, client} = await setUp();
     const path = '/readings/7?status=404&bytes=200000&q=%20a';
-    const call = await callOnce(client, headOf('PUT', path), promptOf('hail'));
+    const call = await sendCall(client, headOf('PUT', path), promptOf('hail'));
     expect(call).toMatchObject({status: 404, isWhole: true, err: undefined});
     expect(call.text).toHaveLength(200_000);
     expect(JSON.parse(call.text)).toMatchObject({
@@ -75,7 +75,7 @@
     expect(core.counts()).toMatchObject({runs: {'run.1': 1}, running: 0});
   });
 
-  test('headers are passed on but for those of one connection', async () => {
+  test('headers are forwarded except for hop-by-hop headers', async () => {
     let seen: IncomingMessage['headers'] = {};
     const echo = (req: IncomingMessage, res: ServerResponse) => {
       seen = req.headers;
@@ -93,7 +93,7 @@
       {name: 'Host', value: 'entry'},
       {name: 'Accept', value: 'text/plain'},
     ];
-    const call = await callOnce(client, {method: 'GET', path: '/', headers});
+    const call = await sendCall(client, {method: 'GET', path: '/', headers});
     expect(seen).toMatchObject({accept: 'text/plain'});
     expect(seen['x-onyxloft-run-id']).toBe('run.1');
     expect(seen['x-mine']).toBeUndefined();
@@ -104,38 +104,37 @@
     expect(names.filter(name => name === 'set-cookie')).toHaveLength(2);
   });
 
-  // The service does the work, then its answer is lost with the connection.
-  // The caller must be told that nobody knows: "not run" would have a call
-  // that may not be repeated run twice.
-  test('a lost answer is unknown, though the call ran', async () => {
+  // The service executes the call, then the connection breaks. If the error
+  // said "not run", a non-repeatable call would run twice.
+  test('a call whose response is lost is reported as unknown', async () => {
     const {core, client} = await setUp();
     core.setFaults({loseAnswers: true});
-    const call = await callOnce(client, headOf('POST', '/alerts'));
+    const call = await sendCall(client, headOf('POST', '/alerts'));
     expect(call.err).toMatchObject({code: 'upstream-lost', ran: 'unknown'});
     expect(core.counts().runs).toEqual({'run.1': 1});
   });
 
-  // The caller leaves in mid-body. The body's source says "not run" of its own
-  // step, but bytes have gone out to the service by then.
-  test('a body that breaks off after bytes went out is unknown', async () => {
+  // The caller disconnects while its body is sent. The body's source reports
+  // "not run" for its own step, but bytes have reached the service by then.
+  test('a call whose body fails after bytes were sent is reported as unknown', async () => {
     const {core, client} = await setUp();
-    const call = await callOnce(client, headOf('POST', '/'), brokenBody());
+    const call = await sendCall(client, headOf('POST', '/'), brokenBody());
     expect(call.err).toMatchObject({step: 'run', ran: 'unknown'});
     expect(core.counts().total).toBe(0);
   });
 
-  test('a call that cannot be sent is not run', async () => {
-    const nobody = createHttpService({url: 'http://127.0.0.1:1', clock});
-    const refused = await callOnce(nobody, headOf('POST', '/'));
+  test('a call that cannot be sent is reported as not run', async () => {
+    const unreachable = createHttpService({url: 'http://127.0.0.1:1', clock});
+    const refused = await sendCall(unreachable, headOf('POST', '/'));
     expect(refused.err).toMatchObject({code: 'peer-unreachable', ran: 'no'});
     const {client} = await setUp();
-    const bad = await callOnce(client, headOf('NO GO', '/'));
+    const bad = await sendCall(client, headOf('NO GO', '/'));
     expect(bad.err).toMatchObject({code: 'bad-request', ran: 'no'});
   });
 
   test('the load report counts running calls', async () => {
     const {core, client} = await setUp();
-    const slow = callOnce(client, headOf('GET', '/?delayMs=200'));
+    const slow = sendCall(client, headOf('GET', '/?delayMs=200'));
     while (core.counts().running === 0) await client.report();
     const report = (await client.report()).extract();
     expect(report).toEqual({running: 1, capacity: 32, ageMs: 0});
@@ -151,25 +150,25 @@
     return {virtual, core, client};
   }
 
-  test('a call is answered after its time', async () => {
+  test('a call is answered after its delay', async () => {
     const {virtual, client} = setUpMemory();
-    const call = callOnce(client, headOf('GET', '/?delayMs=50&status=201'));
+    const call = sendCall(client, headOf('GET', '/?delayMs=50&status=201'));
     await virtual.runFor(60);
     expect(await call).toMatchObject({status: 201, isWhole: true});
   });
 
-  // Dead: nothing was sent. Cut or died in mid-call: it may have run.
-  test('errors say whether the call can have run', async () => {
+  // A dead service receives nothing. A call that breaks off may have executed.
+  test('errors report whether the call may have executed', async () => {
     const {virtual, core, client} = setUpMemory();
-    const cut = callOnce(client, headOf('POST', '/?delayMs=50'));
+    const cut = sendCall(client, headOf('POST', '/?delayMs=50'));
     await virtual.runFor(10);
     client.cut();
     expect((await cut).err).toMatchObject({ran: 'unknown'});
-    const died = callOnce(client, headOf('POST', '/?delayMs=50'));
+    const died = sendCall(client, headOf('POST', '/?delayMs=50'));
     await virtual.runFor(10);
     core.setFaults({dead: true});
     expect((await died).err).toMatchObject({ran: 'unknown'});
-    const refused = callOnce(client, headOf('POST', '/'));
+    const refused = sendCall(client, headOf('POST', '/'));
     await virtual.runFor(10);
     expect((await refused).err).toMatchObject({ran: 'no'});
     expect(core.counts()).toMatchObject({total: 2, running: 0});
--- a/test/side_answers.test.ts
+++ b/test/side_answers.test.ts
@@ -1,4 +1,4 @@
-/** The whole answer, in order, to its own organisation and nobody else. */
+/** Answers arrive complete, in order, and only at their own organisation. */
 import {from, never} from 'most';
 import type {Stream} from 'most';
 import {expect, describe, test} from 'vitest';
@@ -16,7 +16,7 @@
   return digest.value().slice(0, 8);
 }
 
-function expectWhole(channels: readonly EntryChannel[], tokens: number) {
+function expectComplete(channels: readonly EntryChannel[], tokens: number) {
   const chunks = channels.flatMap(channel => channel.chunks());
   expect(chunks.map(chunk => chunk.seq)).toEqual([...chunks.keys()]);
   const text = channels.map(channel => channel.text()).join('');
@@ -28,17 +28,17 @@
 }
 
 describe('an answer', () => {
-  test('comes whole with count and digest', async () => {
+  test('arrives complete with chunk count and digest', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0');
     const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(5_000);
-    expectWhole([channel], 20);
+    expectComplete([channel], 20);
   });
 
-  test('is taken up by another entry from any chunk on', async () => {
-    // The entry dies in mid-stream; its caller asks another entry, which
-    // attaches from the next chunk that the caller lacks.
+  test('can be resumed by another entry from any chunk', async () => {
+    // The first entry fails in mid-stream. The caller resumes at another entry,
+    // which attaches from the first chunk that the caller lacks.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 100});
     const first = rig.goWithPrompt('r1.0');
@@ -48,18 +48,16 @@
     const second = rig.attach('r1.0', count);
     await rig.clock.runFor(20_000);
     expect(count).toBeGreaterThan(5);
-    expectWhole([first, second], 100);
+    expectComplete([first, second], 100);
     expect(second.received[0]).toEqual({kind: 'started'});
     const again = rig.attach('r1.0', 0, 'entry-3');
     await rig.clock.runFor(1_000);
-    expectWhole([again], 100);
+    expectComplete([again], 100);
   });
 
-  test('is not waited for on a channel whose attach was lost', async () => {
-    // An entry takes a run up, and its attach is lost under way. Both ends go
-    // on to beat, so neither sees silence, and a run taken up has no time limit
-    // at the entry: its caller would wait for ever. The side closes a channel
-    // without a run, and the entry attaches on another.
+  test('is not awaited forever on a channel whose attach was lost', async () => {
+    // Both ends keep sending heartbeats, so neither detects silence. The side
+    // must close a channel without a run, or the caller would wait forever.
     const rig = await createSideRig();
     const channel = rig.open();
     await rig.clock.runFor(2_000);
@@ -68,10 +66,9 @@
     expect(channel.isClosed()).toBe(true);
   });
 
-  test('stays with the entry that its caller moved to', async () => {
-    // The caller resumes at entry 2 while entry 1 still lives. Entry 1 sees its
-    // channel break and attaches again, as after any silence. It is told that
-    // the run is another's, and the caller's new answer goes on.
+  test('stays with the entry at which its caller resumed', async () => {
+    // Entry 1 is still alive, sees its channel break and attaches again. It
+    // must be told that entry 2 owns the run, and the answer continues there.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 200});
     const first = rig.goWithPrompt('r1.0');
@@ -79,13 +76,13 @@
     const second = rig.attach('r1.0', 0);
     await rig.clock.runFor(100);
     expect(first.last('failed')).toMatchObject({code: 'superseded'});
-    const back = rig.attach('r1.0', 0, 'entry-1');
+    const reattached = rig.attach('r1.0', 0, 'entry-1');
     await rig.clock.runFor(20_000);
-    expect(back.last('failed')).toMatchObject({code: 'superseded'});
-    expectWhole([second], 200);
+    expect(reattached.last('failed')).toMatchObject({code: 'superseded'});
+    expectComplete([second], 200);
   });
 
-  test('is hidden from another organisation as if it were not there', async () => {
+  test('is reported as not found to another organisation', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 100});
     rig.goWithPrompt('r1.0');
@@ -93,27 +90,27 @@
     const other = rig.attach('r1.0', 0, 'entry-2', 'org-b');
     const none = rig.attach('r9.0', 0, 'entry-2', 'org-b');
     await rig.clock.runFor(300);
-    const told = (channel: EntryChannel) => ({
+    const failureOf = (channel: EntryChannel) => ({
       ...channel.last('failed'),
       dispatchId: '',
     });
-    expect(told(other)).toEqual(told(none));
+    expect(failureOf(other)).toEqual(failureOf(none));
     expect(other.received).toHaveLength(1);
     expect(
-      await rig.answer(
+      await rig.awaitReply(
         rig.handlers().locate?.({requestId: 'r1', organisation: 'org-b'}),
       ),
     ).toMatchObject({state: 'none'});
     expect(
-      await rig.answer(
+      await rig.awaitReply(
         rig.handlers().locate?.({requestId: 'r1', organisation: 'org-a'}),
       ),
     ).toMatchObject({state: 'running', dispatchId: 'r1.0'});
   });
 
-  test('goes on when the entry comes back on a new connection', async () => {
-    // The channel goes silent: nothing arrives, nothing tells of an error. The
-    // side closes it after the silence, and the run is not touched.
+  test('continues when the entry reconnects after a silent channel', async () => {
+    // Nothing arrives on the channel and no error is raised. The side closes
+    // the silent channel, and the run continues.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 400});
     const first = rig.goWithPrompt('r1.0');
@@ -123,12 +120,12 @@
     expect(first.isClosed()).toBe(true);
     const second = rig.attach('r1.0', first.chunks().length, 'entry-1');
     await rig.clock.runFor(20_000);
-    expectWhole([first, second], 400);
+    expectComplete([first, second], 400);
   });
 });
 
 describe('an engine stream', () => {
-  test('that breaks is taken up from the next token', async () => {
+  test('that breaks is resumed from the next token', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 100});
     const channel = rig.goWithPrompt('r1.0');
@@ -137,23 +134,23 @@
     await rig.clock.runFor(400);
     rig.engine.cut();
     await rig.clock.runFor(10_000);
-    expectWhole([channel], 100);
+    expectComplete([channel], 100);
     expect(rig.starts('r1.0')).toBe(1);
   });
 
-  test('that goes silent is taken up on a new connection', async () => {
+  test('that goes silent is resumed on a new connection', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 300});
     const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(700);
     rig.engine.silenceOpen();
     await rig.clock.runFor(15_000);
-    expectWhole([channel], 300);
+    expectComplete([channel], 300);
   });
 
-  test('with copies and a gap gives each token once and in order', async () => {
-    // A faulty connection repeats a token and then skips one. To pass it on
-    // would double or cut the answer under a digest that says it is whole.
+  test('with duplicates and a gap yields each token once and in order', async () => {
+    // A faulty connection repeats each event and skips one. Without checks the
+    // answer would be wrong although its digest matches.
     const faulty = (stream: Stream<EngineEvent>) =>
       stream
         .chain(event => from([event, event]))
@@ -167,12 +164,12 @@
     await rig.offer('r1.0');
     const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(5_000);
-    expectWhole([channel], 20);
+    expectComplete([channel], 20);
     const broken = rig.eventsOf(SIDE_EVENTS.streamBroken);
     expect(broken.map(line => line.fields.nextToken)).toEqual([9]);
   });
 
-  test('without any event is taken up though its client says nothing', async () => {
+  test('without any event is resumed although its client raises no error', async () => {
     const rig = await createSideRig({
       wrapEngine: engine => ({
         ...engine,
@@ -185,10 +182,10 @@
     await rig.offer('r1.0');
     const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(20_000);
-    expectWhole([channel], 20);
+    expectComplete([channel], 20);
   });
 
-  test('of an engine that died fails as run, within bounded tries', async () => {
+  test('of a crashed engine fails as having run after a limited number of resumes', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 500});
     const channel = rig.goWithPrompt('r1.0');
@@ -206,11 +203,10 @@
   });
 });
 
-describe('a run whose engine takes no connection', () => {
+describe('a run whose engine refuses the connection', () => {
   test('fails at once as not run, so that another engine may serve it', async () => {
-    // The engine dies between the accepted offer and the go. The caller's
-    // request may not be repeated; since the connection was refused no byte
-    // of it left the side, and the entry may offer it elsewhere.
+    // The engine crashes between the accepted offer and the go. No byte was
+    // sent, so the entry may offer the non-repeatable request elsewhere.
     const rig = await createSideRig();
     await rig.offer('r1.0', {repeatable: false});
     rig.model.die();
@@ -225,7 +221,7 @@
 });
 
 describe('a prompt', () => {
-  test('with doubled and reordered frames arrives as it was sent', async () => {
+  test('with duplicated and reordered frames arrives as it was sent', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0');
     const channel = rig.go('r1.0');
@@ -238,12 +234,12 @@
     put(2, 'r1.0');
     put(0, 'XXXX');
     await rig.clock.runFor(5_000);
-    expectWhole([channel], 20);
+    expectComplete([channel], 20);
   });
 
-  test('with a gap fails as not run, and stays so', async () => {
-    // A frame is lost. Had the run been started while the prompt came in, the
-    // side could no longer say that it had not run.
+  test('with a missing frame fails as not run and never starts later', async () => {
+    // If the run started before its prompt was complete, the side could not
+    // report that it did not run.
     const rig = await createSideRig();
     await rig.offer('r1.0');
     const channel = rig.go('r1.0');
@@ -260,7 +256,7 @@
     expect(rig.starts('r1.0')).toBe(0);
   });
 
-  test('whose channel breaks in the middle fails as not run', async () => {
+  test('whose channel closes before the prompt is complete fails as not run', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0');
     const channel = rig.go('r1.0');
@@ -269,8 +265,8 @@
     await rig.clock.runFor(100);
     expect(await rig.stateOf('r1.0')).toBe('failed');
     expect(await rig.abandon('r1.0')).toMatchObject({state: 'never-started'});
-    const back = rig.attach('r1.0', 0, 'entry-1');
+    const reattached = rig.attach('r1.0', 0, 'entry-1');
     await rig.clock.runFor(100);
-    expect(back.last('failed')).toMatchObject({ran: 'no'});
+    expect(reattached.last('failed')).toMatchObject({ran: 'no'});
   });
 });
--- a/test/side_at_most_once.test.ts
+++ b/test/side_at_most_once.test.ts
@@ -1,12 +1,13 @@
-/** "Not run" truly did not run, and no dispatch runs twice at a side. */
+/**
+ * A dispatch that is reported as not run never runs, and none runs twice.
+ */
 import {expect, describe, test} from 'vitest';
 import {createSideRig} from './support/side_rig.js';
 
-describe('a go that comes late', () => {
-  test('does not run once its offer has lapsed', async () => {
-    // The entry's go is held up past the lapse; the entry has long been told
-    // by the lapse that it may try elsewhere. When the go comes it must not
-    // run here too.
+describe('a late go', () => {
+  test('does not start a run once its offer has lapsed', async () => {
+    // The go is delayed past the lapse. The entry may already have tried
+    // another side, so the run must not start here too.
     const rig = await createSideRig();
     await rig.offer('r1.0');
     await rig.clock.runFor(1_500);
@@ -19,9 +20,9 @@
     expect(rig.starts('r1.0')).toBe(0);
   });
 
-  test('does not run after the abandon was answered', async () => {
-    // The entry sends its go and hears nothing, abandons on another connection
-    // and is told "never started". Then the go arrives.
+  test('does not start a run after the abandon was answered', async () => {
+    // The entry gets no reply to its go, abandons the dispatch on another
+    // connection and is told `never-started`. Then the go arrives.
     const rig = await createSideRig();
     await rig.offer('r1.0');
     expect(await rig.abandon('r1.0')).toMatchObject({state: 'never-started'});
@@ -31,8 +32,8 @@
     expect(rig.starts('r1.0')).toBe(0);
   });
 
-  test('does not run when its abandon came before its offer', async () => {
-    // All messages of one dispatch are reordered: abandon, offer, go. The
+  test('does not start a run when the abandon came before the offer', async () => {
+    // The messages of one dispatch arrive reordered: abandon, offer, go. The
     // offer is a copy of one that this side never answered.
     const rig = await createSideRig();
     expect(await rig.abandon('r1.0')).toMatchObject({state: 'never-started'});
@@ -42,7 +43,7 @@
     expect(rig.starts('r1.0')).toBe(0);
   });
 
-  test('without any offer is refused, and its offer after it', async () => {
+  test('without an offer is refused, and so is an offer that follows', async () => {
     const rig = await createSideRig();
     const channel = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(10);
@@ -62,8 +63,8 @@
   });
 });
 
-describe('a message that comes twice', () => {
-  test('as an offer gets the same answer and one place', async () => {
+describe('a duplicate message', () => {
+  test('that is an offer gets the same reply and is queued once', async () => {
     const rig = await createSideRig();
     const first = await rig.offer('r1.0');
     expect(await rig.offer('r1.0')).toEqual(first);
@@ -73,9 +74,9 @@
     expect(await rig.offer('r2.0', {timeLeftMs: 1})).toEqual(refused);
   });
 
-  test('as a go does not start the run again nor claim it did not run', async () => {
-    // A copy of the go comes on a second connection while the first runs. To
-    // answer it "not run" would let the entry run the request elsewhere.
+  test('that is a go neither starts the run again nor reports it as not run', async () => {
+    // The copy arrives on a second connection while the run executes. A reply
+    // of "not run" would let the entry run the request elsewhere.
     const rig = await createSideRig();
     await rig.offer('r1.0');
     const first = rig.goWithPrompt('r1.0');
@@ -87,25 +88,25 @@
     expect(rig.starts('r1.0')).toBe(1);
   });
 
-  test('does not run again after the answer is forgotten', async () => {
-    // Offer and go are copied and delayed by more than the time for which the
-    // answer is kept; the id is still remembered as one that ran.
+  test('does not start the run again after its answer was removed', async () => {
+    // Copies of offer and go arrive after the answer's retention. The tombstone
+    // still records that the dispatch ran.
     const rig = await createSideRig();
     await rig.offer('r1.0');
     rig.goWithPrompt('r1.0');
     await rig.clock.runFor(70_000);
     expect((await rig.status()).runs).toEqual([]);
     expect(await rig.offer('r1.0')).toMatchObject({reason: 'tombstoned'});
-    const late = rig.goWithPrompt('r1.0');
+    const lateGo = rig.goWithPrompt('r1.0');
     await rig.clock.runFor(100);
-    expect(late.last('failed')).toMatchObject({ran: 'yes'});
+    expect(lateGo.last('failed')).toMatchObject({ran: 'yes'});
     expect(rig.starts('r1.0')).toBe(1);
     expect(await rig.abandon('r1.0')).toMatchObject({state: 'started'});
   });
 });
 
 describe('abandon', () => {
-  test('of a started run says so and frees the engine', async () => {
+  test('of a started run is answered as started and frees the engine', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 1_000});
     rig.goWithPrompt('r1.0');
@@ -124,9 +125,9 @@
     });
   });
 
-  // The caller asks another entry than the owner for the end. The run ends, and
-  // the owner's channel is told why, so that it does not run it elsewhere.
-  test('in the name of its organisation ends a run that another entry owns', async () => {
+  // The caller cancels at an entry that is not the owner. The owner is told
+  // why, so that it does not run the request elsewhere.
+  test('on behalf of the organisation ends a run that another entry owns', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 1_000});
     const channel = rig.goWithPrompt('r1.0');
@@ -143,23 +144,23 @@
     expect(rig.model.counts().usedTokens).toBe(0);
   });
 
-  test('by an entry that lost the run to another ends nothing', async () => {
+  test('by an entry that no longer owns the run does not end it', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 200});
     rig.goWithPrompt('r1.0');
     await rig.clock.runFor(500);
-    const taken = rig.attach('r1.0', 0);
+    const takenOver = rig.attach('r1.0', 0);
     await rig.clock.runFor(100);
     expect(await rig.abandon('r1.0')).toMatchObject({state: 'started'});
     await rig.clock.runFor(10_000);
-    expect(taken.last('end')).toBeDefined();
+    expect(takenOver.last('end')).toBeDefined();
   });
 });
 
 describe('started', () => {
-  test('is told before the engine hears of the run', async () => {
-    // The engine gets the first byte and the side dies. If the entry had not
-    // been told before, "not run" could be concluded from the silence.
+  test('is sent before the engine receives the run', async () => {
+    // The side may crash right after the engine got the first byte. Without the
+    // earlier frame, the entry could conclude that the run did not execute.
     const rig = await createSideRig();
     await rig.offer('r1.0');
     const channel = rig.goWithPrompt('r1.0');
@@ -169,8 +170,8 @@
   });
 });
 
-describe('a side that was started again', () => {
-  test('takes no offer or go made to the one before', async () => {
+describe('a restarted side', () => {
+  test('refuses offers and goes that were sent to its predecessor', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0');
     await rig.kill();
@@ -182,9 +183,9 @@
     expect(rig.starts('r1.0')).toBe(0);
   });
 
-  test('by its kernel is another incarnation too', async () => {
-    // The service fails inside a living process and has forgotten its
-    // tombstones: to entries it must not look like the one they know.
+  test('has a new incarnation when only its service was restarted', async () => {
+    // The service fails in a running process and loses its tombstones. Entries
+    // must not take it for the incarnation that they know.
     const rig = await createSideRig();
     await rig.offer('r1.0');
     rig.kernel().send('runs', {kind: 'offer'} as never);
@@ -194,9 +195,9 @@
   });
 });
 
-describe('what is remembered', () => {
-  test('is bounded by taking no offers, not by forgetting an id', async () => {
-    // To forget the oldest id at the bound would let its late copy run.
+describe('a side at its limits', () => {
+  test('refuses offers at the tombstone limit and keeps all tombstones', async () => {
+    // Without the oldest tombstone, a late copy of its offer could run.
     const rig = await createSideRig({bounds: {maxTombstones: 2}});
     await rig.abandon('r1.0');
     await rig.abandon('r2.0');
@@ -206,7 +207,7 @@
     expect(await rig.offer('r5.0')).toMatchObject({kind: 'accepted'});
   });
 
-  test('of answers is bounded by bytes, the oldest first', async () => {
+  test('removes the oldest answers at the byte limit', async () => {
     const rig = await createSideRig({bounds: {retentionBytes: 300}});
     for (const id of ['r1.0', 'r2.0']) {
       await rig.offer(id);
@@ -217,17 +218,16 @@
     await rig.clock.runFor(2_000);
     const {runs} = await rig.status();
     expect(runs.map(run => run.dispatchId)).toEqual(['r2.0']);
-    const late = rig.attach('r1.0', 0);
+    const lateAttach = rig.attach('r1.0', 0);
     await rig.clock.runFor(10);
-    expect(late.last('failed')).toMatchObject({ran: 'yes'});
+    expect(lateAttach.last('failed')).toMatchObject({ran: 'yes'});
   });
 });
 
-describe('a copy of an offer to an earlier incarnation', () => {
-  // The run started before its side was restarted. Then a late copy of its
-  // offer comes and is refused, and the entry comes back for its run. It must
-  // not hear "not run": what may not be repeated would run a second time.
-  test('says nothing of the run that started there', async () => {
+describe('a late copy of an offer to an earlier incarnation', () => {
+  // The run started before the restart. Its refused copy must not make the side
+  // report "not run": a non-repeatable request would run a second time.
+  test('does not make the run count as not run', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {repeatable: false});
     rig.goWithPrompt('r1.0');
@@ -236,8 +236,8 @@
     await rig.kill();
     await rig.restart('i2');
     expect(await rig.offer('r1.0')).toMatchObject({reason: 'incarnation'});
-    const back = rig.attach('r1.0', 0, 'entry-1');
+    const reattached = rig.attach('r1.0', 0, 'entry-1');
     await rig.clock.runFor(100);
-    expect(back.last('failed')).not.toMatchObject({ran: 'no'});
+    expect(reattached.last('failed')).not.toMatchObject({ran: 'no'});
   });
 });
--- a/test/side_calls.test.ts
+++ b/test/side_calls.test.ts
@@ -1,4 +1,4 @@
-/** Calls to plain services: made once, never cut, their result kept. */
+/** Calls to plain services are sent once and never aborted. */
 import {Right} from 'purify-ts';
 import {expect, describe, test} from 'vitest';
 import {OnyxError} from '../src/types/errors.js';
@@ -7,7 +7,7 @@
 import type {Push} from '../src/upstream/push_stream.js';
 import {createSideRig} from './support/side_rig.js';
 
-/** A service whose answers the test gives by hand. */
+/** A service whose responses the test sends itself. */
 function createFakeService() {
   const calls: Array<{readonly runId: string; readonly push: Push<CallEvent>}> =
     [];
@@ -49,7 +49,7 @@
 }
 
 describe('a call', () => {
-  test('passes status and body on, numbered, with the head on chunk 0', async () => {
+  test('forwards status and body in numbered chunks, the head on chunk 0', async () => {
     const {rig, channel, head, finish} = await startCall();
     finish();
     await rig.clock.runFor(50);
@@ -58,9 +58,9 @@
     expect(channel.last('end')).toMatchObject({count: 2});
   });
 
-  test('is not cut when its owner is gone, and its result is kept', async () => {
-    // A permit lookup was sent and its entry dies. To cut it would leave the
-    // outcome unknown to everyone; the caller asks for it at another entry.
+  test('is not aborted when its owner fails, and its result is kept', async () => {
+    // After an abort nobody would know the outcome of the call. The caller
+    // fetches it at another entry.
     const {rig, service, channel, finish} = await startCall();
     channel.silence();
     await rig.clock.runFor(20_000);
@@ -74,7 +74,7 @@
     expect(service.calls).toHaveLength(1);
   });
 
-  test('that breaks is not made again, and said to have run if it may', async () => {
+  test('that breaks is not repeated and is reported as possibly run', async () => {
     const {rig, service, channel, call} = await startCall();
     call.push.error(
       new OnyxError({
@@ -89,7 +89,7 @@
     expect(service.calls).toHaveLength(1);
   });
 
-  test('of which no byte was sent is said not to have run', async () => {
+  test('of which no byte was sent is reported as not run', async () => {
     const {rig, channel, call} = await startCall();
     call.push.error(
       new OnyxError({
@@ -103,9 +103,9 @@
     expect(channel.last('failed')).toMatchObject({ran: 'no'});
   });
 
-  test('past its limit fails at once and keeps its place until it ends', async () => {
-    // The service still works on it: a new call in its place would be one more
-    // than the service takes.
+  test('past its time limit fails at once and keeps its slot until it ends', async () => {
+    // The service still executes the call. A new call in its slot would exceed
+    // the service's limit.
     const {rig, channel, finish} = await startCall(2_000);
     await rig.clock.runFor(2_000);
     expect(channel.last('failed')).toMatchObject({
--- a/test/side_capacity.test.ts
+++ b/test/side_capacity.test.ts
@@ -1,4 +1,4 @@
-/** An upstream's memory and places come back, whatever dies. */
+/** The side releases an upstream's memory and slots after any failure. */
 import {Left, Right} from 'purify-ts';
 import {expect, describe, test} from 'vitest';
 import {OnyxError} from '../src/types/errors.js';
@@ -9,11 +9,10 @@
 
 const HUNDRED_K = {promptTokens: 100_000, timeLeftMs: 600_000};
 
-describe('a run whose owner is gone', () => {
+describe('a run whose owner is silent', () => {
   test('is cancelled after the hold time and its memory is freed', async () => {
-    // The entry dies: its channel goes silent and no heartbeat lists the run.
-    // Nobody ever tells the side; without the lease the engine would hold the
-    // memory to the run's time limit.
+    // The entry crashes without notice. Without the lease, the engine would
+    // hold the memory until the run's time limit.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 4_000, timeLeftMs: 600_000});
     const channel = rig.goWithPrompt('r1.0', 600_000);
@@ -27,7 +26,7 @@
     expect((await rig.status()).reservedTokens).toBe(0);
   });
 
-  test('goes on while heartbeats list it', async () => {
+  test('continues while heartbeats list it', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 1_500, timeLeftMs: 600_000});
     const silent = rig.goWithPrompt('r1.0', 600_000);
@@ -40,9 +39,9 @@
     expect(await rig.stateOf('r1.0')).toBe('ended');
   });
 
-  test('is not ended by a freeze of the side itself', async () => {
-    // The side stands still for a minute and wakes. It heard no one for that
-    // long, since it could not; the owner is well and beats on.
+  test('is not cancelled after a freeze of the side itself', async () => {
+    // The side is frozen for a minute and receives nothing meanwhile. The owner
+    // is healthy and keeps sending heartbeats.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 3_000, timeLeftMs: 600_000});
     await rig.offer('r2.0', {maxTokens: 3_000, timeLeftMs: 600_000});
@@ -62,10 +61,10 @@
   });
 });
 
-describe('an engine that holds what nobody owns', () => {
-  test('is freed by a new incarnation before it takes offers', async () => {
-    // The side is killed with a run in mid-answer. The engine goes on with it;
-    // the next incarnation finds it in the list and frees it.
+describe('an engine with runs that nobody owns', () => {
+  test('is freed by a new incarnation before it accepts offers', async () => {
+    // The side is killed in the middle of a run, which continues at the engine.
+    // The next incarnation finds the run in the list and cancels it.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 4_000, timeLeftMs: 600_000});
     rig.goWithPrompt('r1.0', 600_000);
@@ -81,7 +80,7 @@
     expect(kind).toBe('accepted');
   });
 
-  test('may hold anything until its list was read: no offer is taken', async () => {
+  test('gets no offers until its list of runs was read', async () => {
     const unread = new OnyxError({code: 'timeout', step: 'run', message: ''});
     const rig = await createSideRig({
       wrapEngine: engine => ({
@@ -93,10 +92,10 @@
   });
 
   test('is freed by the audit', async () => {
-    // The old incarnation was frozen while it was replaced; it wakes and
-    // starts one more run before it is ended.
+    // The previous incarnation was frozen while it was replaced. It resumes and
+    // starts one more run before it is killed.
     const rig = await createSideRig();
-    const zombie = rig.engine.start(
+    const orphan = rig.engine.start(
       {
         runId: 'z1.0',
         model: 'm',
@@ -113,14 +112,14 @@
         yield Buffer.from('p');
       })(),
     );
-    void zombie.drain().catch(() => undefined);
+    void orphan.drain().catch(() => undefined);
     await rig.clock.runFor(1_000);
     expect(rig.model.counts().usedTokens).toBe(51_000);
     await rig.clock.runFor(6_000);
     expect(rig.model.counts().usedTokens).toBe(0);
   });
 
-  test('is asked again when a cancel gets no answer', async () => {
+  test('gets another cancel when the first one was not answered', async () => {
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 4_000, timeLeftMs: 600_000});
     rig.goWithPrompt('r1.0', 600_000);
@@ -135,9 +134,9 @@
     expect(rig.model.counts().usedTokens).toBe(0);
   });
 
-  test('is noticed when it lost a run without breaking its stream', async () => {
-    // The engine drops the run and keeps beating on its stream, so that no
-    // silence shows it; only the list does.
+  test('is detected when it lost a run but keeps its stream open', async () => {
+    // The engine keeps sending heartbeats on the stream of the lost run, so
+    // only its list of runs reveals the loss.
     const beats = pushStream<EngineEvent>(push => {
       return rig.clock.every(500, () => push.event({kind: 'beat'}));
     });
@@ -188,35 +187,35 @@
 });
 
 describe('an offer', () => {
-  test('is refused with its reason and a time to come back', async () => {
+  test('is refused with a reason and a retry delay', async () => {
     const rig = await createSideRig({bounds: {maxQueued: 2, maxRunning: 1}});
-    const refuse = (id: string, over: Parameters<typeof rig.offer>[1]) =>
+    const offer = (id: string, over: Parameters<typeof rig.offer>[1]) =>
       rig.offer(id, over);
-    expect(await refuse('a.0', {model: 'other'})).toMatchObject({
+    expect(await offer('a.0', {model: 'other'})).toMatchObject({
       reason: 'no-model',
     });
-    expect(await refuse('b.0', {promptTokens: 500_000})).toMatchObject({
+    expect(await offer('b.0', {promptTokens: 500_000})).toMatchObject({
       reason: 'full',
       retryAfterMs: 0,
     });
-    expect(
-      await refuse('c.0', {...HUNDRED_K, timeLeftMs: 1_000}),
-    ).toMatchObject({reason: 'too-late', retryAfterMs: 0});
+    expect(await offer('c.0', {...HUNDRED_K, timeLeftMs: 1_000})).toMatchObject(
+      {reason: 'too-late', retryAfterMs: 0},
+    );
     await rig.offer('d.0', HUNDRED_K);
     rig.goWithPrompt('d.0', 600_000);
     await rig.clock.runFor(10);
-    const late = await refuse('e.0', {priority: 9, timeLeftMs: 3_000});
+    const late = await offer('e.0', {priority: 9, timeLeftMs: 3_000});
     expect(late).toMatchObject({reason: 'too-late'});
     expect(late.kind === 'refused' && late.retryAfterMs).toBeGreaterThan(1_000);
     await rig.offer('f.0');
     await rig.offer('g.0');
-    const full = await refuse('h.0', {});
+    const full = await offer('h.0', {});
     expect(full).toMatchObject({reason: 'queue-full'});
     expect(full.kind === 'refused' && full.retryAfterMs).toBeGreaterThan(1_000);
     expect(rig.metrics.total('onyxloft_side_refusals_total')).toBe(5);
   });
 
-  test('is refused while the engine gives no report', async () => {
+  test('is refused while the engine sends no report', async () => {
     const rig = await createSideRig();
     rig.model.die();
     await rig.clock.runFor(7_000);
@@ -249,7 +248,7 @@
     expect((await rig.status()).reservedTokens).toBe(0);
   });
 
-  test('gives the memory back when no go comes', async () => {
+  test('releases the memory when no go arrives', async () => {
     const rig = await createSideRig();
     await rig.offer('g1.0', member(false, 300_000));
     expect((await rig.status()).reservedTokens).toBe(300_000);
@@ -257,7 +256,7 @@
     expect((await rig.status()).reservedTokens).toBe(0);
   });
 
-  test('runs its prompt at the lead', async () => {
+  test('runs the prompt at its lead', async () => {
     const rig = await createSideRig();
     await rig.offer('g1.0', member(true, 360_000));
     const channel = rig.goWithPrompt('g1.0', 600_000);
@@ -268,9 +267,9 @@
 });
 
 describe('drain', () => {
-  test('takes no offers, ends what is accepted, then replies', async () => {
-    // An offer was accepted just before the side leaves; its go is still on
-    // the way. Cutting it would lose a request that was promised.
+  test('refuses offers, finishes accepted runs, then replies', async () => {
+    // An offer was accepted just before the drain, and its go is in transit.
+    // The accepted run must not be lost.
     const rig = await createSideRig();
     await rig.offer('r1.0', {maxTokens: 100});
     let drained = false;
@@ -301,9 +300,9 @@
     role: 'mixed' as const,
   });
 
-  test('of an older placer are not passed to an engine that ignores numbers', async () => {
-    // A placer was paused past its lease and wakes; the newer one's number
-    // came by a heartbeat. The engine would obey either.
+  test('of an older placer are not forwarded to an engine that ignores fences', async () => {
+    // A placer was paused past its lease and resumes. The new placer's number
+    // came with a heartbeat; the engine would accept orders of both.
     const rig = await createSideRig({model: {honoursFence: false}});
     await rig.heartbeat([], 7);
     const old = await rig.order(load('o1', 6));
@@ -316,7 +315,7 @@
     expect(models.filter(state => state.model === 'm2')).toHaveLength(1);
   });
 
-  test('that waited are looked at again with the number then seen', async () => {
+  test('that waited are checked again with the highest number seen', async () => {
     const rig = await createSideRig();
     const first = rig.handlers().order?.(load('o1', 7));
     const second = rig.handlers().order?.({...load('o2', 7), model: 'm3'});
@@ -326,7 +325,7 @@
     expect(await second).toMatchObject({reason: 'stale-fence', fence: 8});
   });
 
-  test('are taken only when the lease was read after a start', async () => {
+  test('are accepted only after the lease was read since the start', async () => {
     let up = false;
     const down = new OnyxError({
       code: 'store-unavailable',
--- a/test/side_cold_start.test.ts
+++ b/test/side_cold_start.test.ts
@@ -1,36 +1,34 @@
-/** What a side promises before it has learned, and from what it has learned. */
+/** Predictions of a side before and after it has observed runs. */
 import {describe, expect, test} from 'vitest';
 import {DEFAULT_RATE_PRIORS} from '../src/side/learned_rates.js';
 import {createSideRig} from './support/side_rig.js';
 
-/** Answers of 200 tokens, of which the caller allowed ten times as many. */
-const LOOSE = {maxTokens: 2_000, timeLeftMs: 30_000};
+/** Allows ten times as many tokens as an answer of 200 tokens has. */
+const GENEROUS = {maxTokens: 2_000, timeLeftMs: 30_000};
 const priors = DEFAULT_RATE_PRIORS;
 
-async function runOf(
+async function offerAndRun(
   rig: Awaited<ReturnType<typeof createSideRig>>,
   id: string,
 ) {
-  const offered = await rig.offer(id, LOOSE);
-  if (offered.kind === 'accepted') rig.goWithPrompt(id, LOOSE.timeLeftMs);
+  const offered = await rig.offer(id, GENEROUS);
+  if (offered.kind === 'accepted') rig.goWithPrompt(id, GENEROUS.timeLeftMs);
   await rig.clock.runFor(29_000);
   return {offered, state: await rig.stateOf(id)};
 }
 
-describe('a side that has seen no run', () => {
-  // A fresh fleet: the first completion allows 2,000 tokens in 30 s. At the
-  // assumed 25 ms a step that is 50 s, so that each side refused it for good,
-  // and none could ever learn that engines are quicker or answers shorter.
-  test('takes a first run that allows more tokens than it has time for', async () => {
+describe('a side without observations', () => {
+  // 2,000 allowed tokens take 50 s at the assumed 25 ms per step. A side that
+  // refused them for a limit of 30 s would never observe the actual speed.
+  test('accepts a run whose allowed tokens would exceed its time limit', async () => {
     const rig = await createSideRig({priors, model: {answerTokens: () => 200}});
-    const first = await runOf(rig, 'r1.0');
+    const first = await offerAndRun(rig, 'r1.0');
     expect(first).toMatchObject({offered: {kind: 'accepted'}, state: 'ended'});
   });
 
-  // The engine prefills twice as fast as assumed: 100,000 tokens in 7 s, not
-  // in 12.5 s. A refusal on the assumption would stand until shorter prompts
-  // had taught the side better.
-  test('doubts the assumed prefill rate too, within bounds', async () => {
+  // The engine prefills 100,000 tokens in 7 s, not in the assumed 12.5 s. A
+  // refusal based on the assumption would last until shorter prompts ran.
+  test('allows for a faster prefill than assumed, up to a limit', async () => {
     const rig = await createSideRig({priors});
     const offer = (id: string, timeLeftMs: number) =>
       rig.offer(id, {promptTokens: 100_000, timeLeftMs});
@@ -39,49 +37,53 @@
   });
 });
 
-describe('a side that has seen answers end', () => {
-  const taught = async (...answerTokens: readonly number[]) => {
-    let asked = 0;
-    const next = () => answerTokens[asked++ % answerTokens.length];
-    const rig = await createSideRig({priors, model: {answerTokens: next}});
+describe('a side that has observed answers', () => {
+  const createTrainedRig = async (...answerTokens: readonly number[]) => {
+    let answerCount = 0;
+    const nextLength = () => answerTokens[answerCount++ % answerTokens.length];
+    const rig = await createSideRig({
+      priors,
+      model: {answerTokens: nextLength},
+    });
     for (let count = 0; count < 20; count++) {
       const id = `t${count}.0`;
       await rig.offer(id, {maxTokens: 2_000, timeLeftMs: 600_000});
       rig.goWithPrompt(id, 600_000);
       await rig.clock.runFor(1_000);
     }
-    // To the end of the last, and no longer: what is learned is doubted once
-    // nothing was seen for a while.
+    // Until the last answer ends and no longer: the side becomes optimistic
+    // after refusals without observations.
     await rig.clock.runFor(45_000);
     return rig;
   };
 
-  test('expects answers as long as they were, not as long as allowed', async () => {
-    const rig = await taught(200);
-    expect(await rig.offer('r1.0', LOOSE)).toMatchObject({kind: 'accepted'});
+  test('predicts answers by their observed length, not the allowed one', async () => {
+    const rig = await createTrainedRig(200);
+    expect(await rig.offer('r1.0', GENEROUS)).toMatchObject({kind: 'accepted'});
   });
 
-  test('refuses at once what answers of that length make late', async () => {
-    const rig = await taught(2_000);
-    expect(await rig.offer('r1.0', LOOSE)).toMatchObject({
+  test('refuses a run at once when answers of that length would end late', async () => {
+    const rig = await createTrainedRig(2_000);
+    expect(await rig.offer('r1.0', GENEROUS)).toMatchObject({
       reason: 'too-late',
       retryAfterMs: 0,
     });
   });
 
-  // One answer in five takes 40 s. The mean of all would end in good time, and
-  // each of the long ones would be admitted and end late.
-  test('refuses too what answers of some length make late', async () => {
-    const rig = await taught(200, 200, 200, 200, 2_000);
-    expect(await rig.offer('r1.0', LOOSE)).toMatchObject({reason: 'too-late'});
+  // One answer in five takes 40 s. An answer of mean length would end in time,
+  // but each of the long ones would be accepted and end late.
+  test('refuses a run when a share of the answers would end late', async () => {
+    const rig = await createTrainedRig(200, 200, 200, 200, 2_000);
+    expect(await rig.offer('r1.0', GENEROUS)).toMatchObject({
+      reason: 'too-late',
+    });
   });
 });
 
-describe('a side whose engine was slow by a fault', () => {
-  // Runs on the slowed engine teach the side a rate far too low. The engine is
-  // well again, but each prompt is refused as too late at the learned rate, and
-  // what is refused teaches nothing: without doubt it would refuse for good.
-  test('takes work again once the engine is well', async () => {
+describe('a side whose engine was slow because of a fault', () => {
+  // The learned rate is far too low after the engine has recovered. Refused
+  // prompts give no observations, so the side would refuse them forever.
+  test('accepts work again once the engine has recovered', async () => {
     const rig = await createSideRig({priors});
     rig.model.slow(100);
     await rig.offer('r1.0', {promptTokens: 30_000, timeLeftMs: 900_000});
--- a/test/side_group_priority.test.ts
+++ b/test/side_group_priority.test.ts
@@ -1,4 +1,4 @@
-/** A group's lead beside short prompts on the same engine. */
+/** Priority of a group's lead over short prompts on the same engine. */
 import {describe, expect, test} from 'vitest';
 import type {LengthClass} from '../src/types/config.js';
 import {createSideRig} from './support/side_rig.js';
@@ -10,12 +10,9 @@
 ];
 
 describe('the lead of a group', () => {
-  // The caller of a short prompt waits for its first token while a group of
-  // two prefills 600,000 tokens with this engine as its lead. The group came
-  // first and both ask for the same declared priority. The short prompt must
-  // still be prefilled at the next step: with the bare declared priority the
-  // lead would keep the engine for its whole prefill, some half a minute.
-  test('gives way to short prompts between prefill steps', async () => {
+  // Both runs have the same declared priority, and the group came first. With
+  // that priority alone, its prefill would block the engine for half a minute.
+  test('lets short prompts run between its prefill steps', async () => {
     const rig = await createSideRig({lengthClasses: LENGTH_CLASSES});
     const group = {lead: true, size: 2, holdTokens: 300_000};
     await rig.offer('g.1', {promptTokens: 600_000, group});
--- a/test/side_readiness.test.ts
+++ b/test/side_readiness.test.ts
@@ -1,13 +1,14 @@
-/** When a side tells probes and operators that it is ready. */
+/** When a side reports itself as ready to probes and operators. */
 import {Left} from 'purify-ts';
 import {describe, expect, test} from 'vitest';
 import {createSideOperatorHandlers} from '../src/side/operator_handlers.js';
 import {OnyxError} from '../src/types/errors.js';
 import {createSideRig} from './support/side_rig.js';
 
+/** Longer than the default `upstreamDownMs`. */
 const DOWN_MS = 6_000;
 
-async function rigWithSwitch(startsDown: boolean) {
+async function createRigWithOutage(startsDown: boolean) {
   let down = startsDown;
   const rig = await createSideRig({
     wrapEngine: engine => ({
@@ -21,7 +22,7 @@
   });
   return {
     ...rig,
-    ready: () => rig.answer(handlers.ready()),
+    ready: () => rig.awaitReply(handlers.ready()),
     setDown: (value: boolean) => {
       down = value;
     },
@@ -36,11 +37,10 @@
 });
 
 describe('the readiness of a side', () => {
-  // Side and engine start together, and the side's first question comes too
-  // early. Until the next one, a second later, it refuses each offer; a probe
-  // that called it ready would send the first requests into those refusals.
-  test('waits until the engine has answered once', async () => {
-    const rig = await rigWithSwitch(true);
+  // The side's first request for a report fails when both start together. If it
+  // were ready before the next one, the first requests would be refused.
+  test('begins once the engine has sent a report', async () => {
+    const rig = await createRigWithOutage(true);
     expect(await rig.ready()).toBe(false);
     expect(await rig.offer('r1.0')).toMatchObject({reason: 'engine-down'});
     rig.setDown(false);
@@ -49,18 +49,18 @@
     expect(await rig.offer('r2.0')).toMatchObject({kind: 'accepted'});
   });
 
-  // The engine dies in service. Its last report goes stale, the side refuses,
-  // and the probe learns it at the same moment as the callers do.
-  test('ends when the engine has not answered for too long', async () => {
-    const rig = await rigWithSwitch(false);
+  // The engine crashes and its last report becomes stale. The probe must fail
+  // from the moment at which the side refuses offers.
+  test('ends when the engine has sent no report for too long', async () => {
+    const rig = await createRigWithOutage(false);
     expect(await rig.ready()).toBe(true);
     rig.setDown(true);
     await rig.clock.runFor(DOWN_MS);
     expect(await rig.ready()).toBe(false);
   });
 
-  test('ends with the start of a drain', async () => {
-    const rig = await rigWithSwitch(false);
+  test('ends when a drain starts', async () => {
+    const rig = await createRigWithOutage(false);
     void rig.drain();
     expect(await rig.ready()).toBe(false);
   });
--- a/test/support/scripted_side.ts
+++ b/test/support/scripted_side.ts
@@ -1,4 +1,4 @@
-/** A side for tests of the entry: does what the test's script says. */
+/** A fake side for tests of the entry; a script sets its behaviour. */
 import type {Address, DispatchId, Incarnation} from '../../src/types/ids.js';
 import type {
   AbandonRes,
@@ -16,9 +16,10 @@
 import type {RunServerChannel, Transport} from '../../src/types/transport.js';
 import {createDigest} from '../../src/utils/digest.js';
 
+/** Period of heartbeats on channels. */
 const BEAT_MS = 1_000;
 
-/** An engine with nothing to do. */
+/** Load of a side whose engine is idle. */
 export const IDLE_LOAD: SideLoad = {
   capacityTokens: 400_000,
   freeTokens: 400_000,
@@ -31,49 +32,60 @@
   reportAgeMs: 0,
 };
 
+/** Behaviour of a scripted side; each part has a default. */
 export interface SideScript {
-  /** @default accepts */
+  /** Replies to an offer. @default accepts */
   readonly offer?: (req: OfferReq) => Promise<OfferRes> | OfferRes;
-  /** Called at the prompt's end. @default answers 'one ', 'two ', 'three' */
+  /** Called at the prompt's end. @default sends 'one ', 'two ', 'three' */
   readonly run?: (side: ScriptedSide, run: ScriptedRun) => void;
-  /** @default sends what it has from the chunk asked for */
+  /** Called for an attach. @default sends the chunks from `fromSeq` */
   readonly attach?: (
     side: ScriptedSide,
     run: ScriptedRun,
     fromSeq: number,
   ) => void;
-  /** @default by whether the run was started */
+  /** State in the reply to an abandon. @default whether the run started */
   readonly abandon?: (id: DispatchId) => AbandonRes['state'];
 }
 
+/** A run at a scripted side. */
 export interface ScriptedRun {
   readonly dispatchId: DispatchId;
-  /** The newest channel. */
+  /** The newest channel; undefined before the first. */
   channel: RunServerChannel | undefined;
+  /** Number of prompt bytes received. */
   readonly promptBytes: () => number;
+  /** Chunks of the answer. */
   readonly chunks: Chunk[];
+  /** Sends a frame on the newest channel. */
   send(frame: RunDown): void;
 }
 
+/** A scripted side and the messages that it received. */
 export interface ScriptedSide {
   readonly address: Address;
   incarnation: Incarnation;
   readonly offers: OfferReq[];
   /** Dispatches whose go arrived, in order. */
   readonly goDispatches: DispatchId[];
+  /** Dispatch of each abandon. */
   readonly abandons: DispatchId[];
-  /** Organisations that those were asked for in the name of. */
+  /** Organisation of each abandon; empty for one from the owner. */
   readonly abandonedFor: string[];
   /** `fromSeq` of each attach. */
   readonly attaches: number[];
-  /** Whether each of those took the run over. */
+  /** Whether each attach took the run over. */
   readonly takeOvers: boolean[];
   readonly runs: Map<DispatchId, ScriptedRun>;
+  /** Dispatch of each cancel. */
   readonly cancels: DispatchId[];
+  /** Replies to a `locate`; undefined is sent as state `none`. */
   locate: (id: string, organisation: string) => LocateRes | undefined;
+  /** The side as a replica with this load. */
   replica(load?: Partial<SideLoad>): Replica;
 }
 
+/** Starts a scripted side that listens on `address`. */
 export async function startScriptedSide(
   clock: Clock,
   transport: Transport,
@@ -102,7 +114,7 @@
     const stopBeats = clock.every(BEAT_MS, () => {
       if (open) void channel.send({kind: 'beat'});
     });
-    const onFrame = (frame: RunUp) => {
+    const handleFrame = (frame: RunUp) => {
       if (frame.kind === 'go') {
         side.goDispatches.push(frame.dispatchId);
         run = createScriptedRun(frame.dispatchId, () => bytes);
@@ -126,7 +138,7 @@
         side.cancels.push(run.dispatchId);
       }
     };
-    void channel.frames.observe(onFrame).then(() => {
+    void channel.frames.observe(handleFrame).then(() => {
       open = false;
       stopBeats();
     });
@@ -159,6 +171,7 @@
   return side;
 }
 
+/** Reply that accepts an offer. */
 export function accepted(side: ScriptedSide): OfferRes {
   return {
     kind: 'accepted',
@@ -168,6 +181,7 @@
   };
 }
 
+/** Reply that refuses an offer. */
 export function refused(
   reason: Extract<OfferRes, {kind: 'refused'}>['reason'],
   retryAfterMs = 0,
@@ -176,6 +190,7 @@
   return {kind: 'refused', reason, retryAfterMs, incarnation};
 }
 
+/** Last frame of a failed run. */
 export function failed(
   dispatchId: DispatchId,
   ran: 'no' | 'yes' | 'unknown',
@@ -191,11 +206,13 @@
   };
 }
 
+/** A chunk of a run's answer, without sending it. */
 export function chunkOf(run: ScriptedRun, seq: number, text: string): Chunk {
   const data = new TextEncoder().encode(text);
   return {kind: 'chunk', dispatchId: run.dispatchId, seq, data, tokens: 1};
 }
 
+/** Last frame of a run's complete answer. */
 export function endOf(run: ScriptedRun): RunEnd {
   const digest = createDigest();
   for (const chunk of run.chunks) digest.update(chunk.data);
@@ -209,13 +226,14 @@
   };
 }
 
-/** Makes the answer of three chunks without sending it. */
+/** Adds three chunks to a run's answer without sending them. */
 export function appendThreeChunks(run: ScriptedRun): void {
   for (const [seq, text] of ['one ', 'two ', 'three'].entries()) {
     run.chunks.push(chunkOf(run, seq, text));
   }
 }
 
+/** Sends an answer of three chunks; the default of `SideScript.run`. */
 export function sendThreeChunks(_side: ScriptedSide, run: ScriptedRun): void {
   appendThreeChunks(run);
   run.send({kind: 'started'});
@@ -223,6 +241,7 @@
   run.send(endOf(run));
 }
 
+/** Sends the chunks from `fromSeq`; the default of `SideScript.attach`. */
 export function resend(
   _side: ScriptedSide,
   run: ScriptedRun,
@@ -232,7 +251,7 @@
   run.send(endOf(run));
 }
 
-/** A run without a channel yet, as one that an attach takes up. */
+/** Creates a run without a channel; an attach may give it one. */
 export function createScriptedRun(
   dispatchId: DispatchId,
   promptBytes: () => number = () => 0,
--- a/test/support/side_rig.ts
+++ b/test/support/side_rig.ts
@@ -1,6 +1,6 @@
 /**
- * One side on virtual time: the real `runs` service, a stand-in engine, and
- * entries that a test plays by hand over channels it can break.
+ * Test rig of one side on virtual time: the real `runs` service and a stand-in
+ * engine. The test acts as the entries, over channels that it can break.
  */
 import {Right} from 'purify-ts';
 import type {Stream} from 'most';
@@ -28,39 +28,46 @@
 import {createMemoryEngine} from '../../standins/memory_engine.js';
 import {createRecordingRuntime} from '../../standins/recording_runtime.js';
 
+/** Delay of each frame on a channel. */
 const LATENCY_MS = 0.5;
 
 /** The entry's end of a run's channel. */
 export interface EntryChannel {
+  /** Frames from the side, in order. */
   readonly received: RunDown[];
   send(frame: RunUp): void;
   close(): void;
-  /** From now on no frame gets through, in either direction. */
+  /** Drops all later frames in both directions without an error. */
   silence(): void;
   isClosed(): boolean;
+  /** The chunks received. */
   chunks(): readonly Chunk[];
+  /** The data of all chunks as text. */
   text(): string;
+  /** The last frame of a kind. */
   last(kind: RunDown['kind']): RunDown | undefined;
 }
 
+/** Opens a channel to the side, which gets its own end by `accept`. */
 export function createEntryChannel(
   clock: Clock,
   accept: (channel: RunServerChannel) => void,
 ): EntryChannel {
-  const got: RunDown[] = [];
-  const early: RunUp[] = [];
+  const received: RunDown[] = [];
+  const pendingFrames: RunUp[] = [];
   let push: Push<RunUp> | undefined;
   let silent = false;
   let closed = false;
 
   const frames: Stream<RunUp> = pushStream<RunUp>(to => {
     push = to;
-    for (const frame of early.splice(0)) clock.after(0, () => to.event(frame));
+    for (const frame of pendingFrames.splice(0))
+      clock.after(0, () => to.event(frame));
     return () => undefined;
   });
-  const arrive = (frame: RunUp) => {
+  const deliver = (frame: RunUp) => {
     if (silent || closed) return;
-    if (push === undefined) early.push(frame);
+    if (push === undefined) pendingFrames.push(frame);
     else push.event(frame);
   };
   accept({
@@ -69,7 +76,7 @@
       new Promise(resolve => {
         clock.after(LATENCY_MS, () => {
           if (silent) return;
-          if (!closed) got.push(frame);
+          if (!closed) received.push(frame);
           resolve();
         });
       }),
@@ -78,11 +85,11 @@
       push?.end();
     },
   });
-  const stopBeats = clock.every(1_000, () => arrive({kind: 'beat'}));
-  const chunks = () => got.filter(frame => frame.kind === 'chunk');
+  const stopBeats = clock.every(1_000, () => deliver({kind: 'beat'}));
+  const chunks = () => received.filter(frame => frame.kind === 'chunk');
   return {
-    received: got,
-    send: frame => void clock.after(LATENCY_MS, () => arrive(frame)),
+    received,
+    send: frame => void clock.after(LATENCY_MS, () => deliver(frame)),
     close: () => {
       stopBeats();
       clock.after(LATENCY_MS, () => {
@@ -101,17 +108,19 @@
       chunks()
         .map(c => Buffer.from(c.data).toString())
         .join(''),
-    last: kind => got.filter(frame => frame.kind === kind).at(-1),
+    last: kind => received.filter(frame => frame.kind === kind).at(-1),
   };
 }
 
+/** Options of the rig, in addition to those of the `runs` service. */
 export interface SideRigOptions extends Partial<RunsOptions> {
+  /** Options of the stand-in engine. */
   readonly model?: Partial<EngineModelOptions>;
-  /** Puts a faulty client in front of the engine. */
+  /** Wraps the engine client, for example with faults. */
   readonly wrapEngine?: (engine: EngineClient) => EngineClient;
 }
 
-/** Starts a side; it has reconciled with its engine when this resolves. */
+/** Starts a side; resolves after it has reconciled with its engine. */
 export async function createSideRig(options: SideRigOptions = {}) {
   const recorded = createRecordingRuntime();
   const {clock, runtime} = recorded;
@@ -141,13 +150,16 @@
   };
   let kernel = await startSide('i1');
   const handlers = () => createSidePeerHandlers(kernel);
-  const answer = async <T>(ask: Promise<T> | undefined): Promise<T> => {
+  const awaitReply = async <T>(ask: Promise<T> | undefined): Promise<T> => {
     await clock.settle();
     if (ask === undefined) throw new Error('no such handler');
     return ask;
   };
 
-  const offerOf = (id: string, over: Partial<OfferReq> = {}): OfferReq => ({
+  const offerOf = (
+    id: string,
+    overrides: Partial<OfferReq> = {},
+  ): OfferReq => ({
     dispatchId: id,
     requestId: id.split('.')[0] ?? id,
     organisation: 'org-a',
@@ -165,10 +177,10 @@
     repeatable: true,
     prefixHashes: [],
     configNumber: 1,
-    ...over,
+    ...overrides,
   });
-  const offer = (id: string, over: Partial<OfferReq> = {}) =>
-    answer(handlers().offer?.(offerOf(id, over)));
+  const offer = (id: string, overrides: Partial<OfferReq> = {}) =>
+    awaitReply(handlers().offer?.(offerOf(id, overrides)));
   const open = () =>
     createEntryChannel(clock, channel => handlers().run?.(channel));
   const go = (id: string, timeLeftMs = 60_000, incarnation = 'i1') => {
@@ -195,7 +207,7 @@
       organisation: org,
       entry: who,
       fromSeq,
-      // Entry 1 made the run; any other attaches as its caller's new entry.
+      // Entry 1 started the run; any other entry takes it over for the caller.
       takeOver: who !== 'entry-1',
     });
     return channel;
@@ -206,11 +218,11 @@
     incarnation = 'i1',
     organisation = '',
   ) =>
-    answer(
+    awaitReply(
       handlers().abandon?.({dispatchId: id, entry, incarnation, organisation}),
     );
   const heartbeat = (owned: readonly string[], fence = 0) =>
-    answer(
+    awaitReply(
       handlers().sideHeartbeat?.({
         entry: 'entry-1',
         entryIncarnation: 'e1',
@@ -221,14 +233,16 @@
       }),
     );
   const status = () =>
-    answer<SideStatus>(kernel.ask('runs', reply => ({kind: 'status', reply})));
+    awaitReply<SideStatus>(
+      kernel.ask('runs', reply => ({kind: 'status', reply})),
+    );
   return {
     ...recorded,
     model,
     engine,
     kernel: () => kernel,
     handlers,
-    answer,
+    awaitReply,
     offerOf,
     offer,
     open,
@@ -245,7 +259,7 @@
     },
     drain: () =>
       kernel.ask<'runs', void>('runs', reply => ({kind: 'drain', reply})),
-    /** Ends the side as a kill would: the engine is told nothing. */
+    /** Stops the side as a kill would, without notice to the engine. */
     kill: () => kernel.stop(),
     restart: async (incarnation: string) => {
       kernel = await startSide(incarnation);
@@ -256,4 +270,5 @@
   };
 }
 
+/** A running side and the means to drive it. */
 export type SideRig = Awaited<ReturnType<typeof createSideRig>>;
