--- a/src/side/orders.ts
+++ b/src/side/orders.ts
@@ -1,9 +1,9 @@
 /**
- * Orders of the placer to the engine. Some engines ignore fencing numbers, so
- * the side, the only one that gives its engine orders, fences them itself: one
- * at a time, none with a number below the highest seen. A side that was just
- * started has seen none, so it reads the lease first; otherwise a placer long
- * replaced could order through it.
+ * Forwards the placer's orders to the engine. Some engines ignore fencing
+ * numbers. The side is the only sender of orders to its engine, so it enforces
+ * fencing itself: it forwards one order at a time and refuses each order whose
+ * number is below the highest seen. After a start it first reads the number
+ * from the lease, so that a replaced placer cannot send orders through it.
  */
 import type {Either} from 'purify-ts';
 import type {OnyxError} from '../types/errors.js';
@@ -12,42 +12,54 @@
 import type {SideCore} from './side_core.js';
 import {isFinished} from './run.js';
 
+/**
+ * Outcomes kept for duplicates of an order; beyond this bound the oldest is
+ * dropped.
+ */
 const MAX_REMEMBERED_ORDERS = 256;
 
+/** Replies to the placer. */
 type Reply = (res: OrderRes) => void;
 
+/** An order without a reply yet. */
 interface PendingOrder {
   readonly req: OrderReq;
   readonly reply: Reply;
 }
 
+/** Handles the placer's orders. */
 export interface Orders {
+  /** Refuses, queues or forwards an order. */
   submit(req: OrderReq, reply: Reply): void;
+  /** Handles the engine's response to the order in flight. */
   handleOutcome(orderId: string, outcome: Either<OnyxError, void>): void;
+  /** Raises the highest fencing number seen. */
   observeFence(fence: number): void;
+  /** Handles the number read from the lease; retries later after an error. */
   handleFence(outcome: Either<OnyxError, number>): void;
-  /** Asks for the highest fencing number. */
+  /** Reads the highest fencing number, unless it is known already. */
   requestFence(): void;
 }
 
+/** Creates the order handling of one side. */
 export function createOrders(core: SideCore): Orders {
   const {ctx, options, table, timing} = core;
   const {upstream} = options;
   const outcomes = new Map<string, OrderRes>();
   const waiting: PendingOrder[] = [];
-  let passed: PendingOrder | undefined;
+  let inFlight: PendingOrder | undefined;
 
-  const answer = (state: OrderRes['state'], reason: string): OrderRes => ({
+  const response = (state: OrderRes['state'], reason: string): OrderRes => ({
     state,
     reason,
     fence: core.fence,
   });
 
-  const fenceSeen = (fence: number) => {
+  const observeFence = (fence: number) => {
     core.fence = Math.max(core.fence, fence);
   };
 
-  const inUse = (req: OrderReq) =>
+  const isModelInUse = (req: OrderReq) =>
     req.action === 'unload' &&
     table.all().some(run => !isFinished(run) && run.offer.model === req.model);
 
@@ -55,7 +67,7 @@
     if (upstream.kind !== 'engine') return 'not-an-engine';
     if (!core.fenceKnown) return 'fence-unknown';
     if (req.fence < core.fence) return 'stale-fence';
-    if (inUse(req)) return 'in-use';
+    if (isModelInUse(req)) return 'in-use';
     return undefined;
   };
 
@@ -66,7 +78,7 @@
       fence: req.fence,
       highestFence: core.fence,
     });
-    reply(answer('refused', reason));
+    reply(response('refused', reason));
   };
 
   const remember = (orderId: string, res: OrderRes) => {
@@ -76,9 +88,10 @@
     if (oldest !== undefined) outcomes.delete(oldest);
   };
 
-  const noteUnload = (req: OrderReq) => {
+  const hideUnloadedModels = (req: OrderReq) => {
     if (req.action !== 'unload') return;
-    // The engine's report lags: no offer is taken on what is being unloaded.
+    // The engine's report lags. Until it arrives, offers for the model that is
+    // being unloaded must already be refused.
     core.upstream.models = core.upstream.models.filter(
       state =>
         state.model !== req.model ||
@@ -86,11 +99,11 @@
     );
   };
 
-  const pass = (pending: PendingOrder) => {
+  const forward = (pending: PendingOrder) => {
     const {req} = pending;
     if (upstream.kind !== 'engine') return;
-    passed = pending;
-    noteUnload(req);
+    inFlight = pending;
+    hideUnloadedModels(req);
     ctx.log(SIDE_EVENTS.orderPassed, {
       orderId: req.orderId,
       action: req.action,
@@ -106,19 +119,22 @@
       .catch(cause => ctx.fail(cause));
   };
 
-  /** The number may have grown while an order waited: it is looked at again. */
-  const passNext = () => {
-    while (passed === undefined) {
+  /**
+   * Forwards the next waiting order. Each one is checked again, since the
+   * highest fencing number may have risen while it waited.
+   */
+  const forwardNext = () => {
+    while (inFlight === undefined) {
       const next = waiting.shift();
       if (next === undefined) return;
       const reason = refusal(next.req);
-      if (reason === undefined) pass(next);
+      if (reason === undefined) forward(next);
       else refuse(next, reason);
     }
   };
 
   const isPending = (orderId: string) =>
-    passed?.req.orderId === orderId ||
+    inFlight?.req.orderId === orderId ||
     waiting.some(pending => pending.req.orderId === orderId);
 
   const settle = (pending: PendingOrder, outcome: Either<OnyxError, void>) => {
@@ -131,10 +147,10 @@
           cause: err.message,
         });
         const reason = err.code === 'stale' ? 'stale-fence' : err.code;
-        reply(answer('refused', reason));
+        reply(response('refused', reason));
       })
       .ifRight(() => {
-        const res = answer(req.action === 'load' ? 'started' : 'done', '');
+        const res = response(req.action === 'load' ? 'started' : 'done', '');
         remember(req.orderId, res);
         reply(res);
       });
@@ -144,23 +160,24 @@
     submit: (req, reply) => {
       const pending = {req, reply};
       const reason = refusal(req);
-      const stale = reason !== undefined && reason !== 'in-use';
-      if (stale) return refuse(pending, reason);
-      fenceSeen(req.fence);
-      const before = outcomes.get(req.orderId);
-      if (before !== undefined) return reply({...before, fence: core.fence});
-      if (isPending(req.orderId)) return reply(answer('started', ''));
+      const isFinal = reason !== undefined && reason !== 'in-use';
+      if (isFinal) return refuse(pending, reason);
+      observeFence(req.fence);
+      const previous = outcomes.get(req.orderId);
+      if (previous !== undefined)
+        return reply({...previous, fence: core.fence});
+      if (isPending(req.orderId)) return reply(response('started', ''));
       waiting.push(pending);
-      passNext();
+      forwardNext();
     },
     handleOutcome: (orderId, outcome) => {
-      const pending = passed;
+      const pending = inFlight;
       if (pending?.req.orderId !== orderId) return;
-      passed = undefined;
+      inFlight = undefined;
       settle(pending, outcome);
-      passNext();
+      forwardNext();
     },
-    observeFence: fenceSeen,
+    observeFence,
     requestFence: () => {
       if (upstream.kind !== 'engine' || core.fenceKnown) return;
       options
@@ -172,14 +189,14 @@
       outcome
         .ifRight(fence => {
           core.fenceKnown = true;
-          fenceSeen(fence);
+          observeFence(fence);
           ctx.log(SIDE_EVENTS.fenceRead, {fence: core.fence});
         })
         .ifLeft(() => {
-          const again = ctx.clock.after(timing.fenceRetryMs, () => {
+          const cancelRetry = ctx.clock.after(timing.fenceRetryMs, () => {
             ctx.send('runs', {kind: 'fence-due'});
           });
-          ctx.own(again);
+          ctx.own(cancelRetry);
         });
     },
   };
--- a/src/side/upstream_poller.ts
+++ b/src/side/upstream_poller.ts
@@ -1,19 +1,23 @@
-/** Keeps the view of the upstream by its own report. */
+/** Polls the upstream's load report and updates the side's view of it. */
 import type {Either} from 'purify-ts';
 import type {OnyxError} from '../types/errors.js';
 import type {SideCore} from './side_core.js';
 import type {UpstreamReport} from './messages.js';
 
+/** Requests and handles load reports. */
 export interface UpstreamPoller {
+  /** Requests a report; the reply arrives as a message to `runs`. */
   requestReport(): void;
+  /** Updates the view; a failed request leaves it unchanged. */
   handleReport(outcome: Either<OnyxError, UpstreamReport>): void;
 }
 
+/** Creates the poller of one side's upstream. */
 export function createUpstreamPoller(core: SideCore): UpstreamPoller {
   const {ctx, memory} = core;
   const {upstream} = core.options;
 
-  const report = async (): Promise<Either<OnyxError, UpstreamReport>> => {
+  const fetchReport = async (): Promise<Either<OnyxError, UpstreamReport>> => {
     if (upstream.kind === 'engine') {
       const outcome = await upstream.client.report();
       return outcome.map(value => ({kind: 'engine', report: value}));
@@ -22,7 +26,7 @@
     return outcome.map(value => ({kind: 'service', report: value}));
   };
 
-  const take = (value: UpstreamReport) => {
+  const applyReport = (value: UpstreamReport) => {
     core.upstream.lastReportAt = ctx.clock.now();
     core.upstream.reportAgeMs = value.report.ageMs;
     core.queueChanged = true;
@@ -33,11 +37,12 @@
 
   return {
     requestReport: () => {
-      report()
+      fetchReport()
         .then(outcome => ctx.send('runs', {kind: 'reported', outcome}))
         .catch(cause => ctx.fail(cause));
     },
-    // Without an answer the last view grows old; see `isUpstreamDown`.
-    handleReport: outcome => void outcome.ifRight(take),
+    // After failed requests the last report becomes stale; `isUpstreamDown`
+    // then reports the upstream as down.
+    handleReport: outcome => void outcome.ifRight(applyReport),
   };
 }
