--- a/src/entry/front/callers_exchange.ts
+++ b/src/entry/front/callers_exchange.ts
@@ -1,4 +1,8 @@
-/** What the routes of the callers' front share. */
+/**
+ * What the route handlers of the callers' service share: their dependencies,
+ * the HTTP exchange they answer, the refusal of an exchange, and the
+ * connection between an exchange and a request of the `requests` service.
+ */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {OnyxError} from '../../types/errors.js';
 import type {OrganisationId, RequestId} from '../../types/ids.js';
@@ -15,6 +19,7 @@
 import type {BodyReader} from './http_body.js';
 import {discardRestOfBody, sendError, statusOf} from './http_errors.js';
 
+/** The dependencies and limits of all route handlers. */
 export interface CallersDeps {
   readonly ctx: ServiceContext<'callers'>;
   readonly state: CallersState;
@@ -22,35 +27,44 @@
   readonly bodyReader: BodyReader;
   readonly firstTokenMetrics: FirstTokenMetrics;
   readonly timing: LinkTiming & {readonly lookupTimeoutMs: number};
+  /**
+   * Largest part of a response that may wait in memory for a slow caller. The
+   * connection is closed when more is waiting.
+   */
   readonly maxUnsentResponseBytes: number;
+  /** Largest request body, in bytes. A larger one is refused. */
   readonly maxBodyBytes: number;
-  /** Unix time in milliseconds. */
+  /** Returns the Unix time in milliseconds. */
   readonly wallTimeMs: () => number;
 }
 
-/** One HTTP exchange. */
+/** One HTTP request and its response. */
 export interface Exchange {
+  /** The id in the path, or a new random id for a new request. */
   readonly id: RequestId;
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
-  /** On this process's clock. */
+  /** Time when the headers were complete, in ms on this process's clock. */
   readonly arrivedAt: number;
 }
 
-/** Answers an exchange that no run was started for. */
+/**
+ * Answers an exchange with an error before any request was submitted for it.
+ * Closes the connection if a response has already begun.
+ */
 export function refuse(
-  front: CallersDeps,
+  deps: CallersDeps,
   exchange: Exchange,
   error: OnyxError,
   status = statusOf(error),
 ): void {
-  const {ctx} = front;
+  const {ctx} = deps;
   const {id, req, res} = exchange;
   ctx.log(FRONT_EVENTS.refused, {
     ...errorFields(id, error),
     status,
   });
-  countOutcome(front, 'refused', error);
+  countOutcome(deps, 'refused', error);
   if (res.headersSent || res.destroyed) {
     res.destroy();
     return;
@@ -59,44 +73,52 @@
   sendError(res, error, id, status);
 }
 
+/** How a request is attached to an exchange. */
 export interface AttachOptions {
   readonly organisation: OrganisationId;
   readonly writer: ResponseWriter;
+  /** Sequence number of the first chunk to write. */
   readonly fromSeq: number;
+  /**
+   * End of the request's time limit, in ms on this process's clock. Undefined
+   * for a resumed request, which another entry may have admitted.
+   */
   readonly deadlineAt: number | undefined;
+  /** Released when the request has ended. */
   readonly slot: RequestSlot;
   readonly onFirstChunk: () => void;
 }
 
 /**
- * Joins a request to the exchange; the listener is for `requests`. The place
- * is released when the request has ended.
+ * Connects a request to the exchange: the events of the request are written to
+ * the response, and the run is cancelled if the caller disconnects for good.
+ * Returns the listener to pass to the `requests` service.
  */
 export function attachToRequest(
-  front: CallersDeps,
+  deps: CallersDeps,
   exchange: Exchange,
   options: AttachOptions,
 ): RequestListener {
-  const {ctx, state} = front;
+  const {ctx, state} = deps;
   const {id, res, arrivedAt} = exchange;
-  const {organisation, slot: place} = options;
+  const {organisation, slot} = options;
   let firstTokenMs = 0;
 
   const link = createLink(ctx, {
     ...options,
     id,
     res,
-    timing: front.timing,
-    maxAnswerBytes: front.maxUnsentResponseBytes,
+    timing: deps.timing,
+    maxAnswerBytes: deps.maxUnsentResponseBytes,
     cancelRun: () => ctx.send('requests', {kind: 'cancel', id, organisation}),
     onFirstChunk: () => {
       firstTokenMs = ctx.clock.now() - arrivedAt;
       options.onFirstChunk();
     },
     onEnd: (outcome, error) => {
-      place.release();
+      slot.release();
       state.removeLink(id, link);
-      countOutcome(front, outcome, error);
+      countOutcome(deps, outcome, error);
       const totalMs = ctx.clock.now() - arrivedAt;
       if (error !== undefined) {
         ctx.log(FRONT_EVENTS.failed, errorFields(id, error));
@@ -113,13 +135,16 @@
   return link.listener;
 }
 
-/** Rejects when a service does not answer in time. */
+/**
+ * Settles as `pending` does. Rejects with `timeout` when that takes longer than
+ * `lookupTimeoutMs`.
+ */
 export function withLookupTimeout<T>(
-  front: CallersDeps,
-  asked: Promise<T>,
+  deps: CallersDeps,
+  pending: Promise<T>,
 ): Promise<T> {
   return new Promise((resolve, reject) => {
-    const cancel = front.ctx.clock.after(front.timing.lookupTimeoutMs, () =>
+    const cancel = deps.ctx.clock.after(deps.timing.lookupTimeoutMs, () =>
       reject(
         new OnyxError({
           code: 'timeout',
@@ -129,12 +154,12 @@
         }),
       ),
     );
-    asked.then(resolve, reject).finally(cancel);
+    pending.then(resolve, reject).finally(cancel);
   });
 }
 
-function countOutcome(front: CallersDeps, outcome: Outcome, error?: OnyxError) {
-  const {metrics} = front.ctx;
+function countOutcome(deps: CallersDeps, outcome: Outcome, error?: OnyxError) {
+  const {metrics} = deps.ctx;
   metrics.count('onyxloft_requests_total', {outcome});
   if (error === undefined || outcome !== 'refused') return;
   metrics.count('onyxloft_refusals_total', {code: error.code});
--- a/src/entry/front/callers_state.ts
+++ b/src/entry/front/callers_state.ts
@@ -1,6 +1,7 @@
 /**
- * What the callers' front knows and holds: the newest declarations, who is
- * there to serve, and the requests that are open here.
+ * State of the callers' service: the newest configuration, the membership view,
+ * and the requests that are open at this entry. It limits how many requests are
+ * open and how much memory their bodies take, and tracks the drain.
  */
 import type {NumberedDeclarations} from '../../types/config.js';
 import {OnyxError} from '../../types/errors.js';
@@ -8,119 +9,144 @@
 import type {MembershipView} from '../../types/services.js';
 import type {Link} from '../run/answer_link.js';
 
-/** When a caller that met a full or starting entry should come back. */
-const RETRY_MS = 1_000;
+/**
+ * `Retry-After` of a request that is refused because the entry is full,
+ * draining, or has no configuration yet.
+ */
+const RETRY_AFTER_MS = 1_000;
 
+/** Limits beyond which new requests are refused as `overloaded`. */
 export interface CallersCapacity {
   readonly maxOpenRequests: number;
-  /** Bodies of open requests together, in bytes. */
+  /** Total size of the bodies of all open requests, in bytes. */
   readonly maxHeldBodyBytes: number;
 }
 
-/** Room for one request, from its arrival to its end. */
+/** The share of the capacity that one request takes, from arrival to end. */
 export interface RequestSlot {
-  /** Sets the bytes that its body holds, once they are known. */
+  /** Replaces the estimated body size by the actual one, in bytes. */
   setBodyBytes(bytes: number): void;
-  /** Calling it again does nothing. */
+  /** Returns the share. Calling it again does nothing. */
   release(): void;
 }
 
+/** State of the callers' service. */
 export interface CallersState {
+  /** Stores the configuration if it is newer than the stored one. */
   updateConfig(config: NumberedDeclarations): void;
   updateMembership(view: MembershipView): void;
-  /** Throws an `OnyxError` while none is known. */
+  /** Throws an `OnyxError` until a configuration is known. */
   config(): NumberedDeclarations;
-  /** Config known, some replica live, not draining. */
+  /**
+   * True when a configuration is known, a replica is live, and the entry is not
+   * draining.
+   */
   isReady(): boolean;
-  /** Throws an `OnyxError` when the entry is full or draining. */
+  /**
+   * Reserves a slot for a new request with a body of `bytes`. Throws an
+   * `OnyxError` when the entry is full or draining.
+   */
   reserveSlot(bytes: number): RequestSlot;
-  /** As `enter`, also while draining: for requests that are in progress. */
+  /**
+   * Reserves a slot for resuming a request, which is allowed while draining.
+   * Throws an `OnyxError` when the entry is full.
+   */
   reserveResumeSlot(): RequestSlot;
   link(id: RequestId): Link | undefined;
   addLink(id: RequestId, link: Link): void;
+  /** Does nothing if another link has replaced this one. */
   removeLink(id: RequestId, link: Link): void;
-  /** No new requests; calls back when none is open. */
+  /** Refuses new requests from now on; calls `done` when none is open. */
   drain(done: () => void): void;
+  /** Number of slots that are reserved. */
   openRequests(): number;
+  /** Cancels all attached requests and closes their connections. */
   dropAllLinks(): void;
 }
 
-/** Starts with nothing known. */
+/** Creates the state without a configuration or membership. */
 export function createCallersState(capacity: CallersCapacity): CallersState {
   const links = new Map<RequestId, Link>();
-  let newest: NumberedDeclarations | undefined;
-  let view: MembershipView | undefined;
+  let newestConfig: NumberedDeclarations | undefined;
+  let membership: MembershipView | undefined;
   let draining = false;
-  let open = 0;
-  let heldBytes = 0;
-  let waiting: ReadonlyArray<() => void> = [];
+  let openCount = 0;
+  let heldBodyBytes = 0;
+  let drainListeners: ReadonlyArray<() => void> = [];
 
-  const tellDrained = () => {
-    if (!draining || open > 0) return;
-    const told = waiting;
-    waiting = [];
-    for (const done of told) done();
+  const notifyIfDrained = () => {
+    if (!draining || openCount > 0) return;
+    const listeners = drainListeners;
+    drainListeners = [];
+    for (const done of listeners) done();
   };
 
-  const place = (bytes: number): RequestSlot => {
-    let held = bytes;
+  const createSlot = (bytes: number): RequestSlot => {
+    let bodyBytes = bytes;
     let released = false;
-    open += 1;
-    heldBytes += held;
-    const hold = (now: number) => {
+    openCount += 1;
+    heldBodyBytes += bodyBytes;
+    const setBodyBytes = (newBytes: number) => {
       if (released) return;
-      heldBytes += now - held;
-      held = now;
+      heldBodyBytes += newBytes - bodyBytes;
+      bodyBytes = newBytes;
     };
     const release = () => {
       if (released) return;
-      hold(0);
+      setBodyBytes(0);
       released = true;
-      open -= 1;
-      tellDrained();
+      openCount -= 1;
+      notifyIfDrained();
     };
-    return {setBodyBytes: hold, release};
+    return {setBodyBytes, release};
   };
 
-  const checkRoom = (bytes: number) => {
-    if (open >= capacity.maxOpenRequests) {
-      throw comeBack('overloaded', 'too many requests are open at this entry');
+  const checkCapacity = (bytes: number) => {
+    if (openCount >= capacity.maxOpenRequests) {
+      throw retryLater(
+        'overloaded',
+        'too many requests are open at this entry',
+      );
     }
-    if (heldBytes + bytes > capacity.maxHeldBodyBytes) {
-      throw comeBack('overloaded', 'too many long prompts are held here');
+    if (heldBodyBytes + bytes > capacity.maxHeldBodyBytes) {
+      throw retryLater('overloaded', 'too many long prompts are held here');
     }
   };
 
   return {
     updateConfig: config => {
-      // Number 0 is what a process holds before it has heard of any accepted
-      // version; it knows no organisation, and would refuse every caller as
-      // unauthorised instead of telling the balancer that it is not ready.
+      // Number 0 is the initial configuration of a process that has received
+      // no accepted version yet. It has no organisations: with it, every caller
+      // would be refused as unauthorised, and the load balancer would not see
+      // that the entry is not ready.
       if (config.number === 0) return;
-      // A late message must not bring an older version back into force.
-      if (newest === undefined || config.number > newest.number) {
-        newest = config;
+      // Messages can arrive late. An older version must not replace a newer one.
+      if (newestConfig === undefined || config.number > newestConfig.number) {
+        newestConfig = config;
       }
     },
-    updateMembership: taken => {
-      view = taken;
+    updateMembership: view => {
+      membership = view;
     },
     config: () => {
-      if (newest !== undefined) return newest;
-      throw comeBack('store-unavailable', 'the configuration is not known yet');
+      if (newestConfig !== undefined) return newestConfig;
+      throw retryLater(
+        'store-unavailable',
+        'the configuration is not known yet',
+      );
     },
     isReady: () =>
-      newest !== undefined &&
+      newestConfig !== undefined &&
       !draining &&
-      (view?.replicas ?? []).some(replica => replica.state === 'live'),
+      (membership?.replicas ?? []).some(replica => replica.state === 'live'),
     reserveSlot: bytes => {
-      if (draining) throw comeBack('draining', 'this entry is leaving');
-      checkRoom(bytes);
-      return place(bytes);
+      if (draining) throw retryLater('draining', 'this entry is leaving');
+      checkCapacity(bytes);
+      return createSlot(bytes);
     },
     reserveResumeSlot: () => {
-      checkRoom(0);
-      return place(0);
+      checkCapacity(0);
+      return createSlot(0);
     },
     link: id => links.get(id),
     addLink: (id, link) => void links.set(id, link),
@@ -129,17 +155,17 @@
     },
     drain: done => {
       draining = true;
-      waiting = [...waiting, done];
-      tellDrained();
+      drainListeners = [...drainListeners, done];
+      notifyIfDrained();
     },
-    openRequests: () => open,
+    openRequests: () => openCount,
     dropAllLinks: () => {
       for (const link of [...links.values()]) link.drop();
     },
   };
 }
 
-function comeBack(
+function retryLater(
   code: 'overloaded' | 'draining' | 'store-unavailable',
   message: string,
 ): OnyxError {
@@ -147,6 +173,6 @@
     code,
     step: 'limit',
     message,
-    retryAfterMs: RETRY_MS,
+    retryAfterMs: RETRY_AFTER_MS,
   });
 }
--- a/src/entry/front/existing_request_routes.ts
+++ b/src/entry/front/existing_request_routes.ts
@@ -1,6 +1,7 @@
 /**
- * Routes of a request that was started before, here or at another entry: its
- * state, its answer again, its end. Only its own organisation gets to it.
+ * Routes for a request that was started earlier, at this or another entry.
+ * They show its state, resume its answer, and cancel it. Another organisation
+ * gets the same `not-found` error as for an id that does not exist.
  */
 import type {IncomingMessage} from 'node:http';
 import type {Organisation} from '../../types/config.js';
@@ -23,33 +24,33 @@
 
 /** `GET /v1/requests/ID`. Rejects with an `OnyxError` when refused. */
 export async function showRequest(
-  front: CallersDeps,
+  deps: CallersDeps,
   exchange: Exchange,
   query: URLSearchParams,
 ): Promise<void> {
-  const organisation = await authenticate(front, exchange.req);
-  const from = resumePoint(exchange.req, exchange.id, query);
-  const state = await stateOf(front, exchange.id, organisation);
+  const organisation = await authenticate(deps, exchange.req);
+  const from = readResumePoint(exchange.req, exchange.id, query);
+  const state = await findState(deps, exchange.id, organisation);
   if (wantsStream(exchange.req, query)) {
-    resume(front, exchange, organisation, state, from);
+    resume(deps, exchange, organisation, state, from);
   } else if (query.get('wait') === 'true') {
-    resume(front, exchange, organisation, state, undefined);
+    resume(deps, exchange, organisation, state, undefined);
   } else {
-    sendJson(exchange.res, 200, stateBody(state));
+    sendJson(exchange.res, 200, toStateBody(state));
   }
 }
 
 /** `DELETE /v1/requests/ID`. Rejects with an `OnyxError` when refused. */
 export async function cancelRequest(
-  front: CallersDeps,
+  deps: CallersDeps,
   exchange: Exchange,
 ): Promise<void> {
   const {id, req, res} = exchange;
-  const organisation = await authenticate(front, req);
-  checkId(id);
+  const organisation = await authenticate(deps, req);
+  assertValidId(id);
   const found = await withLookupTimeout(
-    front,
-    front.ctx.ask('requests', (reply: (found: boolean) => void) => ({
+    deps,
+    deps.ctx.ask('requests', (reply: (found: boolean) => void) => ({
       kind: 'cancel',
       id,
       organisation: organisation.id,
@@ -61,29 +62,32 @@
 }
 
 function authenticate(
-  front: CallersDeps,
+  deps: CallersDeps,
   req: IncomingMessage,
 ): Promise<Organisation> {
-  return front.authenticator.authenticate(
+  return deps.authenticator.authenticate(
     req.headers.authorization,
-    front.state.config().declarations,
+    deps.state.config().declarations,
   );
 }
 
-/** An id that can't be one is answered as any other that isn't there. */
-function checkId(id: RequestId): void {
+/**
+ * Throws `not-found` for a malformed id, as for an unknown one. A malformed id
+ * is never looked up.
+ */
+function assertValidId(id: RequestId): void {
   if (!REQUEST_ID.test(id)) throw noSuchRequest();
 }
 
-async function stateOf(
-  front: CallersDeps,
+async function findState(
+  deps: CallersDeps,
   id: RequestId,
   organisation: Organisation,
 ): Promise<RequestState> {
-  checkId(id);
+  assertValidId(id);
   const state = await withLookupTimeout(
-    front,
-    front.ctx.ask('requests', (reply: (state: RequestState) => void) => ({
+    deps,
+    deps.ctx.ask('requests', (reply: (state: RequestState) => void) => ({
       kind: 'state',
       id,
       organisation: organisation.id,
@@ -99,51 +103,58 @@
   return (req.headers.accept ?? '').includes('text/event-stream');
 }
 
-/** `Last-Event-ID` names the last chunk had, `from` the first one wanted. */
-function resumePoint(
+/**
+ * Reads where to resume. `Last-Event-ID` names the last chunk that the caller
+ * received. The query parameter `from` names the first chunk that the caller
+ * wants, and takes precedence.
+ */
+function readResumePoint(
   req: IncomingMessage,
   id: RequestId,
   query: URLSearchParams,
 ): ResumePoint {
   const from = query.get('from');
-  if (from !== null) return {fromSeq: sequence(from), dispatchId: ''};
-  const last = req.headers['last-event-id'];
-  if (last === undefined) return FROM_START;
-  const [requestId, dispatchId, seq] = String(last).split(':');
+  if (from !== null) return {fromSeq: parseSeq(from), dispatchId: ''};
+  const lastEventId = req.headers['last-event-id'];
+  if (lastEventId === undefined) return FROM_START;
+  const [requestId, dispatchId, seq] = String(lastEventId).split(':');
   if (requestId !== id || dispatchId === undefined || seq === undefined) {
     throw badRequest('header last-event-id is not of this request');
   }
-  return {fromSeq: sequence(seq) + 1, dispatchId};
+  return {fromSeq: parseSeq(seq) + 1, dispatchId};
 }
 
-function sequence(text: string): number {
+function parseSeq(text: string): number {
   if (!/^\d{1,9}$/.test(text)) {
     throw badRequest('the chunk to resume from must be a whole number');
   }
   return Number(text);
 }
 
-/** Streams from `from`; without it, answers as a whole. */
+/**
+ * Resumes the answer on this connection. Streams it from `from`. Without `from`
+ * the whole answer is sent at its end.
+ */
 function resume(
-  front: CallersDeps,
+  deps: CallersDeps,
   exchange: Exchange,
   organisation: Organisation,
   state: RequestState,
   from: ResumePoint | undefined,
 ): void {
-  const {ctx} = front;
+  const {ctx} = deps;
   const {id} = exchange;
   const fromSeq = state.kind === 'call' ? 0 : (from?.fromSeq ?? 0);
-  const place = front.state.reserveResumeSlot();
-  // Two connections on one run would each get some of its chunks. The caller
-  // has dialled anew because the old one is of no use to it any more.
-  front.state.link(id)?.supersede();
-  const listener = attachToRequest(front, exchange, {
+  const slot = deps.state.reserveResumeSlot();
+  // With two connections on one run, each would get only some of the chunks.
+  // The caller has reconnected, so its older connection is closed.
+  deps.state.link(id)?.supersede();
+  const listener = attachToRequest(deps, exchange, {
     organisation: organisation.id,
-    writer: answerOf(front, exchange, state, from),
+    writer: createWriter(deps, exchange, state, from),
     fromSeq,
     deadlineAt: undefined,
-    slot: place,
+    slot,
     onFirstChunk: () => undefined,
   });
   ctx.send('requests', {
@@ -157,26 +168,26 @@
   });
 }
 
-function answerOf(
-  front: CallersDeps,
+function createWriter(
+  deps: CallersDeps,
   exchange: Exchange,
   state: RequestState,
   from: ResumePoint | undefined,
 ): ResponseWriter {
   const {id, res} = exchange;
   if (state.kind === 'call') return createServiceResponseWriter(res, id);
-  const head = {
+  const metadata = {
     id,
     model: state.model ?? '',
-    created: Math.floor(front.wallTimeMs() / MS_PER_SEC),
+    created: Math.floor(deps.wallTimeMs() / MS_PER_SEC),
     promptTokens: state.promptTokens,
   };
   return from === undefined
-    ? createJsonWriter(res, head)
-    : createEventStreamWriter(res, head, from);
+    ? createJsonWriter(res, metadata)
+    : createEventStreamWriter(res, metadata, from);
 }
 
-function stateBody(state: RequestState) {
+function toStateBody(state: RequestState) {
   return {
     id: state.id,
     state: state.state,
--- a/src/entry/front/http_callers.ts
+++ b/src/entry/front/http_callers.ts
@@ -1,7 +1,8 @@
 /**
- * Service `callers`: the HTTP front for organisations. It reads and checks
- * what callers send, admits requests, hands them to `requests`, and writes the
- * answers. Bad input ends here and reaches no upstream.
+ * Service `callers`: the HTTP server for the clients of organisations. It reads
+ * and validates what they send, admits requests, submits them to the `requests`
+ * service, and writes the responses. Invalid input is refused here and never
+ * reaches an upstream.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Address} from '../../types/ids.js';
@@ -23,55 +24,89 @@
 import {sendJson} from './http_errors.js';
 import {openHttpServer} from './http_server.js';
 
+/** Limits on the memory that callers can use. */
 export interface CallersLimits {
-  /** Largest body, in bytes. @default 8388608 */
+  /**
+   * Largest request body, in bytes. A larger one is answered 413.
+   * @default 8388608
+   */
   readonly maxBodyBytes?: number;
-  /** Request line and headers, in bytes. @default 16384 */
+  /**
+   * Largest request line and headers together, in bytes. Larger ones are
+   * answered 431.
+   * @default 16384
+   */
   readonly maxHeaderBytes?: number;
-  /** Requests in progress at this entry. @default 4096 */
+  /**
+   * Number of open requests at this entry. Further ones are refused as
+   * `overloaded`.
+   * @default 4096
+   */
   readonly maxOpenRequests?: number;
-  /** Bodies of open requests together, in bytes. @default 536870912 */
+  /**
+   * Total size of the bodies of all open requests, in bytes. Requests beyond it
+   * are refused as `overloaded`.
+   * @default 536870912
+   */
   readonly maxHeldBodyBytes?: number;
-  /** Part of an answer that waits for a slow caller. @default 8388608 */
+  /**
+   * Bytes of one response that may wait in memory for a slow caller. The
+   * connection is closed when more are waiting.
+   * @default 8388608
+   */
   readonly maxUnsentResponseBytes?: number;
 }
 
-/** All in milliseconds. */
+/** Times in milliseconds. */
 export interface CallersTiming {
-  /** Time for a whole body to arrive. @default 30000 */
+  /**
+   * Time limit for a whole body to arrive. A slower one is answered 408.
+   * @default 30000
+   */
   readonly bodyTimeoutMs?: number;
-  /** Time for the headers to arrive. @default 10000 */
+  /**
+   * Time limit for the headers to arrive. Slower ones are answered 408.
+   * @default 10000
+   */
   readonly headersTimeoutMs?: number;
-  /** Period of beats on a quiet stream. @default 5000 */
+  /** Interval of keep-alive comments on an event stream. @default 5000 */
   readonly keepAliveIntervalMs?: number;
   /**
-   * How long a caller whose connection broke may come back for its answer
-   * before the run is cancelled.
+   * How long after a disconnect the caller may reconnect for its answer. The
+   * run is cancelled after that.
    * @default 2000
    */
   readonly disconnectGraceMs?: number;
-  /** Time limit for finding a request's state. @default 5000 */
+  /**
+   * Time limit for finding an existing request. The caller gets `timeout` after
+   * that.
+   * @default 5000
+   */
   readonly lookupTimeoutMs?: number;
-  /** How long after a deadline the front gives the answer. @default 500 */
+  /**
+   * How long after the deadline of a request the service that owns it may still
+   * end it. After that, this service ends it with `deadline-exceeded`.
+   * @default 500
+   */
   readonly deadlineGraceMs?: number;
 }
 
 export interface CallersOptions {
-  /** Port 0 takes any free one; ask `status` for the address. */
+  /** Port 0 means any free port; the message `status` gets the address. */
   readonly listen: Address;
   readonly limits?: CallersLimits;
   readonly timing?: CallersTiming;
   readonly verifyKey: VerifyKey;
-  /** Unix time in milliseconds. */
+  /** Returns the Unix time in milliseconds. */
   readonly wallTimeMs: () => number;
   readonly yieldLoop: YieldLoop;
-  /** Longest event-loop delay since the last call, in milliseconds. */
+  /** Returns the longest event-loop delay since its last call, in ms. */
   readonly loopDelayMs: () => number;
 }
 
-/** To `callers`. */
+/** Messages to the `callers` service. */
 export type CallersMessage =
-  /** No new requests; replies when the last answer has ended. */
+  /** Refuses new requests from now on; replies when none is open. */
   | {readonly kind: 'drain'; readonly reply: () => void}
   | {
       readonly kind: 'status';
@@ -79,10 +114,11 @@
     };
 
 export interface CallersStatus {
-  /** Where the front listens. */
+  /** Address that the HTTP server listens on. */
   readonly address: Address;
+  /** Whether `/readyz` answers 200. */
   readonly ready: boolean;
-  /** Requests in progress, those whose body is still arriving included. */
+  /** Number of open requests, including those whose body is arriving. */
   readonly openRequests: number;
 }
 
@@ -109,35 +145,36 @@
   deadlineGraceMs: 500,
 } as const;
 const METHOD_NOT_ALLOWED = 405;
-const LOOP_DELAY_PERIOD_MS = 1_000;
+/** Interval at which the gauges of the service are updated. */
+const GAUGE_INTERVAL_MS = 1_000;
 const SERVICES_PATH = /^\/v1\/services\/([^/?]+)(\/[^?]*)?(\?.*)?$/;
 const REQUEST_PATH = /^\/v1\/requests\/([^/?]+)$/;
 
-/** Makes the service. */
+/** Creates the service. */
 export function createCallersService(
   options: CallersOptions,
 ): ServiceSpec<'callers'> {
-  return {name: 'callers', start: ctx => start(ctx, options)};
+  return {name: 'callers', start: ctx => startCallersService(ctx, options)};
 }
 
-async function start(
+async function startCallersService(
   ctx: ServiceContext<'callers'>,
   options: CallersOptions,
 ): Promise<void> {
-  const front = createFront(ctx, options);
-  const {state} = front;
+  const deps = createDeps(ctx, options);
+  const {state} = deps;
   const limits = {...DEFAULT_LIMITS, ...options.limits};
   const timing = {...DEFAULT_TIMING, ...options.timing};
   const server = await openHttpServer({
     listen: options.listen,
     maxHeaderBytes: limits.maxHeaderBytes,
     headersTimeoutMs: timing.headersTimeoutMs,
-    handler: (req, res) => handle(front, req, res),
+    handler: (req, res) => handleRequest(deps, req, res),
   });
   ctx.own(() => server.close());
   ctx.own(() => state.dropAllLinks());
   ctx.own(
-    ctx.clock.every(LOOP_DELAY_PERIOD_MS, () => {
+    ctx.clock.every(GAUGE_INTERVAL_MS, () => {
       const delayMs = options.loopDelayMs();
       ctx.metrics.gauge('onyxloft_event_loop_delay_ms', {}, delayMs);
       ctx.metrics.gauge('onyxloft_open_callers', {}, state.openRequests());
@@ -163,13 +200,13 @@
   });
 }
 
-function createFront(
+function createDeps(
   ctx: ServiceContext<'callers'>,
   options: CallersOptions,
 ): CallersDeps {
   const limits = {...DEFAULT_LIMITS, ...options.limits};
   const timing = {...DEFAULT_TIMING, ...options.timing};
-  const {maxBodyBytes, maxUnsentResponseBytes: maxAnswerBytes} = limits;
+  const {maxBodyBytes, maxUnsentResponseBytes} = limits;
   const {bodyTimeoutMs} = timing;
   return {
     ctx,
@@ -182,66 +219,71 @@
     ),
     firstTokenMetrics: createFirstTokenMetrics(ctx.metrics, ctx.clock),
     timing,
-    maxUnsentResponseBytes: maxAnswerBytes,
+    maxUnsentResponseBytes,
     maxBodyBytes,
     wallTimeMs: options.wallTimeMs,
   };
 }
 
-function handle(front: CallersDeps, req: IncomingMessage, res: ServerResponse) {
-  const {ctx} = front;
+function handleRequest(
+  deps: CallersDeps,
+  req: IncomingMessage,
+  res: ServerResponse,
+) {
+  const {ctx} = deps;
   const arrivedAt = ctx.clock.now();
   const path = req.url ?? '/';
   const requestId = REQUEST_PATH.exec(path.split('?', 1)[0] ?? '')?.[1];
   const id = requestId ?? ctx.random.hex(16);
   const exchange: Exchange = {id, req, res, arrivedAt};
-  // Without a listener an error of one connection would end the process.
+  // Without an `error` listener, an error on one connection would be thrown as
+  // an uncaught exception and end the process.
   res.on('error', () => undefined);
   req.on('error', () => undefined);
   res.setHeader('X-Request-Id', id);
-  route(front, exchange, path, requestId !== undefined).catch(thrown => {
+  route(deps, exchange, path, requestId !== undefined).catch(thrown => {
     const error = asOnyxError(thrown, 'read');
     if (error !== thrown) {
       const cause = thrown instanceof Error ? thrown.stack : String(thrown);
       ctx.log(FRONT_EVENTS.frontFailed, {requestId: id, cause});
     }
-    refuse(front, exchange, error);
+    refuse(deps, exchange, error);
   });
 }
 
 async function route(
-  front: CallersDeps,
+  deps: CallersDeps,
   exchange: Exchange,
   target: string,
-  ofRequest: boolean,
+  isRequestPath: boolean,
 ): Promise<void> {
   const {req, res} = exchange;
   const [path = '/', search = ''] = target.split('?', 2);
-  const call = SERVICES_PATH.exec(target);
-  if (call !== null) {
-    const [, pool = '', rest = '/', query = ''] = call;
-    await submitCall(front, exchange, pool, rest + query);
+  const serviceMatch = SERVICES_PATH.exec(target);
+  if (serviceMatch !== null) {
+    const [, pool = '', rest = '/', query = ''] = serviceMatch;
+    await submitCall(deps, exchange, pool, rest + query);
   } else if (path === '/v1/completions') {
-    if (!methodIs(front, exchange, ['POST'])) return;
-    await submitCompletion(front, exchange);
-  } else if (ofRequest) {
-    if (!methodIs(front, exchange, ['GET', 'DELETE'])) return;
+    if (!checkMethod(deps, exchange, ['POST'])) return;
+    await submitCompletion(deps, exchange);
+  } else if (isRequestPath) {
+    if (!checkMethod(deps, exchange, ['GET', 'DELETE'])) return;
     await (req.method === 'GET'
-      ? showRequest(front, exchange, new URLSearchParams(search))
-      : cancelRequest(front, exchange));
+      ? showRequest(deps, exchange, new URLSearchParams(search))
+      : cancelRequest(deps, exchange));
   } else if (path === '/healthz') {
     sendJson(res, 200, {healthy: true});
   } else if (path === '/readyz') {
-    const ready = front.state.isReady();
+    const ready = deps.state.isReady();
     sendJson(res, ready ? 200 : 503, {ready});
   } else {
     throw badRequest(`no route ${path}`, 'validate', 'not-found');
   }
 }
 
-/** Whether the method is offered here; answers the exchange when not. */
-function methodIs(
-  front: CallersDeps,
+/** True when the method is allowed. Otherwise answers 405 and returns false. */
+function checkMethod(
+  deps: CallersDeps,
   exchange: Exchange,
   allowed: readonly string[],
 ): boolean {
@@ -249,6 +291,6 @@
   if (allowed.includes(req.method ?? '')) return true;
   res.setHeader('Allow', allowed.join(', '));
   const error = badRequest(`method ${req.method} is not offered here`);
-  refuse(front, exchange, error, METHOD_NOT_ALLOWED);
+  refuse(deps, exchange, error, METHOD_NOT_ALLOWED);
   return false;
 }
--- a/src/entry/front/new_request_routes.ts
+++ b/src/entry/front/new_request_routes.ts
@@ -1,4 +1,8 @@
-/** Routes that start a request: completions, and calls to plain services. */
+/**
+ * Routes that start a request: completions, and calls to plain HTTP services.
+ * They read and validate the caller's input, admit the request, and submit it
+ * to the `requests` service.
+ */
 import type {IncomingMessage} from 'node:http';
 import type {CallHead, Header} from '../../types/peer_messages.js';
 import type {RequestSpec} from '../../types/services.js';
@@ -25,109 +29,113 @@
 import {readRequestOptions} from './request_options.js';
 
 const MS_PER_SEC = 1000;
-/** Meant for the entry, and none of the plain service's business. */
+/** Headers for the entry itself, which are not forwarded to a plain service. */
 const ENTRY_HEADERS: ReadonlySet<string> = new Set([
   'authorization',
   'expect',
   'host',
 ]);
+/** Headers with this prefix are not forwarded either. */
 const ENTRY_PREFIX = 'x-onyxloft-';
 
 /** `POST /v1/completions`. Rejects with an `OnyxError` when refused. */
 export function submitCompletion(
-  front: CallersDeps,
+  deps: CallersDeps,
   exchange: Exchange,
 ): Promise<void> {
-  return inPlace(front, exchange, async (arrival, place) => {
+  return withSlot(deps, exchange, async (arrival, slot) => {
     const {req, res} = exchange;
-    // What the headers alone tell is told before the body is sent.
-    readRequestOptions(req.headers, EMPTY_BODY_OPTIONS, front.wallTimeMs());
-    const parsed = await front.bodyReader.readCompletion(req, res);
+    // Bad headers are refused here, before the body is read.
+    readRequestOptions(req.headers, EMPTY_BODY_OPTIONS, deps.wallTimeMs());
+    const parsed = await deps.bodyReader.readCompletion(req, res);
     const fields = validateCompletion(parsed);
     const options = readRequestOptions(
       req.headers,
       fields.options,
-      front.wallTimeMs(),
+      deps.wallTimeMs(),
     );
     const spec = admitCompletion(arrival, fields, options);
-    const head = {
+    const metadata = {
       id: spec.id,
       model: fields.model ?? spec.model,
-      created: Math.floor(front.wallTimeMs() / MS_PER_SEC),
+      created: Math.floor(deps.wallTimeMs() / MS_PER_SEC),
       promptTokens: spec.promptTokens,
     };
-    const answer = fields.stream
-      ? createEventStreamWriter(res, head, {fromSeq: 0, dispatchId: ''})
-      : createJsonWriter(res, head);
-    submit(front, exchange, spec, answer, place);
+    const writer = fields.stream
+      ? createEventStreamWriter(res, metadata, {fromSeq: 0, dispatchId: ''})
+      : createJsonWriter(res, metadata);
+    submit(deps, exchange, spec, writer, slot);
   });
 }
 
 /** `ANY /v1/services/POOL/PATH`. Rejects with an `OnyxError` when refused. */
 export function submitCall(
-  front: CallersDeps,
+  deps: CallersDeps,
   exchange: Exchange,
   pool: string,
   path: string,
 ): Promise<void> {
-  return inPlace(front, exchange, async (arrival, place) => {
+  return withSlot(deps, exchange, async (arrival, slot) => {
     const {req, res} = exchange;
     const service = findService(arrival.config.declarations, pool);
     const options = readRequestOptions(
       req.headers,
       EMPTY_BODY_OPTIONS,
-      front.wallTimeMs(),
+      deps.wallTimeMs(),
     );
-    const body = await front.bodyReader.readRaw(req, res);
+    const body = await deps.bodyReader.readRaw(req, res);
     const call: CallHead = {
       method: req.method ?? 'GET',
       path,
-      headers: callHeaders(req),
+      headers: forwardedHeaders(req),
     };
     const spec = admitCall(arrival, service, call, body, options);
     submit(
-      front,
+      deps,
       exchange,
       spec,
       createServiceResponseWriter(res, spec.id),
-      place,
+      slot,
     );
   });
 }
 
-/** Takes a place and tells the organisation before any body is read. */
-async function inPlace(
-  front: CallersDeps,
+/**
+ * Reserves a slot and authenticates the caller before any of the body is read,
+ * then runs `handler`. Releases the slot if either fails.
+ */
+async function withSlot(
+  deps: CallersDeps,
   exchange: Exchange,
-  run: (arrival: Arrival, place: RequestSlot) => Promise<void>,
+  handler: (arrival: Arrival, slot: RequestSlot) => Promise<void>,
 ): Promise<void> {
   const {req, id, arrivedAt} = exchange;
-  const config = front.state.config();
-  const expected = Math.min(
-    declaredLength(req) ?? front.maxBodyBytes,
-    front.maxBodyBytes,
+  const config = deps.state.config();
+  const expectedBytes = Math.min(
+    declaredLength(req) ?? deps.maxBodyBytes,
+    deps.maxBodyBytes,
   );
-  const place = front.state.reserveSlot(expected);
+  const slot = deps.state.reserveSlot(expectedBytes);
   try {
-    const organisation = await front.authenticator.authenticate(
+    const organisation = await deps.authenticator.authenticate(
       req.headers.authorization,
       config.declarations,
     );
-    await run({id, organisation, config, arrivedAt}, place);
+    await handler({id, organisation, config, arrivedAt}, slot);
   } catch (err) {
-    place.release();
+    slot.release();
     throw err;
   }
 }
 
 function submit(
-  front: CallersDeps,
+  deps: CallersDeps,
   exchange: Exchange,
   spec: RequestSpec,
-  answer: ResponseWriter,
-  place: RequestSlot,
+  writer: ResponseWriter,
+  slot: RequestSlot,
 ): void {
-  const {ctx} = front;
+  const {ctx} = deps;
   const {req, arrivedAt} = exchange;
   const timeLeftMs = spec.deadlineAt - ctx.clock.now();
   if (timeLeftMs <= 0) {
@@ -137,24 +145,25 @@
       'deadline-exceeded',
     );
   }
-  // A caller that left before this point would never be seen to leave.
+  // The link notices a disconnect by the response's `close` event. That event
+  // is already over for a caller that has disconnected by now.
   if (req.socket.destroyed) {
     throw badRequest('the caller left', 'read', 'cancelled');
   }
-  place.setBodyBytes(spec.body.bytes);
-  const [shortest] = spec.config.declarations.lengthClasses;
-  const listener = attachToRequest(front, exchange, {
+  slot.setBodyBytes(spec.body.bytes);
+  const [shortestClass] = spec.config.declarations.lengthClasses;
+  const listener = attachToRequest(deps, exchange, {
     organisation: spec.organisation,
-    writer: answer,
+    writer,
     fromSeq: 0,
     deadlineAt: spec.deadlineAt,
-    slot: place,
+    slot,
     onFirstChunk: () => {
       if (spec.kind !== 'completion') return;
-      front.firstTokenMetrics.record(
+      deps.firstTokenMetrics.record(
         spec.lengthClass,
         ctx.clock.now() - arrivedAt,
-        spec.lengthClass === shortest?.name,
+        spec.lengthClass === shortestClass?.name,
       );
     },
   });
@@ -174,12 +183,15 @@
   ctx.send('requests', {kind: 'submit', spec, listener});
 }
 
-/** Headers as they came, in order, those of this connection left out. */
-function callHeaders(req: IncomingMessage): readonly Header[] {
+/**
+ * Headers to forward to a plain service, in their original order. Hop-by-hop
+ * headers and headers for the entry are left out.
+ */
+function forwardedHeaders(req: IncomingMessage): readonly Header[] {
   const headers: Header[] = [];
-  for (let at = 0; at + 1 < req.rawHeaders.length; at += 2) {
-    const name = req.rawHeaders[at] ?? '';
-    headers.push({name, value: req.rawHeaders[at + 1] ?? ''});
+  for (let index = 0; index + 1 < req.rawHeaders.length; index += 2) {
+    const name = req.rawHeaders[index] ?? '';
+    headers.push({name, value: req.rawHeaders[index + 1] ?? ''});
   }
   return withoutHopHeaders(headers).filter(({name}) => {
     const lower = name.toLowerCase();
--- a/src/entry/front/response_writers.ts
+++ b/src/entry/front/response_writers.ts
@@ -1,6 +1,7 @@
 /**
- * Writes a request's events to its caller: as server-sent events, as one JSON
- * object, or as the plain service's own response.
+ * Writes the events of a request to the HTTP response. There are three forms:
+ * server-sent events, one JSON object, and the forwarded response of a plain
+ * service.
  */
 import type {ServerResponse} from 'node:http';
 import {OnyxError} from '../../types/errors.js';
@@ -14,137 +15,154 @@
 type EndEvent = Extract<RequestEvent, {kind: 'end'}>;
 type ChunkEvent = Extract<RequestEvent, {kind: 'chunk'}>;
 
-/** One way of answering. Events come in the order of `RequestEvent`. */
+/** Writes one response. It is called in the order of `RequestEvent`. */
 export interface ResponseWriter {
+  /**
+   * Sets the dispatch that the next chunks come from. Throws an `OnyxError` if
+   * the caller has received chunks of another one.
+   */
   setDispatch(dispatchId: string): void;
   writeChunk(event: ChunkEvent): void;
-  /** Chunks so far are void; throws an `OnyxError` if the caller has some. */
+  /**
+   * Drops the chunks so far, because another run replaces theirs. Throws an
+   * `OnyxError` if the caller has received some of them.
+   */
   discardChunks(): void;
+  /** Completes the response. */
   end(event: EndEvent): void;
-  /** No whole answer will come. */
+  /** Ends the response with an error, so that it can't pass for complete. */
   fail(error: OnyxError): void;
-  /** Keeps a quiet connection known to be alive. */
+  /**
+   * Writes a comment to an event stream, so that its connection is not closed
+   * as idle. Does nothing in the other forms.
+   */
   keepAlive(): void;
 }
 
-/** What a completion's answer tells besides its text. */
+/** The fields of a completion response besides its text. */
 export interface CompletionMetadata {
   readonly id: RequestId;
   readonly model: ModelId;
   /** Unix time in seconds. */
   readonly created: number;
-  /** Undefined when the side that was asked did not tell. */
+  /** Undefined when the side that runs the request did not report it. */
   readonly promptTokens: number | undefined;
 }
 
-function choice(text: string, finishReason: string | null) {
+function completionChoice(text: string, finishReason: string | null) {
   return {index: 0, text, logprobs: null, finish_reason: finishReason};
 }
 
-function completion(head: CompletionMetadata, text: string, end?: EndEvent) {
+function completionBody(
+  metadata: CompletionMetadata,
+  text: string,
+  end?: EndEvent,
+) {
   return {
-    id: head.id,
+    id: metadata.id,
     object: 'text_completion',
-    created: head.created,
-    model: head.model,
-    choices: [choice(text, end?.finishReason ?? null)],
-    ...(end === undefined ? {} : {usage: usage(head, end)}),
+    created: metadata.created,
+    model: metadata.model,
+    choices: [completionChoice(text, end?.finishReason ?? null)],
+    ...(end === undefined ? {} : {usage: tokenUsage(metadata, end)}),
   };
 }
 
-function usage(head: CompletionMetadata, end: EndEvent) {
-  const known =
-    head.promptTokens === undefined
+function tokenUsage(metadata: CompletionMetadata, end: EndEvent) {
+  const promptUsage =
+    metadata.promptTokens === undefined
       ? {}
       : {
-          prompt_tokens: head.promptTokens,
-          total_tokens: head.promptTokens + end.tokens,
+          prompt_tokens: metadata.promptTokens,
+          total_tokens: metadata.promptTokens + end.tokens,
         };
   return {
-    ...known,
+    ...promptUsage,
     completion_tokens: end.tokens,
     prompt_tokens_details: {cached_tokens: end.cachedTokens},
   };
 }
 
-/** Where a resumed stream goes on. */
+/** Where a stream resumes. */
 export interface ResumePoint {
+  /** Sequence number of the first chunk to send. */
   readonly fromSeq: number;
-  /** The run that the chunks before came from; empty when not known. */
+  /** Dispatch of the chunks that the caller has; empty when not known. */
   readonly dispatchId: string;
 }
 
 /**
- * Server-sent events. Each chunk's `id` is `<request>:<dispatch>:<seq>`, from
- * which a caller resumes. The response head waits for the first chunk, so that
- * a refusal still has its own status, but not beyond the first beat.
+ * Writes server-sent events. The `id` of each chunk is
+ * `<request>:<dispatch>:<seq>`; a caller resumes with it. The response head is
+ * sent with the first chunk or the first keep-alive, whichever is earlier.
+ * Until then, a refusal can be sent with its own HTTP status.
  */
 export function createEventStreamWriter(
   res: ServerResponse,
-  head: CompletionMetadata,
-  from: ResumePoint,
+  metadata: CompletionMetadata,
+  resumePoint: ResumePoint,
 ): ResponseWriter {
-  const text = createChunkTextDecoder();
-  let dispatchId = from.dispatchId;
-  let begun = from.fromSeq > 0;
+  const decoder = createChunkTextDecoder();
+  let dispatchId = resumePoint.dispatchId;
+  let started = resumePoint.fromSeq > 0;
 
-  const write = (frame: string) => {
+  const writeEvent = (event: string) => {
     if (!res.headersSent) {
       res.writeHead(200, {
         'Content-Type': 'text/event-stream',
         'Cache-Control': 'no-store',
       });
     }
-    res.write(frame);
+    res.write(event);
   };
 
-  const data = (value: unknown) => `data: ${JSON.stringify(value)}\n\n`;
+  const dataLine = (value: unknown) => `data: ${JSON.stringify(value)}\n\n`;
 
   const fail = (error: OnyxError) => {
     if (!res.headersSent) {
-      sendError(res, error, head.id);
+      sendError(res, error, metadata.id);
       return;
     }
-    res.end(`event: error\n${data(errorBody(error, head.id))}`);
+    res.end(`event: error\n${dataLine(errorBody(error, metadata.id))}`);
   };
 
-  const placed = (placedId: string) => {
-    // Chunks of two runs must not be joined: the texts differ, and the caller
-    // would take the seam for the model's own words.
-    if (begun && dispatchId !== '' && placedId !== dispatchId) {
-      throw otherRun(head.id);
+  const setDispatch = (newDispatchId: string) => {
+    // Two runs generate different texts. If their chunks were joined, the
+    // caller would receive a text that the model never generated.
+    if (started && dispatchId !== '' && newDispatchId !== dispatchId) {
+      throw runReplaced(metadata.id);
     }
-    dispatchId = placedId;
+    dispatchId = newDispatchId;
   };
 
-  const chunk = (event: ChunkEvent) => {
-    begun = true;
-    const whole = text.decode(event.data);
-    if (whole === '') return;
-    const id = `${head.id}:${dispatchId}:${event.seq}`;
-    write(`id: ${id}\n${data(completion(head, whole))}`);
+  const writeChunk = (event: ChunkEvent) => {
+    started = true;
+    const text = decoder.decode(event.data);
+    if (text === '') return;
+    const id = `${metadata.id}:${dispatchId}:${event.seq}`;
+    writeEvent(`id: ${id}\n${dataLine(completionBody(metadata, text))}`);
   };
 
   const end = (event: EndEvent) => {
-    write(data(completion(head, text.finish(), event)));
+    writeEvent(dataLine(completionBody(metadata, decoder.finish(), event)));
     res.end('data: [DONE]\n\n');
   };
 
-  const restart = () => {
-    if (begun) throw otherRun(head.id);
+  const discardChunks = () => {
+    if (started) throw runReplaced(metadata.id);
   };
 
   return {
-    setDispatch: placed,
-    writeChunk: chunk,
-    discardChunks: restart,
+    setDispatch,
+    writeChunk,
+    discardChunks,
     end,
     fail,
-    keepAlive: () => write(': beat\n\n'),
+    keepAlive: () => writeEvent(': beat\n\n'),
   };
 }
 
-function otherRun(id: RequestId): OnyxError {
+function runReplaced(id: RequestId): OnyxError {
   return new OnyxError({
     code: 'answer-incomplete',
     step: 'resume',
@@ -154,35 +172,35 @@
   });
 }
 
-/** One JSON object, sent when the answer is whole. */
+/** Writes one JSON object when the answer is complete. */
 export function createJsonWriter(
   res: ServerResponse,
-  head: CompletionMetadata,
+  metadata: CompletionMetadata,
 ): ResponseWriter {
   const parts: string[] = [];
-  let text = createChunkTextDecoder();
+  let decoder = createChunkTextDecoder();
   return {
     setDispatch: () => undefined,
-    writeChunk: event => void parts.push(text.decode(event.data)),
+    writeChunk: event => void parts.push(decoder.decode(event.data)),
     discardChunks: () => {
       parts.length = 0;
-      text = createChunkTextDecoder();
+      decoder = createChunkTextDecoder();
     },
     end: event => {
-      parts.push(text.finish());
-      sendJson(res, 200, completion(head, parts.join(''), event));
+      parts.push(decoder.finish());
+      sendJson(res, 200, completionBody(metadata, parts.join(''), event));
     },
-    fail: error => sendError(res, error, head.id),
+    fail: error => sendError(res, error, metadata.id),
     keepAlive: () => undefined,
   };
 }
 
-/** A plain service's response, passed on as it comes. */
+/** Forwards the response of a plain service as it arrives. */
 export function createServiceResponseWriter(
   res: ServerResponse,
   id: RequestId,
 ): ResponseWriter {
-  const begin = (head: CallResHead) => {
+  const writeHead = (head: CallResHead) => {
     for (const {name, value} of withoutHopHeaders(head.headers)) {
       res.appendHeader(name, value);
     }
@@ -191,18 +209,19 @@
   return {
     setDispatch: () => undefined,
     writeChunk: event => {
-      if (!res.headersSent) begin(event.callHead ?? {status: 200, headers: []});
+      if (!res.headersSent)
+        writeHead(event.callHead ?? {status: 200, headers: []});
       res.write(event.data);
     },
     discardChunks: () => {
-      if (res.headersSent) throw otherRun(id);
+      if (res.headersSent) throw runReplaced(id);
     },
     end: () => {
-      if (!res.headersSent) begin({status: 200, headers: []});
+      if (!res.headersSent) writeHead({status: 200, headers: []});
       res.end();
     },
     fail: error => {
-      // Ending it in good order would pass a cut answer off as a whole one.
+      // A regular end would make an incomplete response look complete.
       if (res.headersSent) res.destroy();
       else sendError(res, error, id);
     },
