--- a/src/entry/front/authenticator.ts
+++ b/src/entry/front/authenticator.ts
@@ -1,6 +1,7 @@
 /**
- * Tells an organisation by its key. The salted verification is slow by intent,
- * so its outcome is kept per process under a fingerprint of the key.
+ * Finds the organisation that a key belongs to. Verifying a key against a
+ * salted hash is slow on purpose, so this process caches the result under a
+ * fingerprint of the key.
  */
 import type {Declarations, Organisation} from '../../types/config.js';
 import {OnyxError} from '../../types/errors.js';
@@ -17,28 +18,43 @@
   keyHash: string,
 ) => boolean | Promise<boolean>;
 
+/** Longest accepted token, in characters. A longer one counts as none. */
 const MAX_KEY_LENGTH = 512;
-/** Keys of today's organisations fit many times over. */
-const MAX_KNOWN = 10_000;
-/** Enough for one client that repeats a wrong key, too few to fill memory. */
-const MAX_REFUSED = 256;
-/** Verifications at once; more are told to come back. */
-const MAX_PENDING = 32;
-/** A key that is not known is tried against thousands of hashes. */
-const TRIES_PER_TURN = 64;
-const BUSY_RETRY_MS = 1_000;
+/**
+ * Size of the cache of verified keys. Beyond it the oldest entry is dropped and
+ * that key is verified again. The organisations have far fewer keys.
+ */
+const MAX_CACHED_KEYS = 10_000;
+/**
+ * Number of wrong keys that are remembered. Beyond it the oldest is forgotten.
+ * It is enough for clients that repeat a wrong key, and too small for a flood
+ * of wrong keys to fill the memory.
+ */
+const MAX_REFUSALS = 256;
+/** Number of concurrent verifications. Further ones get `overloaded`. */
+const MAX_PENDING_VERIFICATIONS = 32;
+/**
+ * Number of hashes that a key is compared with before the event loop gets a
+ * turn. An unknown key is compared with thousands of hashes, and other requests
+ * would wait for all of them.
+ */
+const HASHES_PER_LOOP_TURN = 64;
+/** `Retry-After` of a request that found too many verifications pending. */
+const BUSY_RETRY_AFTER_MS = 1_000;
 const BEARER = /^Bearer +(\S+) *$/i;
 
-interface KnownKey {
+interface VerifiedKey {
   readonly fingerprint: Uint8Array;
   readonly organisation: OrganisationId;
+  /** The declared hash that the key matched. */
   readonly keyHash: string;
 }
 
 export interface Authenticator {
   /**
-   * The organisation whose key the `Authorization` header bears. Rejects with
-   * `unauthorised`, or `overloaded` when too many new keys are being verified.
+   * Resolves to the organisation whose key is in the `Authorization` header.
+   * Rejects with `unauthorised`, or with `overloaded` when too many new keys
+   * are being verified.
    */
   authenticate(
     header: string | undefined,
@@ -46,31 +62,34 @@
   ): Promise<Organisation>;
 }
 
-/** Makes an authenticator with an empty cache. */
+/** Creates an authenticator with an empty cache. */
 export function createAuthenticator(
   verifyKey: VerifyKey,
   yieldLoop: YieldLoop,
 ): Authenticator {
-  const known = new Map<string, KnownKey>();
-  const pending = new Map<string, Promise<KnownKey | undefined>>();
+  const cache = new Map<string, VerifiedKey>();
+  const pendingVerifications = new Map<
+    string,
+    Promise<VerifiedKey | undefined>
+  >();
   let refused = new Set<string>();
-  let refusedBy: Declarations | undefined;
+  let refusedUnder: Declarations | undefined;
 
-  const lookUp = (
+  const findVerified = (
     id: string,
     fingerprint: Uint8Array,
     declarations: Declarations,
   ): Organisation | undefined => {
-    const entry = known.get(id);
+    const entry = cache.get(id);
     if (entry === undefined) return undefined;
     if (!fingerprintsEqual(entry.fingerprint, fingerprint)) return undefined;
     const found = declarations.organisations.find(
       organisation => organisation.id === entry.organisation,
     );
-    // A key taken out of the declarations must stop working at once, though
-    // it was verified before: the hash it matched has to be there still.
+    // A key that is removed from the declarations must stop working at once,
+    // even if it is in the cache. The hash it matched must still be declared.
     if (found?.keyHashes.includes(entry.keyHash)) return found;
-    known.delete(id);
+    cache.delete(id);
     return undefined;
   };
 
@@ -78,12 +97,12 @@
     key: string,
     fingerprint: Uint8Array,
     declarations: Declarations,
-  ): Promise<KnownKey | undefined> => {
-    let tried = 0;
-    for (const organisation of candidates(key, declarations)) {
+  ): Promise<VerifiedKey | undefined> => {
+    let hashesTried = 0;
+    for (const organisation of candidateOrganisations(key, declarations)) {
       for (const keyHash of organisation.keyHashes) {
-        tried += 1;
-        if (tried % TRIES_PER_TURN === 0) await yieldLoop();
+        hashesTried += 1;
+        if (hashesTried % HASHES_PER_LOOP_TURN === 0) await yieldLoop();
         if (await verifyKey(key, keyHash)) {
           return {fingerprint, organisation: organisation.id, keyHash};
         }
@@ -97,26 +116,26 @@
     key: string,
     fingerprint: Uint8Array,
     declarations: Declarations,
-  ): Promise<KnownKey | undefined> => {
-    const running = pending.get(id);
-    if (running !== undefined) return running;
-    // Wrong keys cost a salted hash each: without a bound, a flood of them
-    // would take the processor from callers whose keys are known.
-    if (pending.size >= MAX_PENDING) throw busy();
-    const started = verify(key, fingerprint, declarations).finally(() =>
-      pending.delete(id),
+  ): Promise<VerifiedKey | undefined> => {
+    const pending = pendingVerifications.get(id);
+    if (pending !== undefined) return pending;
+    // Each wrong key costs salted hashes. Without a limit, a flood of wrong
+    // keys would use up the CPU that callers with valid keys need.
+    if (pendingVerifications.size >= MAX_PENDING_VERIFICATIONS) throw busy();
+    const verification = verify(key, fingerprint, declarations).finally(() =>
+      pendingVerifications.delete(id),
     );
-    pending.set(id, started);
-    return started;
+    pendingVerifications.set(id, verification);
+    return verification;
   };
 
-  const remember = (id: string, entry: KnownKey) => {
-    if (known.size >= MAX_KNOWN) known.delete(firstOf(known.keys()));
-    known.set(id, entry);
+  const addVerified = (id: string, entry: VerifiedKey) => {
+    if (cache.size >= MAX_CACHED_KEYS) cache.delete(firstOf(cache.keys()));
+    cache.set(id, entry);
   };
 
-  const rememberRefused = (id: string) => {
-    if (refused.size >= MAX_REFUSED) refused.delete(firstOf(refused.values()));
+  const addRefused = (id: string) => {
+    if (refused.size >= MAX_REFUSALS) refused.delete(firstOf(refused.values()));
     refused.add(id);
   };
 
@@ -126,22 +145,22 @@
   ): Promise<Organisation> => {
     const key = bearerToken(header);
     if (key === undefined) throw unauthorised('no organisation key was given');
-    if (refusedBy !== declarations) {
+    if (refusedUnder !== declarations) {
       refused = new Set();
-      refusedBy = declarations;
+      refusedUnder = declarations;
     }
     const fingerprint = keyFingerprint(key);
     const id = Buffer.from(fingerprint).toString('base64');
-    const cached = lookUp(id, fingerprint, declarations);
+    const cached = findVerified(id, fingerprint, declarations);
     if (cached !== undefined) return cached;
     if (refused.has(id)) throw unknownKey();
     const verified = await verifyOnce(id, key, fingerprint, declarations);
     if (verified === undefined) {
-      if (refusedBy === declarations) rememberRefused(id);
+      if (refusedUnder === declarations) addRefused(id);
       throw unknownKey();
     }
-    remember(id, verified);
-    const organisation = lookUp(id, fingerprint, declarations);
+    addVerified(id, verified);
+    const organisation = findVerified(id, fingerprint, declarations);
     if (organisation === undefined) throw unknownKey();
     return organisation;
   };
@@ -149,7 +168,7 @@
   return {authenticate};
 }
 
-/** The token of a customary `Authorization` header. */
+/** Returns the token of a `Bearer` authorization header. */
 export function bearerToken(header: string | undefined): string | undefined {
   const token = BEARER.exec(header ?? '')?.[1];
   return token !== undefined && token.length <= MAX_KEY_LENGTH
@@ -158,10 +177,11 @@
 }
 
 /**
- * A key of the form `<organisation>.<secret>` is tried against that
- * organisation's hashes only; any other against those of all.
+ * Returns the organisations whose hashes a key is compared with. For a key of
+ * the form `<organisation>.<secret>` this is that organisation alone; for any
+ * other key, all organisations.
  */
-function candidates(
+function candidateOrganisations(
   key: string,
   declarations: Declarations,
 ): readonly Organisation[] {
@@ -188,6 +208,6 @@
     code: 'overloaded',
     step: 'authenticate',
     message: 'too many keys are being verified',
-    retryAfterMs: BUSY_RETRY_MS,
+    retryAfterMs: BUSY_RETRY_AFTER_MS,
   });
 }
--- a/src/entry/front/callers_state.ts
+++ b/src/entry/front/callers_state.ts
@@ -120,7 +120,7 @@
       // would be refused as unauthorised, and the load balancer would not see
       // that the entry is not ready.
       if (config.number === 0) return;
-      // Messages can arrive late. An older version must not replace a newer one.
+      // Messages can arrive late: an older version must not replace a newer.
       if (newestConfig === undefined || config.number > newestConfig.number) {
         newestConfig = config;
       }
--- a/src/entry/front/completion_fields.ts
+++ b/src/entry/front/completion_fields.ts
@@ -1,14 +1,15 @@
 /**
- * The fields of a completion's body in the customary form. Fields that have no
- * meaning here are taken and left unused, but their types are checked, so that
- * a caller's slip is told at once.
+ * Validates the fields of a completion body, which has the form of the common
+ * completions API. Fields of that API that are not supported here are accepted
+ * and ignored. Their types are still checked, so that a caller learns of a
+ * mistake at once.
  */
 import {z} from 'zod';
 import type {Body} from '../../types/services.js';
 import {badRequest} from '../faults.js';
 import type {ParsedCompletion} from './completion_parser.js';
 
-/** Answer length of a request that names none, as is customary. */
+/** `max_tokens` of a request without it, as in the common API. */
 export const DEFAULT_MAX_TOKENS = 16;
 
 const optionalNumber = z.number().nullish();
@@ -40,17 +41,18 @@
     .nullish(),
 });
 
-/** What a completion's body asks for. */
+/** The validated fields of a completion body. */
 export interface CompletionFields {
   /** Undefined for the default model. */
   readonly model: string | undefined;
+  /** Largest number of tokens to generate. */
   readonly maxTokens: number;
   readonly stream: boolean;
   readonly prompt: Body;
   readonly options: BodyOptions;
 }
 
-/** Fields under `onyxloft`; headers of the same meaning go before them. */
+/** Fields under `onyxloft`. Headers of the same meaning take precedence. */
 export interface BodyOptions {
   readonly priority: string | undefined;
   readonly timeLimitMs: number | undefined;
@@ -63,17 +65,17 @@
   repeatable: undefined,
 };
 
-/** Checks a parsed body. Throws an `OnyxError` that names each bad field. */
+/** Validates a parsed body. Throws an `OnyxError` that names invalid fields. */
 export function validateCompletion(parsed: ParsedCompletion): CompletionFields {
   if (parsed.prompt === undefined) throw badRequest('"prompt" is missing');
   if (parsed.prompt.bytes === 0) throw badRequest('"prompt" is empty');
-  const known = Object.keys(fieldsSchema.shape);
-  const given = Object.fromEntries(
-    known.map(name => [name, parsed.fields.get(name)]),
+  const names = Object.keys(fieldsSchema.shape);
+  const values = Object.fromEntries(
+    names.map(name => [name, parsed.fields.get(name)]),
   );
-  const checked = fieldsSchema.safeParse(given);
-  if (!checked.success) throw badRequest(faultsOf(checked.error));
-  const fields = checked.data;
+  const result = fieldsSchema.safeParse(values);
+  if (!result.success) throw badRequest(formatIssues(result.error));
+  const fields = result.data;
   return {
     model: fields.model ?? undefined,
     maxTokens: fields.max_tokens ?? DEFAULT_MAX_TOKENS,
@@ -87,7 +89,7 @@
   };
 }
 
-function faultsOf(error: z.ZodError): string {
+function formatIssues(error: z.ZodError): string {
   return error.issues
     .map(issue => `"${issue.path.join('.')}": ${issue.message}`)
     .join('; ');
--- a/src/entry/front/completion_parser.ts
+++ b/src/entry/front/completion_parser.ts
@@ -1,7 +1,7 @@
 /**
- * Reads a completion's JSON body as it arrives. The prompt goes straight into
- * pieces and is never held as one string; parsing goes in small steps, between
- * which the event loop can serve other requests.
+ * Parses the JSON body of a completion as it arrives. The prompt is copied into
+ * pieces and is never held as one string. Parsing is done in small steps, so
+ * that the event loop can serve other requests in between.
  */
 import {TokenParser, Tokenizer, TokenType} from '@streamparser/json';
 import type {ParsedElementInfo, ParsedTokenInfo} from '@streamparser/json';
@@ -11,44 +11,58 @@
 import {createPieceBuffer} from './piece_buffer.js';
 import type {PieceBuffer} from './piece_buffer.js';
 
-/** Bytes parsed in one step: well under a millisecond. */
+/** Bytes parsed in one step, which takes well under a millisecond. */
 export const PARSE_STEP_BYTES = 16 * 1024;
 
 /**
- * Characters of the prompt that a tokenizer may hold. At each part the ones it
- * holds are copied, and each new tokenizer has decoders to set up.
+ * Number of characters of the prompt that a tokenizer may buffer. Beyond it the
+ * tokenizer is replaced. A large buffer is expensive because it is copied at
+ * each partial value; a small one because each new tokenizer has to set up its
+ * decoders.
  */
-const KEEP_CHARACTERS = 64 * 1024;
+const MAX_TOKENIZER_CHARACTERS = 64 * 1024;
+/** Deepest nesting of a body. A deeper one is refused. */
 const MAX_DEPTH = 16;
+/** Number of values in a body. A body with more is refused. */
 const MAX_VALUES = 10_000;
+/** Longest field name, in characters. A body with a longer one is refused. */
 const MAX_KEY_LENGTH = 1024;
+/**
+ * Longest number, in bytes. A body with a longer one is refused. The number is
+ * measured in whole steps, so up to one step more is accepted.
+ */
 const MAX_NUMBER_BYTES = 1024;
 /** Length of an escape such as `\ud83d`. */
 const ESCAPE_BYTES = 6;
+/** Matches a tail with the escape of the first half of a surrogate pair. */
 const HIGH_SURROGATE_ESCAPE = /\\u[dD][89abAB]..$/s;
 const QUOTE = Uint8Array.of(0x22);
 
-/** A body's top-level fields, the prompt apart. */
+/** The top-level fields of a body. */
 export interface ParsedCompletion {
+  /** All fields except the prompt. */
   readonly fields: ReadonlyMap<string, unknown>;
-  /** Undefined when the body has none. */
+  /** Undefined when the body has no prompt. */
   readonly prompt: Body | undefined;
 }
 
 export interface CompletionParser {
   /**
    * Parses the next bytes, at most `PARSE_STEP_BYTES` of them.
-   * Throws an `OnyxError` on a fault in them.
+   * Throws an `OnyxError` if they are invalid.
    */
   write(step: Uint8Array): void;
-  /** The whole body has been written. Throws an `OnyxError` if it is cut. */
+  /**
+   * Ends the body and returns the result. Throws an `OnyxError` if the body is
+   * incomplete.
+   */
   end(): ParsedCompletion;
 }
 
-/** Parses a small body in one step. Throws an `OnyxError` on a fault. */
+/** Parses a small body in one step. Throws an `OnyxError` if it is invalid. */
 export function parseSmallCompletion(bytes: Uint8Array): ParsedCompletion {
   const value = parseJson(bytes);
-  checkObject(value);
+  assertObject(value);
   const {prompt, ...others} = value as Record<string, unknown>;
   const fields = new Map(Object.entries(others));
   if (prompt === undefined) return {fields, prompt: undefined};
@@ -57,7 +71,7 @@
   return {fields, prompt: buffer.toBody()};
 }
 
-function checkObject(value: unknown): void {
+function assertObject(value: unknown): void {
   if (typeof value !== 'object' || value === null || Array.isArray(value)) {
     throw badRequest('the body must be a JSON object');
   }
@@ -67,61 +81,65 @@
   try {
     return JSON.parse(new TextDecoder('utf-8', {fatal: true}).decode(bytes));
   } catch (err) {
-    throw badRequest(`the body is not JSON: ${brief(err)}`);
+    throw badRequest(`the body is not JSON: ${messageOf(err)}`);
   }
 }
 
 function promptText(prompt: unknown): string {
-  const only =
+  const text =
     Array.isArray(prompt) && prompt.length === 1
       ? (prompt[0] as unknown)
       : prompt;
-  if (typeof only !== 'string') throw promptFault();
-  return only;
+  if (typeof text !== 'string') throw invalidPrompt();
+  return text;
 }
 
-/** The parser's own errors as faults of the body. */
-function guarded(run: () => void): void {
+/** Runs the parser and turns its errors into `bad-request` errors. */
+function withParserErrors(run: () => void): void {
   try {
     run();
   } catch (err) {
     if (err instanceof OnyxError) throw err;
-    throw badRequest(`the body is not JSON: ${brief(err)}`);
+    throw badRequest(`the body is not JSON: ${messageOf(err)}`);
   }
 }
 
-function brief(err: unknown): string {
+function messageOf(err: unknown): string {
   return err instanceof Error ? err.message : String(err);
 }
 
-function promptFault() {
+function invalidPrompt() {
   return badRequest('"prompt" must be a string, or an array of one string');
 }
 
-/** Starts to parse a large body. Tests give a small `keepCharacters`. */
+/**
+ * Creates a parser for one large body. Tests pass a small
+ * `maxTokenizerCharacters` to have the tokenizer replaced often.
+ */
 export function createCompletionParser(
-  keepCharacters = KEEP_CHARACTERS,
+  maxTokenizerCharacters = MAX_TOKENIZER_CHARACTERS,
 ): CompletionParser {
   const fields = new Map<string, unknown>();
   const parser = new TokenParser({emitPartialValues: true});
   let prompt: PieceBuffer | undefined;
   let promptEnded = false;
-  let handed = 0;
-  let midPrompt = false;
-  let values = 0;
+  let copiedCharacters = 0;
+  let endsInPrompt = false;
+  let valueCount = 0;
   let stepBytes = 0;
   let numberBytes = 0;
 
-  const take = (text: unknown, partial: boolean) => {
+  const appendPrompt = (text: unknown, partial: boolean) => {
     if (typeof text !== 'string') {
-      // The tokenizer swallows what is thrown at a part of a number.
+      // The tokenizer swallows an error that is thrown for a partial number.
+      // The error is thrown when the number is complete.
       if (partial) return;
-      throw promptFault();
+      throw invalidPrompt();
     }
     prompt ??= createPieceBuffer();
-    prompt.appendText(text.slice(handed));
-    handed = partial ? text.length : 0;
-    midPrompt = partial;
+    prompt.appendText(text.slice(copiedCharacters));
+    copiedCharacters = partial ? text.length : 0;
+    endsInPrompt = partial;
     promptEnded = !partial;
   };
 
@@ -131,35 +149,36 @@
       return;
     }
     if (value === undefined) {
-      // The key alone; as with JSON.parse, the last of two prompts counts.
+      // The parser reports a key before its value. Of two prompts the last one
+      // counts, as with JSON.parse, so the first one is dropped here.
       prompt = undefined;
       promptEnded = false;
     } else if (!Array.isArray(value)) {
-      take(value, partial);
+      appendPrompt(value, partial);
     } else if (value.length !== 1) {
-      throw promptFault();
+      throw invalidPrompt();
     }
   };
 
   const onValue = (info: ParsedElementInfo) => {
     const {key, value, stack} = info;
     const partial = info.partial === true;
-    // Nesting, count and length of keys are bounded: a body made to be costly
-    // would otherwise stop every other request here while it is taken apart.
+    // A body can be crafted to be expensive to parse. Without these limits it
+    // would block every other request of the process meanwhile.
     if (stack.length > MAX_DEPTH) throw badRequest('the body nests too deep');
-    if (!partial && ++values > MAX_VALUES) {
+    if (!partial && ++valueCount > MAX_VALUES) {
       throw badRequest('the body holds too many values');
     }
     if (typeof key === 'string' && key.length > MAX_KEY_LENGTH) {
       throw badRequest('the body has a name that is too long');
     }
     if (stack.length === 0) {
-      if (!partial) checkObject(value);
+      if (!partial) assertObject(value);
     } else if (stack.length === 1) {
       onField(key, value, partial);
     } else if (stack[1]?.key === 'prompt' && value !== undefined) {
-      if (stack.length > 2 || key !== 0) throw promptFault();
-      take(value, partial);
+      if (stack.length > 2 || key !== 0) throw invalidPrompt();
+      appendPrompt(value, partial);
     }
   };
 
@@ -171,26 +190,27 @@
   };
 
   const createTokenizer = () => {
-    const made = new Tokenizer({emitPartialTokens: true});
-    made.onToken = onToken;
-    return made;
+    const newTokenizer = new Tokenizer({emitPartialTokens: true});
+    newTokenizer.onToken = onToken;
+    return newTokenizer;
   };
 
   parser.onValue = onValue;
   let tokenizer = createTokenizer();
 
   /**
-   * The tokenizer keeps a string from its first character to its last. Within
-   * the prompt a new tokenizer that has just seen an opening quote stands in
-   * the same state without the characters handed over already. Half a pair
-   * given as an escape is kept inside the tokenizer, so then it stays.
+   * Replaces a tokenizer that has buffered much of the prompt. A tokenizer
+   * buffers a string until its last character. Inside the prompt, a new
+   * tokenizer that has read an opening quote is in the same state, but without
+   * the characters that are copied already. After the escaped first half of a
+   * surrogate pair the tokenizer is kept, because it stores that half.
    */
-  const forgetHanded = (step: Uint8Array) => {
-    if (!midPrompt || handed < keepCharacters) return;
+  const replaceTokenizer = (step: Uint8Array) => {
+    if (!endsInPrompt || copiedCharacters < maxTokenizerCharacters) return;
     if (step.length < ESCAPE_BYTES) return;
     const tail = String.fromCharCode(...step.subarray(-ESCAPE_BYTES));
     if (HIGH_SURROGATE_ESCAPE.test(tail)) return;
-    handed = 0;
+    copiedCharacters = 0;
     tokenizer = createTokenizer();
     tokenizer.write(QUOTE);
   };
@@ -198,19 +218,19 @@
   return {
     write: step => {
       stepBytes = step.length;
-      midPrompt = false;
-      guarded(() => tokenizer.write(step));
-      // The tokenizer reads a number anew at each step, so a number of millions
-      // of digits would cost its length times the steps.
+      endsInPrompt = false;
+      withParserErrors(() => tokenizer.write(step));
+      // The tokenizer reads a partial number again at each step, so the cost
+      // of a number with millions of digits is quadratic in its length.
       if (numberBytes > MAX_NUMBER_BYTES + PARSE_STEP_BYTES) {
         throw badRequest('the body has a number that is too long');
       }
-      forgetHanded(step);
+      replaceTokenizer(step);
     },
     end: () => {
-      guarded(() => tokenizer.end());
+      withParserErrors(() => tokenizer.end());
       if (!parser.isEnded) throw badRequest('the body is not whole JSON');
-      if (prompt !== undefined && !promptEnded) throw promptFault();
+      if (prompt !== undefined && !promptEnded) throw invalidPrompt();
       return {fields, prompt: prompt?.toBody()};
     },
   };
--- a/src/entry/front/http_body.ts
+++ b/src/entry/front/http_body.ts
@@ -1,7 +1,7 @@
 /**
- * Reads request bodies in pieces with back-pressure. A body of several
- * megabytes is never taken in one step, and all bodies of the process share
- * one turn at a time, so that short requests are served in between.
+ * Reads request bodies piece by piece with back-pressure. A body of several
+ * megabytes is never processed in one step. A reader parses only one body in
+ * each turn of the event loop, so that short requests are served in between.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Body} from '../../types/services.js';
@@ -16,59 +16,76 @@
 import {badRequest} from '../faults.js';
 import {createPieceBuffer} from './piece_buffer.js';
 
-/** Bodies up to this size are parsed in one step, in less than 1 ms. */
+/**
+ * Largest body that is parsed in one step, in bytes. That takes less than 1 ms.
+ * A larger body is parsed in several steps.
+ */
 export const SMALL_BODY_BYTES = 64 * 1024;
 /**
- * Parsing done in one turn of the event loop. A step is begun while some of it
- * is left, and a piece from the network has some four steps.
+ * Time for parsing in one turn of the event loop. The last step is started
+ * within this time and may exceed it. A piece from the network has about four
+ * steps.
  */
 const TURN_BUDGET_MS = 1;
 
 export interface BodyLimits {
+  /** Largest body, in bytes. A larger one is refused. */
   readonly maxBodyBytes: number;
-  /** For the whole body, from its first byte to its last. */
+  /**
+   * Time limit for reading the whole body. The body is refused when it has not
+   * arrived by then.
+   */
   readonly bodyTimeoutMs: number;
 }
 
 export interface BodyReader {
-  /** Rejects with an `OnyxError`: too large, too slow, cut, or not JSON. */
+  /**
+   * Reads and parses the body of a completion. Rejects with an `OnyxError` when
+   * it is too large, too slow, incomplete, or not JSON.
+   */
   readCompletion(
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<ParsedCompletion>;
-  /** The body as it is. Rejects with an `OnyxError`. */
+  /**
+   * Reads the body without parsing it. Rejects with an `OnyxError` when it is
+   * too large, too slow, or incomplete.
+   */
   readRaw(req: IncomingMessage, res: ServerResponse): Promise<Body>;
 }
 
-/** Makes the one reader of a process. */
+/**
+ * Creates a reader. The bodies of one reader take turns, so a service uses one
+ * reader for all its requests.
+ */
 export function createBodyReader(
   limits: BodyLimits,
   clock: Clock,
   yieldLoop: YieldLoop,
 ): BodyReader {
-  const nextTurn = createTurns(yieldLoop);
+  const nextTurn = createTurnQueue(yieldLoop);
 
-  const completion = async (req: IncomingMessage, res: ServerResponse) => {
+  const readCompletion = async (req: IncomingMessage, res: ServerResponse) => {
     const length = checkLength(req, limits);
     if (length !== undefined && length <= SMALL_BODY_BYTES) {
-      const body = await raw(req, res);
+      const body = await readRaw(req, res);
       return parseSmallCompletion(Buffer.concat(body.pieces));
     }
     const parser = createCompletionParser();
     await readPieces(req, res, limits, clock, async piece => {
       let turnEndsAt = -Infinity;
-      for (let from = 0; from < piece.length; from += PARSE_STEP_BYTES) {
+      for (let offset = 0; offset < piece.length; offset += PARSE_STEP_BYTES) {
         if (clock.now() >= turnEndsAt) {
           await nextTurn();
           turnEndsAt = clock.now() + TURN_BUDGET_MS;
         }
-        parser.write(piece.subarray(from, from + PARSE_STEP_BYTES));
+        parser.write(piece.subarray(offset, offset + PARSE_STEP_BYTES));
       }
     });
     return parser.end();
   };
 
-  const raw = async (req: IncomingMessage, res: ServerResponse) => {
+  const readRaw = async (req: IncomingMessage, res: ServerResponse) => {
     checkLength(req, limits);
     const buffer = createPieceBuffer();
     await readPieces(req, res, limits, clock, piece => {
@@ -78,10 +95,13 @@
     return buffer.toBody();
   };
 
-  return {readCompletion: completion, readRaw: raw};
+  return {readCompletion, readRaw};
 }
 
-/** The declared length of a body; undefined when it comes in chunks. */
+/**
+ * Returns the `Content-Length` in bytes. Undefined without the header, as with
+ * chunked transfer encoding.
+ */
 export function declaredLength(req: IncomingMessage): number | undefined {
   const header = req.headers['content-length'];
   return header === undefined ? undefined : Number(header);
@@ -107,11 +127,11 @@
 }
 
 /**
- * Hands out turns of the event loop one after another. If each large body took
- * its own, ten of them would take ten slices in every turn of the loop, and a
- * short request would wait for all ten.
+ * Creates a queue for turns of the event loop. Each turn goes to one body. If
+ * ten large bodies each parsed in every turn, a short request would wait for
+ * all ten.
  */
-function createTurns(yieldLoop: YieldLoop): YieldLoop {
+function createTurnQueue(yieldLoop: YieldLoop): YieldLoop {
   let last: Promise<void> = Promise.resolve();
   return () => {
     last = last.then(yieldLoop);
@@ -119,18 +139,21 @@
   };
 }
 
-/** Calls `take` with each piece; reads no further until it has resolved. */
+/**
+ * Calls `processPiece` with each piece of the body. The request is paused until
+ * that has resolved.
+ */
 function readPieces(
   req: IncomingMessage,
   res: ServerResponse,
   limits: BodyLimits,
   clock: Clock,
-  take: (piece: Uint8Array) => Promise<void>,
+  processPiece: (piece: Uint8Array) => Promise<void>,
 ): Promise<void> {
   return new Promise((resolve, reject) => {
     let bytes = 0;
     let settled = false;
-    let taking: Promise<void> = Promise.resolve();
+    let processing: Promise<void> = Promise.resolve();
 
     const settle = (error?: unknown) => {
       if (settled) return;
@@ -150,23 +173,23 @@
         return;
       }
       req.pause();
-      taking = taking.then(() => take(piece));
-      taking.then(() => {
+      processing = processing.then(() => processPiece(piece));
+      processing.then(() => {
         if (!settled) req.resume();
       }, settle);
     };
-    const onEnd = () => void taking.then(() => settle(), settle);
+    const onEnd = () => void processing.then(() => settle(), settle);
     const onClose = () => {
-      if (!req.complete) settle(cut());
+      if (!req.complete) settle(callerLeft());
     };
     const cancelTimer = clock.after(limits.bodyTimeoutMs, () =>
-      // A sender that trickles bytes holds a place and memory for as long as
-      // it likes; the limit is on the whole, so a byte now and then won't do.
+      // A slow sender occupies a slot and memory. The limit is on the whole
+      // body: an idle timeout could be evaded by a byte now and then.
       settle(tooSlow(limits)),
     );
 
     if (req.destroyed) {
-      settle(cut());
+      settle(callerLeft());
       return;
     }
     req.on('data', onData);
@@ -180,7 +203,7 @@
   return req.headers.expect?.toLowerCase() === '100-continue';
 }
 
-function cut() {
+function callerLeft() {
   return badRequest('the caller left amid its body', 'read', 'cancelled');
 }
 
--- a/src/entry/front/http_errors.ts
+++ b/src/entry/front/http_errors.ts
@@ -1,12 +1,18 @@
-/** The one JSON form of errors towards callers and operators. */
+/**
+ * Sends JSON responses and errors. All errors to callers and operators have the
+ * same JSON form and the HTTP status that belongs to their code.
+ */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {ErrorCode, OnyxError} from '../../types/errors.js';
 import type {RequestId} from '../../types/ids.js';
 import type {Clock} from '../../types/runtime.js';
 
 const MS_PER_SEC = 1000;
-/** How long the rest of a refused body is read and thrown away. */
-const LINGER_MS = 1_000;
+/**
+ * How long the rest of a refused body is read and discarded. After that the
+ * connection is closed.
+ */
+const DISCARD_TIME_MS = 1_000;
 
 const STATUS_BY_CODE: Readonly<Record<ErrorCode, number>> = {
   'bad-request': 400,
@@ -36,20 +42,23 @@
   internal: 500,
 };
 
-/** What an error looks like to a caller. */
+/** The JSON form of an error. */
 export interface ErrorBody {
   readonly error: {
     readonly code: ErrorCode;
     readonly step: string;
-    /** Address of the upstream's side; empty when none was asked. */
+    /** Address of the upstream's side; empty when none was involved. */
     readonly upstream: string;
     readonly message: string;
     readonly request_id: RequestId;
+    /** Whether the request ran on an upstream. */
     readonly ran: 'no' | 'yes' | 'unknown';
+    /** Time from now after which to retry, in ms; null when not known. */
     readonly retry_after_ms: number | null;
   };
 }
 
+/** Converts an error to its JSON form. `id` is used if the error has no id. */
 export function errorBody(error: OnyxError, id: RequestId): ErrorBody {
   return {
     error: {
@@ -64,13 +73,16 @@
   };
 }
 
-/** A sender that is too slow is its own fault: 408 rather than 504. */
+/**
+ * Returns the HTTP status of an error. A body that arrives too slowly is the
+ * caller's fault, so that timeout gets 408 instead of 504.
+ */
 export function statusOf(error: OnyxError): number {
   if (error.code === 'timeout' && error.step === 'read') return 408;
   return STATUS_BY_CODE[error.code];
 }
 
-/** Sends a JSON answer as a whole. */
+/** Sends a complete JSON response. */
 export function sendJson(
   res: ServerResponse,
   status: number,
@@ -84,7 +96,7 @@
   res.end(text);
 }
 
-/** Sends an error as the answer; only while no answer has begun. */
+/** Sends an error as the response. The response must not have begun. */
 export function sendError(
   res: ServerResponse,
   error: OnyxError,
@@ -101,10 +113,10 @@
 }
 
 /**
- * A refused body may still be on its way. Closing at once would reset the
- * connection, and the reset can overtake the error; reading on for good would
- * let a refused caller hold the connection. So the rest is read and dropped
- * for a short while, which is enough for the error to be read.
+ * Reads and discards the rest of a refused body for a short time, then closes
+ * the connection. Closing it at once would reset the connection, and the caller
+ * could receive the reset before the error response. Reading without a limit
+ * would let a refused caller keep the connection busy.
  */
 export function discardRestOfBody(
   req: IncomingMessage,
@@ -114,7 +126,7 @@
   if (req.complete) return;
   res.on('finish', () => {
     req.resume();
-    const cancel = clock.after(LINGER_MS, () => {
+    const cancel = clock.after(DISCARD_TIME_MS, () => {
       if (!req.complete) req.socket.destroy();
     });
     req.once('close', cancel);
--- a/src/entry/front/http_operators.ts
+++ b/src/entry/front/http_operators.ts
@@ -1,7 +1,7 @@
 /**
- * Service `operators`: the HTTP front for operators and for the platform's
- * probes and scrapers. It serves an entry and a side alike: what there is to
- * ask is in the handlers passed in.
+ * Service `operators`: the HTTP server for operators and for the platform's
+ * health probes and metrics scrapers. Entries and sides both run it. The
+ * handlers passed in determine what it offers.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {z} from 'zod';
@@ -27,19 +27,19 @@
 import type {OperatorHandlers} from '../../types/operators.js';
 
 export interface OperatorsOptions {
-  /** Port 0 takes any free one; ask `address` for it. */
+  /** Port 0 means any free port; the message `address` gets the address. */
   readonly listen: Address;
-  /** Salted hash of the token; without it no operator is let in. */
+  /** Salted hash of the token. Without it every operator is refused. */
   readonly operatorTokenHash: string | undefined;
   readonly verifyKey: VerifyKey;
   readonly yieldLoop: YieldLoop;
-  /** Makes the handlers once, at the start of the service. */
+  /** Creates the handlers; called once when the service starts. */
   readonly handlers: (ctx: ServiceContext<'operators'>) => OperatorHandlers;
-  /** Time for a patch to arrive, in milliseconds. @default 30000 */
+  /** Time limit for a patch to arrive, in milliseconds. @default 30000 */
   readonly bodyTimeoutMs?: number;
 }
 
-/** To `operators`. */
+/** Messages to the `operators` service: asks for the listening address. */
 export type OperatorsMessage = {
   readonly kind: 'address';
   readonly reply: (address: Address) => void;
@@ -51,11 +51,14 @@
   }
 }
 
+/** Largest body of a patch, in bytes. A larger one is answered 413. */
 const MAX_PATCH_BYTES = 4 * 1024 * 1024;
 const DEFAULT_BODY_TIMEOUT_MS = 30_000;
-const DEFAULT_HISTORY = 50;
-const MAX_HISTORY = 1_000;
-const METRICS_TYPE = 'text/plain; version=0.0.4; charset=utf-8';
+/** Number of history lines without the query parameter `limit`. */
+const DEFAULT_HISTORY_LINES = 50;
+/** Largest number of history lines. A higher `limit` is lowered to it. */
+const MAX_HISTORY_LINES = 1_000;
+const METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4; charset=utf-8';
 
 const patchSchema = z.strictObject({
   patchId: z.string().min(1).max(128),
@@ -66,10 +69,10 @@
   operator: z.string().max(256).default(''),
 });
 
-interface Operators {
+interface OperatorsDeps {
   readonly ctx: ServiceContext<'operators'>;
   readonly handlers: OperatorHandlers;
-  readonly reader: BodyReader;
+  readonly bodyReader: BodyReader;
 }
 
 interface Exchange {
@@ -79,9 +82,9 @@
   readonly query: URLSearchParams;
 }
 
-type Route = (operators: Operators, exchange: Exchange) => Promise<void>;
+type Route = (deps: OperatorsDeps, exchange: Exchange) => Promise<void>;
 
-/** Routes without a token: they tell nothing of callers or prompts. */
+/** Routes without a token. They reveal nothing about callers or prompts. */
 const PUBLIC_ROUTES: Readonly<Record<string, Route>> = {
   'GET /healthz': async (_, {res}) => sendJson(res, 200, {healthy: true}),
   'GET /readyz': async ({handlers}, {res}) => {
@@ -89,38 +92,37 @@
     sendJson(res, ready ? 200 : 503, {ready});
   },
   'GET /metrics': async ({ctx}, {res}) => {
-    res.writeHead(200, {'Content-Type': METRICS_TYPE});
+    res.writeHead(200, {'Content-Type': METRICS_CONTENT_TYPE});
     res.end(ctx.metrics.render());
   },
 };
 
-/** Routes with a token; `*` stands for one part of the path. */
+/** Routes that need the token. `*` matches one segment of the path. */
 const AUTHENTICATED_ROUTES: Readonly<Record<string, Route>> = {
-  'GET /operator/v1/config': (operators, exchange) =>
-    showConfig(operators, exchange, 0),
-  'GET /operator/v1/config/*': (operators, exchange) =>
-    showConfig(operators, exchange, wholeNumber(lastPart(exchange))),
+  'GET /operator/v1/config': (deps, exchange) => showConfig(deps, exchange, 0),
+  'GET /operator/v1/config/*': (deps, exchange) =>
+    showConfig(deps, exchange, parseWholeNumber(lastPart(exchange))),
   'GET /operator/v1/config/history': showHistory,
   'POST /operator/v1/config/patches': applyPatch,
   'GET /operator/v1/status': async ({handlers}, {res}) =>
     sendJson(res, 200, await handlers.status()),
   'GET /operator/v1/hosts': async ({handlers}, {res}) =>
-    sendJson(res, 200, await offered(handlers.hosts)()),
+    sendJson(res, 200, await requireHandler(handlers.hosts)()),
   'GET /operator/v1/requests/*/explain': explain,
   'POST /operator/v1/drain': async ({handlers}, {res}) => {
-    offered(handlers.drain)();
+    requireHandler(handlers.drain)();
     sendJson(res, 202, {draining: true});
   },
 };
 
-/** Makes the service. */
+/** Creates the service. */
 export function createOperatorsService(
   options: OperatorsOptions,
 ): ServiceSpec<'operators'> {
-  return {name: 'operators', start: ctx => start(ctx, options)};
+  return {name: 'operators', start: ctx => startOperatorsService(ctx, options)};
 }
 
-async function start(
+async function startOperatorsService(
   ctx: ServiceContext<'operators'>,
   options: OperatorsOptions,
 ): Promise<void> {
@@ -129,27 +131,27 @@
     maxBodyBytes: MAX_PATCH_BYTES,
     bodyTimeoutMs: options.bodyTimeoutMs ?? DEFAULT_BODY_TIMEOUT_MS,
   };
-  const operators: Operators = {
+  const deps: OperatorsDeps = {
     ctx,
     handlers: options.handlers(ctx),
-    reader: createBodyReader(limits, ctx.clock, options.yieldLoop),
+    bodyReader: createBodyReader(limits, ctx.clock, options.yieldLoop),
   };
-  const handle = async (exchange: Exchange) => {
+  const handleRequest = async (exchange: Exchange) => {
     const {req, path} = exchange;
-    const open = PUBLIC_ROUTES[`${req.method} ${path}`];
-    if (open !== undefined) {
-      await open(operators, exchange);
+    const publicRoute = PUBLIC_ROUTES[`${req.method} ${path}`];
+    if (publicRoute !== undefined) {
+      await publicRoute(deps, exchange);
       return;
     }
     await auth.authenticate(req.headers.authorization);
-    await tokenRoute(exchange)(operators, exchange);
+    await findAuthenticatedRoute(exchange)(deps, exchange);
   };
   const server = await openHttpServer({
     listen: options.listen,
     handler: (req, res) => {
       const [path = '/', search = ''] = (req.url ?? '/').split('?', 2);
       const exchange = {req, res, path, query: new URLSearchParams(search)};
-      handle(exchange).catch(thrown => refuse(ctx, exchange, thrown));
+      handleRequest(exchange).catch(thrown => refuse(ctx, exchange, thrown));
     },
   });
   ctx.own(() => server.close());
@@ -160,15 +162,15 @@
   });
 }
 
-function tokenRoute({req, path}: Exchange): Route {
-  const exact = AUTHENTICATED_ROUTES[`${req.method} ${path}`];
-  if (exact !== undefined) return exact;
+function findAuthenticatedRoute({req, path}: Exchange): Route {
+  const exactRoute = AUTHENTICATED_ROUTES[`${req.method} ${path}`];
+  if (exactRoute !== undefined) return exactRoute;
   const parts = `${req.method} ${path}`.split('/');
   const match = Object.entries(AUTHENTICATED_ROUTES).find(([pattern]) => {
-    const wanted = pattern.split('/');
+    const patternParts = pattern.split('/');
     return (
-      wanted.length === parts.length &&
-      wanted.every((part, at) => part === '*' || part === parts[at])
+      patternParts.length === parts.length &&
+      patternParts.every((part, at) => part === '*' || part === parts[at])
     );
   });
   if (match === undefined) throw noRoute(path);
@@ -198,11 +200,11 @@
 }
 
 async function showConfig(
-  {handlers}: Operators,
+  {handlers}: OperatorsDeps,
   {res}: Exchange,
   number: number,
 ): Promise<void> {
-  const shown = await offered(handlers.config).show(number);
+  const shown = await requireHandler(handlers.config).show(number);
   shown.caseOf({
     Left: error => sendError(res, error, ''),
     Right: config => sendJson(res, 200, config),
@@ -210,12 +212,14 @@
 }
 
 async function showHistory(
-  {handlers}: Operators,
+  {handlers}: OperatorsDeps,
   {res, query}: Exchange,
 ): Promise<void> {
-  const limit = wholeNumber(query.get('limit') ?? String(DEFAULT_HISTORY));
-  const lines = await offered(handlers.config).history(
-    Math.min(MAX_HISTORY, limit),
+  const limit = parseWholeNumber(
+    query.get('limit') ?? String(DEFAULT_HISTORY_LINES),
+  );
+  const lines = await requireHandler(handlers.config).history(
+    Math.min(MAX_HISTORY_LINES, limit),
   );
   lines.caseOf({
     Left: error => sendError(res, error, ''),
@@ -224,12 +228,12 @@
 }
 
 async function applyPatch(
-  {handlers, reader}: Operators,
+  {handlers, bodyReader: reader}: OperatorsDeps,
   {req, res}: Exchange,
 ): Promise<void> {
-  const config = offered(handlers.config);
+  const config = requireHandler(handlers.config);
   const body = await reader.readRaw(req, res);
-  const patch = checkPatch(Buffer.concat(body.pieces).toString('utf8'));
+  const patch = parsePatch(Buffer.concat(body.pieces).toString('utf8'));
   const outcome = await config.apply(patch);
   outcome.caseOf({
     Left: ({error, head, faults}) =>
@@ -239,11 +243,11 @@
 }
 
 async function explain(
-  {handlers}: Operators,
+  {handlers}: OperatorsDeps,
   exchange: Exchange,
 ): Promise<void> {
   const id = exchange.path.split('/').at(-2) ?? '';
-  const decisions = await offered(handlers.explain)(id);
+  const decisions = await requireHandler(handlers.explain)(id);
   if (decisions.length === 0) {
     throw badRequest(
       `this entry knows no routing decision of "${id}"; ask the entry that admitted it, soon after`,
@@ -254,23 +258,23 @@
   sendJson(exchange.res, 200, decisions);
 }
 
-function checkPatch(text: string): ConfigPatch {
+function parsePatch(text: string): ConfigPatch {
   let value: unknown;
   try {
     value = JSON.parse(text);
   } catch (err) {
     throw badRequest(`the body is not JSON: ${String(err)}`);
   }
-  const checked = patchSchema.safeParse(value);
-  if (checked.success) return checked.data;
+  const result = patchSchema.safeParse(value);
+  if (result.success) return result.data;
   throw badRequest(
-    checked.error.issues
+    result.error.issues
       .map(issue => `"${issue.path.join('.')}": ${issue.message}`)
       .join('; '),
   );
 }
 
-function offered<T>(handler: T | undefined): T {
+function requireHandler<T>(handler: T | undefined): T {
   if (handler !== undefined) return handler;
   throw badRequest('this process does not offer that', 'validate', 'not-found');
 }
@@ -283,7 +287,7 @@
   return path.split('/').at(-1) ?? '';
 }
 
-function wholeNumber(text: string): number {
+function parseWholeNumber(text: string): number {
   if (/^\d{1,12}$/.test(text)) return Number(text);
   throw badRequest(`"${text}" is not a whole number`);
 }
--- a/src/entry/front/http_server.ts
+++ b/src/entry/front/http_server.ts
@@ -1,6 +1,7 @@
 /**
- * An HTTP server on one address, with bounds against floods of headers and
- * slow senders. What a request means is up to the handler passed in.
+ * Opens an HTTP server on one address. It limits the size of headers, the time
+ * they may take, and the number of connections. The handler passed in answers
+ * the requests.
  */
 import {createServer} from 'node:http';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
@@ -8,40 +9,55 @@
 import type {Duplex} from 'node:stream';
 import type {Address} from '../../types/ids.js';
 
-/** Must not throw; it answers each request by itself. */
+/** Answers one request. It must not throw. */
 export type HttpHandler = (req: IncomingMessage, res: ServerResponse) => void;
 
 export interface HttpServerOptions {
-  /** Port 0 takes any free one. */
+  /** Port 0 means any free port. */
   readonly listen: Address;
   readonly handler: HttpHandler;
-  /** Request line and headers, in bytes. @default 16384 */
+  /**
+   * Largest request line and headers together, in bytes. Larger ones are
+   * answered 431.
+   * @default 16384
+   */
   readonly maxHeaderBytes?: number;
-  /** Time for all headers to arrive. @default 10000 */
+  /**
+   * Time limit for all headers to arrive, in milliseconds. Slower ones are
+   * answered 408.
+   * @default 10000
+   */
   readonly headersTimeoutMs?: number;
-  /** @default 10000 */
+  /**
+   * Number of open connections. Further ones are closed.
+   * @default 10000
+   */
   readonly maxConnections?: number;
 }
 
 export interface HttpServer {
+  /** Address that the server listens on, with the actual port. */
   readonly address: Address;
-  /** Takes no more connections and ends all that are open. */
+  /** Stops listening and closes all open connections. */
   close(): Promise<void>;
 }
 
 const DEFAULT_MAX_HEADER_BYTES = 16 * 1024;
 const DEFAULT_HEADERS_TIMEOUT_MS = 10_000;
 const DEFAULT_MAX_CONNECTIONS = 10_000;
-const CHECK_MS = 1_000;
+/** Longest interval at which Node checks connections for the time limit. */
+const TIMEOUT_CHECK_INTERVAL_MS = 1_000;
 
-/** Statuses of faults that Node's own parser finds. */
-const STATUS_BY_FAULT: Readonly<Record<string, readonly [number, string]>> = {
+/** Status and message by the error code of Node's HTTP parser. */
+const RESPONSE_BY_ERROR_CODE: Readonly<
+  Record<string, readonly [number, string]>
+> = {
   HPE_HEADER_OVERFLOW: [431, 'the headers are too large'],
   ERR_HTTP_REQUEST_TIMEOUT: [408, 'the headers came too slowly'],
 };
-const OTHER_FAULT = [400, 'the request is not HTTP/1.1'] as const;
+const DEFAULT_ERROR_RESPONSE = [400, 'the request is not HTTP/1.1'] as const;
 
-/** Listens; rejects when the address cannot be had. */
+/** Opens the server. Rejects when it can't listen on the address. */
 export async function openHttpServer(
   options: HttpServerOptions,
 ): Promise<HttpServer> {
@@ -49,15 +65,19 @@
   const server = createServer({
     maxHeaderSize: options.maxHeaderBytes ?? DEFAULT_MAX_HEADER_BYTES,
     headersTimeout,
-    // Bodies have a limit of their own, by the reader that takes them.
+    // No limit on the whole request: the body reader limits the body's time.
     requestTimeout: 0,
-    connectionsCheckingInterval: Math.min(CHECK_MS, headersTimeout),
+    connectionsCheckingInterval: Math.min(
+      TIMEOUT_CHECK_INTERVAL_MS,
+      headersTimeout,
+    ),
   });
   server.maxConnections = options.maxConnections ?? DEFAULT_MAX_CONNECTIONS;
   server.on('request', options.handler);
-  // Without this, Node asks for the body before the handler can refuse it.
+  // Without this listener, Node answers `Expect: 100-continue` itself and so
+  // requests the body before the handler can refuse it.
   server.on('checkContinue', options.handler);
-  server.on('clientError', refuse);
+  server.on('clientError', sendClientError);
   await listen(server, options.listen);
   const {address, port} = server.address() as AddressInfo;
   return {address: `${address}:${port}`, close: () => close(server)};
@@ -85,14 +105,18 @@
   });
 }
 
-/** Node gives no response object here, since the request never became one. */
-function refuse(err: NodeJS.ErrnoException, socket: Duplex): void {
-  const answered = (socket as Socket).bytesWritten > 0;
-  if (!socket.writable || answered || err.code === 'ECONNRESET') {
+/**
+ * Answers a request that Node's parser rejected. The response is written to the
+ * socket, because Node creates no response object for such a request.
+ */
+function sendClientError(err: NodeJS.ErrnoException, socket: Duplex): void {
+  const responseStarted = (socket as Socket).bytesWritten > 0;
+  if (!socket.writable || responseStarted || err.code === 'ECONNRESET') {
     socket.destroy();
     return;
   }
-  const [status, message] = STATUS_BY_FAULT[err.code ?? ''] ?? OTHER_FAULT;
+  const [status, message] =
+    RESPONSE_BY_ERROR_CODE[err.code ?? ''] ?? DEFAULT_ERROR_RESPONSE;
   const body = JSON.stringify({
     error: {
       code: status === 431 ? 'too-large' : 'bad-request',
--- a/src/entry/front/operator_auth.ts
+++ b/src/entry/front/operator_auth.ts
@@ -1,4 +1,8 @@
-/** Lets in whoever bears the operators' token. */
+/**
+ * Authenticates operators by the operators' token. The fingerprint of an
+ * accepted token is cached, because verifying a token against its salted hash
+ * is slow on purpose.
+ */
 import {OnyxError} from '../../types/errors.js';
 import {
   fingerprintsEqual,
@@ -7,55 +11,62 @@
 import {bearerToken} from './authenticator.js';
 import type {VerifyKey} from './authenticator.js';
 
-/** Verifications at once: wrong tokens must not take the processor. */
-const MAX_PENDING = 4;
-const BUSY_RETRY_MS = 1_000;
+/**
+ * Number of concurrent verifications. Further ones get `overloaded`, so that a
+ * flood of wrong tokens does not use up the CPU.
+ */
+const MAX_PENDING_VERIFICATIONS = 4;
+/** `Retry-After` of a request that found too many verifications pending. */
+const BUSY_RETRY_AFTER_MS = 1_000;
 
 export interface OperatorAuth {
-  /** Rejects with an `OnyxError` unless the header bears the token. */
+  /** Rejects with an `OnyxError` unless the header has the valid token. */
   authenticate(header: string | undefined): Promise<void>;
 }
 
-/** Without a hash nobody is let in. */
+/** Creates the authentication. Without a hash it refuses everyone. */
 export function createOperatorAuth(
   tokenHash: string | undefined,
   verifyKey: VerifyKey,
 ): OperatorAuth {
-  let accepted: Uint8Array | undefined;
-  let pending = 0;
+  let acceptedFingerprint: Uint8Array | undefined;
+  let pendingVerifications = 0;
 
   const verify = async (token: string, hash: string) => {
-    if (pending >= MAX_PENDING) throw busy();
-    pending += 1;
+    if (pendingVerifications >= MAX_PENDING_VERIFICATIONS) throw busy();
+    pendingVerifications += 1;
     try {
       return await verifyKey(token, hash);
     } finally {
-      pending -= 1;
+      pendingVerifications -= 1;
     }
   };
 
-  const check = async (header: string | undefined) => {
+  const authenticate = async (header: string | undefined) => {
     if (tokenHash === undefined) {
-      throw denied('forbidden', 'this process has no operator token set');
+      throw accessDenied('forbidden', 'this process has no operator token set');
     }
     const token = bearerToken(header);
     if (token === undefined) {
-      throw denied('unauthorised', 'no operator token was given');
+      throw accessDenied('unauthorised', 'no operator token was given');
     }
     const fingerprint = keyFingerprint(token);
-    if (accepted !== undefined && fingerprintsEqual(accepted, fingerprint)) {
+    if (
+      acceptedFingerprint !== undefined &&
+      fingerprintsEqual(acceptedFingerprint, fingerprint)
+    ) {
       return;
     }
     if (!(await verify(token, tokenHash))) {
-      throw denied('unauthorised', 'the operator token is wrong');
+      throw accessDenied('unauthorised', 'the operator token is wrong');
     }
-    accepted = fingerprint;
+    acceptedFingerprint = fingerprint;
   };
 
-  return {authenticate: check};
+  return {authenticate};
 }
 
-function denied(
+function accessDenied(
   code: 'forbidden' | 'unauthorised',
   message: string,
 ): OnyxError {
@@ -67,6 +78,6 @@
     code: 'overloaded',
     step: 'authenticate',
     message: 'too many operator tokens are being verified',
-    retryAfterMs: BUSY_RETRY_MS,
+    retryAfterMs: BUSY_RETRY_AFTER_MS,
   });
 }
--- a/src/entry/front/operator_handlers.ts
+++ b/src/entry/front/operator_handlers.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry's operators can ask: each handler asks the service that owns
- * the answer. A side passes handlers of its own for what it has.
+ * The operators' handlers of an entry. Each handler asks the service that holds
+ * the information. Sides have handlers of their own.
  */
 import {Left} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -23,79 +23,82 @@
 export interface EntryHandlersOptions {
   readonly node: NodeId;
   readonly incarnation: Incarnation;
-  /** The limits that this process runs under, shown as they are. */
+  /** The limits in the settings of this process, shown unchanged. */
   readonly limits: object;
+  /** Starts the drain of the process. */
   readonly drain: () => void;
 }
 
-/** Handlers of an entry. */
+/** Creates the handlers of an entry. */
 export function createEntryHandlers(
   ctx: ServiceContext<'operators'>,
   options: EntryHandlersOptions,
 ): OperatorHandlers {
-  let view: MembershipView = {replicas: [], allSides: [], entries: []};
+  let membership: MembershipView = {replicas: [], allSides: [], entries: []};
   let configNumber: ConfigNumber = 0;
-  followMembership(ctx, taken => {
-    view = taken;
+  followMembership(ctx, view => {
+    membership = view;
   });
-  followConfig(ctx, taken => {
-    configNumber = taken.number;
+  followConfig(ctx, config => {
+    configNumber = config.number;
     ctx.metrics.gauge('onyxloft_config_number', {}, configNumber);
   });
 
-  const callers = () =>
+  const askCallers = () =>
     ctx.ask('callers', (reply: (status: CallersStatus) => void) => ({
       kind: 'status',
       reply,
     }));
-  const placement = () =>
+  const askPlacement = () =>
     ctx.ask('placement', (reply: (status: PlacementStatus) => void) => ({
       kind: 'status',
       reply,
     }));
 
   const status = async () => {
-    const front = await orUndefined(callers());
+    const callers = await orUndefined(askCallers());
     return {
       node: options.node,
       role: 'entry',
       incarnation: options.incarnation,
-      ready: front?.ready ?? false,
+      ready: callers?.ready ?? false,
       configNumber,
       membership: {
-        replicas: countStates(view.replicas),
-        entries: countStates(view.entries),
+        replicas: countStates(membership.replicas),
+        entries: countStates(membership.entries),
       },
-      placement: (await orUndefined(placement())) ?? null,
-      openRequests: front?.openRequests ?? 0,
+      placement: (await orUndefined(askPlacement())) ?? null,
+      openRequests: callers?.openRequests ?? 0,
       limits: options.limits,
     };
   };
 
   const hosts = () => {
     const now = ctx.clock.now();
-    const replicas = view.replicas.map(({loadAt, ...replica}) => ({
+    const replicas = membership.replicas.map(({loadAt, ...replica}) => ({
       ...replica,
       loadAgeMs: now - loadAt,
     }));
     return Promise.resolve({
       replicas,
-      entries: view.entries,
-      allSides: view.allSides,
+      entries: membership.entries,
+      allSides: membership.allSides,
     });
   };
 
   return {
-    ready: async () => (await orUndefined(callers()))?.ready ?? false,
+    ready: async () => (await orUndefined(askCallers()))?.ready ?? false,
     status,
     hosts,
     explain: id => ctx.ask('requests', reply => ({kind: 'explain', id, reply})),
     drain: options.drain,
-    config: configHandlers(ctx),
+    config: createConfigHandlers(ctx),
   };
 }
 
-function configHandlers(ctx: ServiceContext<'operators'>): ConfigHandlers {
+function createConfigHandlers(
+  ctx: ServiceContext<'operators'>,
+): ConfigHandlers {
   return {
     show: number =>
       ctx
@@ -131,9 +134,12 @@
   };
 }
 
-/** A service that is not running is shown as absent, not as an error. */
-function orUndefined<T>(asked: Promise<T>): Promise<T | undefined> {
-  return asked.catch(() => undefined);
+/**
+ * Resolves to undefined when the service does not reply, for example because it
+ * is not running. The status then shows it as absent.
+ */
+function orUndefined<T>(reply: Promise<T>): Promise<T | undefined> {
+  return reply.catch(() => undefined);
 }
 
 function countStates(
--- a/src/entry/front/piece_buffer.ts
+++ b/src/entry/front/piece_buffer.ts
@@ -1,10 +1,10 @@
 /**
- * Gathers text or bytes into pieces of bounded size, so that a prompt of
- * several megabytes is never held, copied or sent as one block.
+ * Collects text or bytes in pieces of limited size. A prompt of several
+ * megabytes is therefore never held, copied or sent as one block.
  */
 import type {Body} from '../../types/services.js';
 
-/** Largest piece of a body, in bytes. */
+/** Largest piece of a body, in bytes. Further data goes into a new piece. */
 export const PIECE_BYTES = 64 * 1024;
 
 /** UTF-8 needs at most this many bytes for one UTF-16 code unit. */
@@ -13,67 +13,75 @@
 const encoder = new TextEncoder();
 
 export interface PieceBuffer {
-  /** Adds text as UTF-8. It must not end between two halves of a pair. */
-  appendText(part: string): void;
-  appendBytes(part: Uint8Array): void;
+  /** Appends text as UTF-8. It must not end inside a surrogate pair. */
+  appendText(text: string): void;
+  appendBytes(bytes: Uint8Array): void;
+  /** Returns all data so far as a body. */
   toBody(): Body;
 }
 
-/** Starts an empty buffer. */
+/** Creates an empty buffer. */
 export function createPieceBuffer(): PieceBuffer {
   const pieces: Uint8Array[] = [];
-  let open = new Uint8Array(0);
-  let used = 0;
-  let total = 0;
+  let current = new Uint8Array(0);
+  let usedBytes = 0;
+  let totalBytes = 0;
 
-  const close = () => {
-    if (used > 0) pieces.push(open.subarray(0, used));
-    open = new Uint8Array(0);
-    used = 0;
+  const finishPiece = () => {
+    if (usedBytes > 0) pieces.push(current.subarray(0, usedBytes));
+    current = new Uint8Array(0);
+    usedBytes = 0;
   };
 
-  const reserve = (wanted: number) => {
-    if (open.length - used >= Math.min(wanted, MAX_BYTES_PER_CODE_UNIT + 1)) {
+  const reserveSpace = (wantedBytes: number) => {
+    if (
+      current.length - usedBytes >=
+      Math.min(wantedBytes, MAX_BYTES_PER_CODE_UNIT + 1)
+    ) {
       return;
     }
-    close();
-    // Only a body that fits in its first piece gets one of its own size.
-    const size = pieces.length > 0 ? PIECE_BYTES : Math.max(wanted, 4);
-    open = new Uint8Array(Math.min(PIECE_BYTES, size));
+    finishPiece();
+    // The first piece is allocated as small as its text needs. Later pieces
+    // belong to a large body and are allocated at full size.
+    const size = pieces.length > 0 ? PIECE_BYTES : Math.max(wantedBytes, 4);
+    current = new Uint8Array(Math.min(PIECE_BYTES, size));
   };
 
-  const text = (part: string) => {
-    let rest = part;
+  const appendText = (text: string) => {
+    let rest = text;
     while (rest.length > 0) {
-      reserve(rest.length * MAX_BYTES_PER_CODE_UNIT);
-      const {read, written} = encoder.encodeInto(rest, open.subarray(used));
-      used += written;
-      total += written;
+      reserveSpace(rest.length * MAX_BYTES_PER_CODE_UNIT);
+      const {read, written} = encoder.encodeInto(
+        rest,
+        current.subarray(usedBytes),
+      );
+      usedBytes += written;
+      totalBytes += written;
       rest = rest.slice(read);
     }
   };
 
-  const bytes = (part: Uint8Array) => {
-    let from = 0;
-    while (from < part.length) {
-      if (used === open.length) {
-        close();
-        open = new Uint8Array(Math.min(PIECE_BYTES, part.length - from));
+  const appendBytes = (bytes: Uint8Array) => {
+    let offset = 0;
+    while (offset < bytes.length) {
+      if (usedBytes === current.length) {
+        finishPiece();
+        current = new Uint8Array(Math.min(PIECE_BYTES, bytes.length - offset));
       }
-      const count = Math.min(open.length - used, part.length - from);
-      open.set(part.subarray(from, from + count), used);
-      used += count;
-      total += count;
-      from += count;
+      const count = Math.min(current.length - usedBytes, bytes.length - offset);
+      current.set(bytes.subarray(offset, offset + count), usedBytes);
+      usedBytes += count;
+      totalBytes += count;
+      offset += count;
     }
   };
 
   return {
-    appendText: text,
-    appendBytes: bytes,
+    appendText,
+    appendBytes,
     toBody: () => {
-      close();
-      return {pieces: [...pieces], bytes: total};
+      finishPiece();
+      return {pieces: [...pieces], bytes: totalBytes};
     },
   };
 }
--- a/src/entry/front/response_writers.ts
+++ b/src/entry/front/response_writers.ts
@@ -200,7 +200,7 @@
   res: ServerResponse,
   id: RequestId,
 ): ResponseWriter {
-  const writeHead = (head: CallResHead) => {
+  const begin = (head: CallResHead) => {
     for (const {name, value} of withoutHopHeaders(head.headers)) {
       res.appendHeader(name, value);
     }
@@ -209,15 +209,14 @@
   return {
     setDispatch: () => undefined,
     writeChunk: event => {
-      if (!res.headersSent)
-        writeHead(event.callHead ?? {status: 200, headers: []});
+      if (!res.headersSent) begin(event.callHead ?? {status: 200, headers: []});
       res.write(event.data);
     },
     discardChunks: () => {
       if (res.headersSent) throw runReplaced(id);
     },
     end: () => {
-      if (!res.headersSent) writeHead({status: 200, headers: []});
+      if (!res.headersSent) begin({status: 200, headers: []});
       res.end();
     },
     fail: error => {
