--- a/src/direct/admit_request.ts
+++ b/src/direct/admit_request.ts
@@ -1,7 +1,7 @@
 /** Decides whether a request may be served, and reads its body. */
 import type {IncomingMessage} from 'node:http';
 import type {Admitted} from './exchange.js';
-import type {OwnAnswer} from './own_answers.js';
+import type {OwnAnswer} from './local_answers.js';
 import {drawService, findRoute} from './route_table.js';
 import type {CallerLimits, DirectConfig, HeaderCodec} from './types.js';
 
--- a/src/direct/crash_watch.ts
+++ b/src/direct/crash_watch.ts
@@ -5,7 +5,7 @@
 import type {Clock, Log} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
 import type {CrashReport} from './crash_reports.js';
-import type {Dial} from './dial.js';
+import type {Dial} from './port_probe.js';
 import type {Exchange} from './exchange.js';
 import {createLostRuns} from './lost_runs.js';
 import {shownDigest} from './request_digest.js';
--- a/src/direct/lost_runs.ts
+++ b/src/direct/lost_runs.ts
@@ -4,7 +4,7 @@
  * has ended refuses new connections at once.
  */
 import type {Clock} from '../types/runtime.js';
-import type {Dial} from './dial.js';
+import type {Dial} from './port_probe.js';
 import type {DirectReplica} from './types.js';
 
 /** A replica that is found ended within this time of a lost run ended under it. */
--- a/src/direct/open_place.ts
+++ b/src/direct/place_request.ts
@@ -14,8 +14,8 @@
 } from './decide/place_or_wait.js';
 import {answerTokens} from './exchange.js';
 import type {Exchange} from './exchange.js';
-import {plainPlace, takePlace} from './place.js';
-import type {Place} from './place.js';
+import {plainPlace, takePlace} from './request_placement.js';
+import type {Place} from './request_placement.js';
 import {candidatesOf, loadsOf} from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica, EngineFigures} from './types.js';
--- a/src/direct/serve_stream.ts
+++ b/src/direct/serve_stream.ts
@@ -5,8 +5,8 @@
  */
 import {DIRECT_EVENTS} from '../utils/events.js';
 import type {Exchange} from './exchange.js';
-import {openPlace} from './open_place.js';
-import type {Place} from './place.js';
+import {openPlace} from './place_request.js';
+import type {Place} from './request_placement.js';
 import {
   giveUp,
   lostDigest,
--- a/src/direct/stream_attempt.ts
+++ b/src/direct/stream_attempt.ts
@@ -6,7 +6,7 @@
 import {createEventSplitter} from './event_splitter.js';
 import type {StreamEvent} from './event_splitter.js';
 import type {Exchange} from './exchange.js';
-import type {Place, PlaceLoss} from './place.js';
+import type {Place, PlaceLoss} from './request_placement.js';
 import {dispatchRequest, judgeHead, writeHead} from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
 import {enterEvent, hasEvent} from './stream_progress.js';
--- a/test/direct/lost_runs.test.ts
+++ b/test/direct/lost_runs.test.ts
@@ -1,6 +1,6 @@
 /** Whether a replica has ended under a run that broke off or was left. */
 import {describe, expect, test} from 'vitest';
-import type {DialAnswer} from '../../src/direct/dial.js';
+import type {DialAnswer} from '../../src/direct/port_probe.js';
 import {createLostRuns} from '../../src/direct/lost_runs.js';
 import type {DirectReplica} from '../../src/direct/types.js';
 import {createVirtualClock} from '../../standins/virtual_clock.js';
--- a/test/direct/parts.test.ts
+++ b/test/direct/parts.test.ts
@@ -2,7 +2,7 @@
 import {describe, expect, test} from 'vitest';
 import {createEventSplitter} from '../../src/direct/event_splitter.js';
 import {createEvidence} from '../../src/direct/evidence.js';
-import {createFleet} from '../../src/direct/fleet.js';
+import {createFleet} from '../../src/direct/replica_table.js';
 import {callWork, createLoadBook} from '../../src/direct/load_book.js';
 import {packLoads, unpackLoads} from '../../src/direct/load_codec.js';
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
--- a/test/direct/restarts.test.ts
+++ b/test/direct/restarts.test.ts
@@ -1,6 +1,6 @@
 /** Replicas that start again under their name, as callers see it. */
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
-import {createFleet} from '../../src/direct/fleet.js';
+import {createFleet} from '../../src/direct/replica_table.js';
 import type {DirectReplica} from '../../src/direct/types.js';
 import {DIRECT_EVENTS} from '../../src/utils/events.js';
 import {announce} from '../../standins/users_platform/deployment.js';
--- a/test/direct/restored_store.test.ts
+++ b/test/direct/restored_store.test.ts
@@ -3,7 +3,7 @@
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createConfigProof} from '../../src/direct/config_proof.js';
 import {createCover} from '../../src/direct/cover.js';
-import {createFleet} from '../../src/direct/fleet.js';
+import {createFleet} from '../../src/direct/replica_table.js';
 import {createStoreEras} from '../../src/direct/store_eras.js';
 import type {DirectReplica, EntryAnswer} from '../../src/direct/types.js';
 import {DIRECT_EVENTS} from '../../src/utils/events.js';
