--- a/bench/direct/crash_model.ts
+++ b/bench/direct/crash_model.ts
@@ -112,12 +112,12 @@
       lastsMs: RUN_MS * (0.5 + random.next()),
       crashMs: killer && CRASH_FIRST_MS + random.next() * CRASH_SPREAD_MS,
       onWell: () => {
-        entries[entry].ranWell(digest);
+        entries[entry].runSucceeded(digest);
         onOver();
       },
       onBroken: replicaId => {
         if (killer !== undefined) noteEnd(killer, clock.now());
-        entries[entry].ended(digest, replicaId);
+        entries[entry].replicaEnded(digest, replicaId);
         send({...sending, attempts: attempts - 1, isTrial: false});
       },
     });
--- a/bench/direct/crash_talk.ts
+++ b/bench/direct/crash_talk.ts
@@ -1,5 +1,5 @@
 /** What modelled entries tell each other of requests that crash replicas. */
-import {isSoundReport} from '../../src/direct/crash_reports.js';
+import {isValidReport} from '../../src/direct/crash_reports.js';
 import type {CrashReport} from '../../src/direct/crash_reports.js';
 import {encodeDatagram} from '../../src/direct/datagrams.js';
 import type {Clock, Random} from '../../src/types/runtime.js';
@@ -37,7 +37,7 @@
   const send = (to: number, reports: readonly CrashReport[]): void => {
     bytes += encodeDatagram({kind: 'crashes', reports}).length;
     // What an entry cannot take is as good as lost.
-    const isTaken = reports.every(isSoundReport);
+    const isTaken = reports.every(isValidReport);
     if (!isTaken || random.next() < LOST_SHARE) return;
     clock.after(DATAGRAM_MS, () => entries[to].merge(reports));
   };
@@ -50,7 +50,7 @@
     }
   };
   const tellOne = (from: number): void => {
-    const reports = entries[from].next(TOLD_SUSPECTS);
+    const reports = entries[from].nextReports(TOLD_SUSPECTS);
     const to = others(from)[Math.floor(random.next() * (entries.length - 1))];
     if (reports.length > 0 && to !== undefined) send(to, reports);
   };
@@ -64,7 +64,7 @@
       options.way({
         clock,
         self: `entry-${at}`,
-        onNews: report => tellAll(at, report),
+        onChanged: report => tellAll(at, report),
         onQuarantined: (report, isOwn) => {
           options.onRefusedAt(at, report.digest);
           if (isOwn) byStore(at, to => to.merge([report]));
--- a/bench/direct/crash_ways.ts
+++ b/bench/direct/crash_ways.ts
@@ -10,14 +10,14 @@
 /** The part of `Suspects` that the model needs. */
 export type CrashWay = Pick<
   Suspects,
-  | 'ended'
-  | 'ranWell'
+  | 'replicaEnded'
+  | 'runSucceeded'
   | 'isQuarantined'
   | 'dueTrial'
   | 'trialSettled'
   | 'merge'
   | 'release'
-  | 'next'
+  | 'nextReports'
 >;
 
 export type MakeCrashWay = (options: SuspectsOptions) => CrashWay;
@@ -41,7 +41,7 @@
 function byVerdict(
   isGuilty: (ended: number, good: number, endedShare: number) => boolean,
 ): MakeCrashWay {
-  return ({self, onNews, onQuarantined}) => {
+  return ({self, onChanged, onQuarantined}) => {
     const known = new Map<string, Known>();
     const goodBefore = new Map<string, number>();
     let runs = 1;
@@ -72,14 +72,14 @@
       onQuarantined(reportOf(digest), isOwn);
     };
     return {
-      ended: (digest, replicaId) => {
+      replicaEnded: (digest, replicaId) => {
         runs++;
         endedRuns++;
         of(digest).ended.add(replicaId);
-        onNews(reportOf(digest));
+        onChanged(reportOf(digest));
         judge(digest, true);
       },
-      ranWell: digest => {
+      runSucceeded: digest => {
         runs++;
         goodBefore.set(digest, (goodBefore.get(digest) ?? 0) + 1);
         const it = known.get(digest);
@@ -99,7 +99,7 @@
         }
       },
       release: digest => void known.delete(digest),
-      next: count => {
+      nextReports: count => {
         const all = [...known.keys()];
         const some = Array.from(
           {length: Math.min(count, all.length)},
--- a/bench/direct/model_caller.ts
+++ b/bench/direct/model_caller.ts
@@ -5,7 +5,7 @@
 import {EventEmitter} from 'node:events';
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {patienceMs} from '../../src/direct/decide/patience.js';
-import type {Admitted} from '../../src/direct/exchange.js';
+import type {AdmittedRequest} from '../../src/direct/exchange.js';
 import type {DirectConfig, Route} from '../../src/direct/types.js';
 import type {Cancel, Clock} from '../../src/types/runtime.js';
 import type {LoadRequest} from './load.js';
@@ -27,7 +27,7 @@
 /** Where a caller sends a try. */
 export interface CallerTarget {
   serve(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     req: IncomingMessage,
     res: ServerResponse,
     arrivedAt: number,
@@ -147,7 +147,7 @@
   {request, route, config}: CallerOptions,
   record: CallerRecord,
   timeLeftMs: number,
-): Admitted {
+): AdmittedRequest {
   return {
     config,
     route,
--- a/bench/direct/model_fleet.ts
+++ b/bench/direct/model_fleet.ts
@@ -106,8 +106,8 @@
   const tellAll = (tell: (serving: Serving) => void) =>
     entries.forEach(({serving}) => tell(serving));
   tellAll(serving => {
-    serving.setEntries(options.entries);
-    serving.fleet.setAll(
+    serving.setEntryCount(options.entries);
+    serving.replicas.setAll(
       new Map(engines.map((it, at) => [it.name, replicaOf(at)])),
     );
   });
@@ -119,7 +119,9 @@
       const engine = engines[at];
       engine.goDark();
       const removed = clock.after(RECORD_MS, () =>
-        tellAll(({fleet}) => fleet.change(new Map([[engine.name, undefined]]))),
+        tellAll(({replicas}) =>
+          replicas.applyChanges(new Map([[engine.name, undefined]])),
+        ),
       );
       clock.after(forMs, () => {
         removed();
@@ -127,8 +129,8 @@
         starts[at]++;
       });
       clock.after(forMs + RECORD_AGAIN_MS, () =>
-        tellAll(({fleet}) =>
-          fleet.change(new Map([[engine.name, replicaOf(at)]])),
+        tellAll(({replicas}) =>
+          replicas.applyChanges(new Map([[engine.name, replicaOf(at)]])),
         ),
       );
     },
@@ -178,7 +180,7 @@
     random: createSeededRandom(options.seed * 1_000 + at),
     codec: MODEL_CODEC,
     dispatch: createModelDispatch(options, engines),
-    dial: () => Promise.resolve('silent'),
+    probePort: () => Promise.resolve('silent'),
     node: `entry-${at}`,
     orders,
     readReport: async address => {
@@ -195,8 +197,8 @@
     unusedMs: UNUSED_MS,
     fullness: options.fullness,
     isDraining: () => false,
-    share: (_loads, isLong) => telling.changed(isLong),
-    tellCrashes: () => undefined,
+    shareLoads: (_loads, isLong) => telling.changed(isLong),
+    shareCrashReports: () => undefined,
     quarantine: {
       onQuarantined: () => undefined,
       onCleared: () => undefined,
--- a/src/direct/admit_request.ts
+++ b/src/direct/admit_request.ts
@@ -1,23 +1,23 @@
 /** Decides whether a request may be served, and reads its body. */
 import type {IncomingMessage} from 'node:http';
-import type {Admitted} from './exchange.js';
-import type {OwnAnswer} from './local_answers.js';
-import {drawService, findRoute} from './route_table.js';
+import type {AdmittedRequest} from './exchange.js';
+import type {LocalAnswer} from './local_answers.js';
+import {pickService, findRoute} from './route_table.js';
 import type {CallerLimits, DirectConfig, HeaderCodec} from './types.js';
 
 /** All that were refused for one reason would come back in the same instant. */
 const COME_BACK_SPREAD_MS = 500;
 
 /** A refusal, before the connection's fate is known. */
-export type Refused = Omit<OwnAnswer, 'close'>;
+export type Refusal = Omit<LocalAnswer, 'close'>;
 
 export interface AdmitOptions {
   readonly codec: HeaderCodec;
-  readonly draw: () => number;
+  readonly random: () => number;
   /** Whether keys may be taken as valid now; may wait for the store. */
   readonly keysAreFresh: () => Promise<boolean>;
   /** No key can be confirmed for so long; 0 where they can. */
-  readonly doubtMs: () => number;
+  readonly keysUnconfirmedMs: () => number;
   /** The newest configuration. */
   readonly config: () => DirectConfig | undefined;
 }
@@ -26,7 +26,7 @@
 export async function admitRequest(
   options: AdmitOptions,
   req: IncomingMessage,
-): Promise<Admitted | Refused> {
+): Promise<AdmittedRequest | Refusal> {
   const before = options.config();
   if (before === undefined) return refused(503, 'no configuration yet');
   const early = findFault(before.limits, req);
@@ -45,17 +45,17 @@
   req: IncomingMessage,
   body: Buffer,
   fresh: boolean,
-): Admitted | Refused {
+): AdmittedRequest | Refusal {
   const facts = options.codec.readRequest(req.headers);
   if (facts.id === undefined) return refused(400, 'the request has no id');
   const route = findRoute(config, req.headers.host ?? '', req.url ?? '');
   // An old configuration may lack a route or key that is there by now.
   const stale = {
     ...refused(503, 'the configuration may be old'),
-    comeBackMs: comeBackMs(options),
+    retryAfterMs: retryAfterMs(options),
   };
   if (route === undefined) return fresh ? refused(404, 'no route') : stale;
-  const service = drawService(route, options.draw());
+  const service = pickService(route, options.random());
   if (service === undefined) return refused(503, 'the route has no service');
   const admitted = {config, route, service, facts, id: facts.id, body};
   if (route.isPublic || config.keys === undefined) {
@@ -69,19 +69,22 @@
 }
 
 /** Undefined where nothing is known of it. */
-function comeBackMs({doubtMs, draw}: AdmitOptions): number | undefined {
-  const leftMs = doubtMs();
-  return leftMs > 0 ? leftMs + draw() * COME_BACK_SPREAD_MS : undefined;
+function retryAfterMs({
+  keysUnconfirmedMs,
+  random,
+}: AdmitOptions): number | undefined {
+  const leftMs = keysUnconfirmedMs();
+  return leftMs > 0 ? leftMs + random() * COME_BACK_SPREAD_MS : undefined;
 }
 
-function refused(status: OwnAnswer['status'], message: string): Refused {
+function refused(status: LocalAnswer['status'], message: string): Refusal {
   return {status, message};
 }
 
 function findFault(
   limits: CallerLimits,
   req: IncomingMessage,
-): Refused | undefined {
+): Refusal | undefined {
   const headerBytes = req.rawHeaders.reduce(
     (sum, text) => sum + text.length + 2,
     (req.url ?? '').length,
--- a/src/direct/call_attempt.ts
+++ b/src/direct/call_attempt.ts
@@ -5,7 +5,7 @@
 import type {AnswerHead} from './dispatch.js';
 import type {Exchange} from './exchange.js';
 import {callWork} from './load_book.js';
-import {dispatchRequest, judgeHead, writeHead} from './serve_context.js';
+import {buildDispatch, classifyHead, writeHead} from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica} from './types.js';
 
@@ -13,7 +13,7 @@
 const HELD_BYTES = 1024 * 1024;
 
 /** A whole answer. */
-export interface Answered {
+export interface BufferedAnswer {
   readonly kind: 'answered';
   readonly head: AnswerHead;
   readonly body: Buffer;
@@ -21,7 +21,7 @@
 
 /** How one try ended. */
 export type CallOutcome =
-  | Answered
+  | BufferedAnswer
   | {readonly kind: 'passed-on'}
   | {readonly kind: 'not-run'; readonly faultAt: string | undefined}
   | {readonly kind: 'not-sent'; readonly reason: string}
@@ -31,7 +31,7 @@
   | {readonly kind: 'ended'};
 
 /** Sends the request and takes its answer until the try ends. */
-export function tryCall(
+export function attemptCall(
   ctx: ServeContext,
   exchange: Exchange,
   replica: DirectReplica,
@@ -44,7 +44,7 @@
   const {service} = exchange;
   const startedAt = clock.now();
   const work = book.enter(callWork(replica.id, Infinity));
-  exchange.sent++;
+  exchange.attempts++;
   return new Promise(resolve => {
     let head: AnswerHead | undefined;
     let held: Buffer[] = [];
@@ -59,7 +59,7 @@
     };
     const onAbort = () => {
       exchange.mayHaveRun = true;
-      ctx.crashes.left(exchange, replica);
+      ctx.crashes.runCancelled(exchange, replica);
       dispatch.cancel();
       finish({kind: 'ended'});
     };
@@ -71,7 +71,7 @@
     };
     const onHead = (came: AnswerHead) => {
       head = came;
-      const verdict = judgeHead(ctx, exchange, came);
+      const verdict = classifyHead(ctx, exchange, came);
       if (verdict.kind === 'success' || verdict.kind === 'failure') return;
       dispatch.cancel();
       if (verdict.kind === 'not-run') {
@@ -94,17 +94,17 @@
     };
     const onEnd = () => {
       if (passing) {
-        ctx.crashes.ranWell(exchange);
+        ctx.crashes.runSucceeded(exchange);
         exchange.res.end();
         finish({kind: 'passed-on'});
         return;
       }
       if (head !== undefined && head.status < 500) {
-        ctx.crashes.ranWell(exchange);
+        ctx.crashes.runSucceeded(exchange);
       }
       const tookMs = clock.now() - startedAt;
-      health.answered(replica.id, tookMs, callTimes.usualMs(service));
-      callTimes.took(service, tookMs);
+      health.answered(replica.id, tookMs, callTimes.meanMs(service));
+      callTimes.record(service, tookMs);
       metrics.observe('onyxloft_direct_call_ms', {}, tookMs);
       if (head === undefined) return;
       finish({kind: 'answered', head, body: Buffer.concat(held)});
@@ -112,17 +112,17 @@
     const onBroken = (sent: boolean, reason: string) => {
       health.failed(replica.id);
       if (!sent) {
-        exchange.sent--;
+        exchange.attempts--;
         exchange.isTrial = isTrial;
         finish({kind: 'not-sent', reason});
         return;
       }
       exchange.mayHaveRun = true;
-      ctx.crashes.broke(exchange, replica);
+      ctx.crashes.runBroken(exchange, replica);
       if (passing) exchange.res.destroy();
       finish({kind: passing ? 'passed-on' : 'broken', reason});
     };
-    const spec = dispatchRequest(ctx, exchange, replica, undefined, []);
+    const spec = buildDispatch(ctx, exchange, replica, undefined, []);
     const dispatch = ctx.dispatch(spec, clock, {
       onHead,
       onData,
--- a/src/direct/call_times.ts
+++ b/src/direct/call_times.ts
@@ -12,15 +12,15 @@
 const MOST_SERVICES = 200;
 
 export interface CallTimes {
-  usualMs(service: string): number;
-  took(service: string, ms: number): void;
+  meanMs(service: string): number;
+  record(service: string, ms: number): void;
 }
 
 export function createCallTimes(): CallTimes {
   const means = new Map<string, number>();
   return {
-    usualMs: service => means.get(service) ?? UNKNOWN_MS,
-    took: (service, ms) => {
+    meanMs: service => means.get(service) ?? UNKNOWN_MS,
+    record: (service, ms) => {
       const before = means.get(service) ?? ms;
       means.set(service, before + NEWEST_SHARE * (ms - before));
       const oldest = means.keys().next().value;
--- a/src/direct/callers_server.ts
+++ b/src/direct/callers_server.ts
@@ -24,7 +24,7 @@
 export interface CallersServer {
   setLimits(limits: CallerLimits): void;
   /** Takes no new connections and closes those that are idle. */
-  stopTaking(): void;
+  stopAccepting(): void;
   close(): Promise<void>;
 }
 
@@ -56,7 +56,7 @@
       server.headersTimeout = headersTimeoutMs;
       server.keepAliveTimeout = idleTimeoutMs + IDLE_MARGIN_MS;
     },
-    stopTaking: () => {
+    stopAccepting: () => {
       server.close();
       server.closeIdleConnections();
     },
--- a/src/direct/crash_reports.ts
+++ b/src/direct/crash_reports.ts
@@ -6,7 +6,7 @@
 import {Codec, array, number, record, string} from 'purify-ts/Codec';
 
 /** Starts of replicas that one report names; more say nothing more. */
-export const ENDED_MOST = 8;
+export const MAX_ENDED_REPLICAS = 8;
 /** Entries that one report names. */
 const GOOD_MOST = 64;
 const DIGEST_FORM = /^[0-9a-f]{32}$/;
@@ -39,11 +39,11 @@
 });
 
 /** Whether a report can be one, whoever made it. */
-export function isSoundReport({digest, ended, good}: CrashReport): boolean {
+export function isValidReport({digest, ended, good}: CrashReport): boolean {
   const counts = Object.values(good);
   return (
     DIGEST_FORM.test(digest) &&
-    ended.length <= ENDED_MOST &&
+    ended.length <= MAX_ENDED_REPLICAS &&
     counts.length <= GOOD_MOST &&
     counts.every(count => Number.isSafeInteger(count) && count >= 0)
   );
--- a/src/direct/crash_watch.ts
+++ b/src/direct/crash_watch.ts
@@ -5,10 +5,10 @@
 import type {Clock, Log} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
 import type {CrashReport} from './crash_reports.js';
-import type {Dial} from './port_probe.js';
+import type {ProbePort} from './port_probe.js';
 import type {Exchange} from './exchange.js';
 import {createLostRuns} from './lost_runs.js';
-import {shownDigest} from './request_digest.js';
+import {shortDigest} from './request_digest.js';
 import {createSuspects} from './suspects.js';
 import type {Suspects} from './suspects.js';
 import type {DirectReplica} from './types.js';
@@ -21,7 +21,7 @@
 
 export interface CrashWatch extends Pick<
   Suspects,
-  'merge' | 'release' | 'next' | 'size' | 'quarantined'
+  'merge' | 'release' | 'nextReports' | 'suspectCount' | 'quarantinedCount'
 > {
   isQuarantined(exchange: Exchange): boolean;
   /** Whether it may be sent to a replica now; takes up its trial, if it has one. */
@@ -29,25 +29,25 @@
   /** Makes a quarantined request the trial of its like, if one is due. */
   claimTrial(exchange: Exchange): Promise<boolean>;
   /** The run's connection broke, or fell silent. */
-  broke(exchange: Exchange, replica: DirectReplica): void;
+  runBroken(exchange: Exchange, replica: DirectReplica): void;
   /** The run was given up for another reason while it was under way. */
-  left(exchange: Exchange, replica: DirectReplica): void;
-  ranWell(exchange: Exchange): void;
+  runCancelled(exchange: Exchange, replica: DirectReplica): void;
+  runSucceeded(exchange: Exchange): void;
   /** This start of a replica is known to have ended. */
   replicaEnded(replicaId: string): void;
   /** Its record was removed, and it was not told to leave. */
-  recordGone(replicaId: string): void;
+  recordRemoved(replicaId: string): void;
 }
 
 export interface CrashWatchOptions {
   readonly clock: Clock;
   readonly log: Log;
-  readonly dial: Dial;
+  readonly probePort: ProbePort;
   /** Name of this entry. */
   readonly node: string;
   isLeaving(replicaId: string): boolean;
   /** The other entries should hear of it. */
-  tell(report: CrashReport): void;
+  shareReport(report: CrashReport): void;
   /** It is to last; `isOwn` where this entry saw the last crash. */
   onQuarantined(report: CrashReport, isOwn: boolean): void;
   /** See `SuspectsOptions`. */
@@ -63,16 +63,16 @@
   const suspects = createSuspects({
     clock,
     self: options.node,
-    onNews: options.tell,
+    onChanged: options.shareReport,
     onQuarantined: (report, isOwn) => {
       const {digest, ended, good} = report;
-      const shown = shownDigest(digest);
+      const shown = shortDigest(digest);
       log(DIRECT_EVENTS.quarantined, {digest: shown, ended, good, isOwn});
       options.onQuarantined(report, isOwn);
     },
     onCleared: (digest, isOwn) => {
       log(DIRECT_EVENTS.quarantineEnded, {
-        digest: shownDigest(digest),
+        digest: shortDigest(digest),
         reason: 'runs of it ended well',
       });
       options.onCleared(digest, isOwn);
@@ -80,24 +80,24 @@
   });
   const lost = createLostRuns({
     clock,
-    dial: options.dial,
+    probePort: options.probePort,
     isLeaving: options.isLeaving,
     onEnded: (digest, replica) => {
-      log(DIRECT_EVENTS.replicaEnded, {digest: shownDigest(digest), replica});
-      suspects.ended(digest, replica);
+      log(DIRECT_EVENTS.replicaEnded, {digest: shortDigest(digest), replica});
+      suspects.replicaEnded(digest, replica);
     },
   });
   const isQuarantined = (exchange: Exchange) =>
-    suspects.size() > 0 && suspects.isQuarantined(exchange.digest());
+    suspects.suspectCount() > 0 && suspects.isQuarantined(exchange.digest());
   return {
     merge: suspects.merge,
-    next: suspects.next,
-    size: suspects.size,
-    quarantined: suspects.quarantined,
+    nextReports: suspects.nextReports,
+    suspectCount: suspects.suspectCount,
+    quarantinedCount: suspects.quarantinedCount,
     release: digest => {
       suspects.release(digest);
       log(DIRECT_EVENTS.quarantineEnded, {
-        digest: shownDigest(digest),
+        digest: shortDigest(digest),
         reason: 'released',
       });
     },
@@ -116,7 +116,7 @@
       suspects.trialSettled(digest, isGained !== undefined);
       exchange.isTrial = isGained === true;
       if (exchange.isTrial) {
-        const shown = shownDigest(digest);
+        const shown = shortDigest(digest);
         log(DIRECT_EVENTS.trial, {
           requestId: exchange.id,
           digest: shown,
@@ -125,17 +125,19 @@
       }
       return exchange.isTrial;
     },
-    broke: (exchange, replica) => lost.broke(exchange.digest(), replica),
-    left: (exchange, replica) => {
+    runBroken: (exchange, replica) =>
+      lost.runBroken(exchange.digest(), replica),
+    runCancelled: (exchange, replica) => {
       const digest = exchange.digest();
-      if (suspects.isKnown(digest)) lost.leftSuspect(digest, replica);
-      else lost.left(digest, replica);
+      if (suspects.isSuspect(digest)) lost.suspectRunCancelled(digest, replica);
+      else lost.runCancelled(digest, replica);
     },
-    ranWell: exchange => {
+    runSucceeded: exchange => {
       const isSmall = exchange.body.length <= DIGESTED_BYTES;
-      if (isSmall || suspects.size() > 0) suspects.ranWell(exchange.digest());
+      if (isSmall || suspects.suspectCount() > 0)
+        suspects.runSucceeded(exchange.digest());
     },
     replicaEnded: lost.replicaEnded,
-    recordGone: lost.recordGone,
+    recordRemoved: lost.recordRemoved,
   };
 }
--- a/src/direct/datagrams.ts
+++ b/src/direct/datagrams.ts
@@ -7,7 +7,7 @@
 import {isIPv4} from 'node:net';
 import {Codec, array, exactly, number, optional, string} from 'purify-ts/Codec';
 import {Maybe, Nothing} from 'purify-ts/Maybe';
-import {crashReportCodec, isSoundReport} from './crash_reports.js';
+import {crashReportCodec, isValidReport} from './crash_reports.js';
 import type {CrashReport} from './crash_reports.js';
 import type {ReplicaLoad} from './load_sum.js';
 import {packLoads, unpackLoads} from './load_codec.js';
@@ -100,7 +100,7 @@
       return crashCodec
         .decode(value)
         .toMaybe()
-        .filter(({reports}) => reports.every(isSoundReport));
+        .filter(({reports}) => reports.every(isValidReport));
     }
     return answerCodec.decode(value).toMaybe().filter(isSoundAnswer);
   });
--- a/src/direct/event_splitter.ts
+++ b/src/direct/event_splitter.ts
@@ -19,7 +19,7 @@
   /** The events that are whole now. */
   push(chunk: Buffer): readonly StreamEvent[];
   /** Bytes of an event that is not whole yet. */
-  rest(): number;
+  pendingBytes(): number;
 }
 
 export function createEventSplitter(): EventSplitter {
@@ -35,7 +35,7 @@
         pending = pending.subarray(end);
       }
     },
-    rest: () => pending.length,
+    pendingBytes: () => pending.length,
   };
 }
 
--- a/src/direct/exchange.ts
+++ b/src/direct/exchange.ts
@@ -8,7 +8,7 @@
 import type {DirectConfig, KeyOwner, RequestFacts, Route} from './types.js';
 
 /** A request that may be served. */
-export interface Admitted {
+export interface AdmittedRequest {
   readonly config: DirectConfig;
   readonly route: Route;
   readonly service: string;
@@ -29,7 +29,7 @@
 /** Why nothing more can come of a request. */
 export type EndReason = 'caller left' | 'time is up' | 'answered';
 
-export interface Exchange extends Admitted {
+export interface Exchange extends AdmittedRequest {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   /** On this process's clock. */
@@ -43,7 +43,7 @@
   /** What its lateness costs, relative to others. */
   readonly weight: number;
   /** Replicas to which the request was sent so far. */
-  sent: number;
+  attempts: number;
   /** It may have run: a replica got it and gave no proof that it did not. */
   mayHaveRun: boolean;
   /** It may be sent once though requests like it are quarantined. */
@@ -57,7 +57,7 @@
   readonly arrivedAt: number;
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
-  readonly admitted: Admitted;
+  readonly admitted: AdmittedRequest;
   readonly weight: number;
   /** The time limit or the caller's own ended first. */
   onTimeUp(exchange: Exchange): void;
@@ -91,7 +91,7 @@
         organisation: admitted.owner?.organisation,
         body: admitted.body,
       })),
-    sent: 0,
+    attempts: 0,
     mayHaveRun: false,
     isTrial: false,
     end,
--- a/src/direct/front.ts
+++ b/src/direct/front.ts
@@ -7,14 +7,14 @@
 import type {ServiceContext, ServiceSpec} from '../types/kernel.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
 import {admitRequest} from './admit_request.js';
-import type {Refused} from './admit_request.js';
-import {dial} from './port_probe.js';
+import type {Refusal} from './admit_request.js';
+import {probePort} from './port_probe.js';
 import {openCallersServer} from './callers_server.js';
 import type {CallersServer} from './callers_server.js';
 import {openDispatch} from './dispatch.js';
 import {createEvidence, readyAgeMs, waitForEvidence} from './evidence.js';
-import {reportState} from './gauges.js';
-import {sendOwnAnswer} from './local_answers.js';
+import {reportGauges} from './gauges.js';
+import {sendLocalAnswer} from './local_answers.js';
 import type {DirectMessage} from './messages.js';
 import {createServing} from './serving.js';
 import type {DirectSettings} from './settings.js';
@@ -108,7 +108,7 @@
     random,
     codec,
     dispatch: openDispatch,
-    dial,
+    probePort,
     node: settings.node,
     orders: options.orders,
     readReport: options.readReport,
@@ -118,9 +118,9 @@
     holdMs: options.holdMs,
     unusedMs: options.unusedMs,
     isDraining: () => draining,
-    share: (loads, isLong) =>
+    shareLoads: (loads, isLong) =>
       ctx.send('sharing', {kind: 'load', loads, isLong}),
-    tellCrashes: reports =>
+    shareCrashReports: reports =>
       ctx.send('sharing', {kind: 'crash-reports', reports, toAll: true}),
     quarantine: {
       onQuarantined: (report, isOwn) =>
@@ -144,21 +144,21 @@
   const {setOther} = serving.book;
   const readState = () => ({
     evidenceAgeMs: toldAgeMs(),
-    openRequests: serving.open(),
-    replicas: serving.fleet.size(),
+    openRequests: serving.openRequests(),
+    replicas: serving.replicas.size(),
     ...serving.state(),
   });
 
-  const doubtMs = () =>
+  const keysUnconfirmedMs = () =>
     evidence.isFresh() ? 0 : Math.max(0, doubtedUntil - clock.now());
   // What is known to be in vain is not waited for.
   const keysAreFresh = async () =>
-    doubtMs() === 0 &&
+    keysUnconfirmedMs() === 0 &&
     waitForEvidence(clock, evidence, () =>
       ctx.send('followed', {kind: 'confirm'}),
     );
 
-  const refuse = (res: ServerResponse, refused: Refused, id: unknown) => {
+  const refuse = (res: ServerResponse, refused: Refusal, id: unknown) => {
     const {status, message} = refused;
     log(DIRECT_EVENTS.refused, {
       requestId: String(id),
@@ -170,7 +170,7 @@
     metrics.count('onyxloft_direct_refused_total', {status: String(status)});
     // A retry should reach an entry that knows more.
     const close = draining || status === 503 || status === 413;
-    sendOwnAnswer(res, {...refused, close});
+    sendLocalAnswer(res, {...refused, close});
   };
 
   const onRequest = (req: IncomingMessage, res: ServerResponse): void => {
@@ -182,9 +182,9 @@
     });
     const parts = {
       codec,
-      draw: () => random.next(),
+      random: () => random.next(),
       keysAreFresh,
-      doubtMs,
+      keysUnconfirmedMs,
       config: () => config,
     };
     admitting++;
@@ -231,11 +231,12 @@
     draining = true;
     ctx.send('sharing', {kind: 'draining'});
     const startedAt = clock.now();
-    clock.after(TAKE_ON_MS, () => server?.stopTaking());
+    clock.after(TAKE_ON_MS, () => server?.stopAccepting());
     const graceMs = settings.timing.graceS * 1_000 - GRACE_MARGIN_MS;
     const cancel = clock.every(DRAIN_LOOK_MS, () => {
       const passedMs = clock.now() - startedAt;
-      const done = passedMs > TAKE_ON_MS && serving.open() + admitting === 0;
+      const done =
+        passedMs > TAKE_ON_MS && serving.openRequests() + admitting === 0;
       if (!done && passedMs < graceMs) return;
       cancel();
       reply();
@@ -249,16 +250,16 @@
       case 'confirmed':
         return evidence.confirm(message.asOf, message.askedAt);
       case 'replicas':
-        return serving.fleet.setAll(message.replicas);
+        return serving.replicas.setAll(message.replicas);
       case 'replica-changes':
-        return serving.fleet.change(message.replicas);
+        return serving.replicas.applyChanges(message.replicas);
       case 'keys-in-doubt':
         doubtedUntil = message.until;
         return;
       case 'store-failed':
-        return serving.fleet.storeFailed();
+        return serving.replicas.storeFailed();
       case 'store-restored':
-        return serving.fleet.restored();
+        return serving.replicas.storeRestored();
       case 'evidence-age':
         return message.reply(evidence.ageMs());
       case 'other-load':
@@ -268,26 +269,27 @@
       case 'crash-released':
         return serving.crashes.release(message.digest);
       case 'entries':
-        return serving.setEntries(message.count);
+        return serving.setEntryCount(message.count);
       case 'ready':
         return message.reply(
           !draining &&
             server !== undefined &&
-            serving.fleet.size() > 0 &&
+            serving.replicas.size() > 0 &&
             // In doubt are all entries at once, so no other one serves more.
-            (evidence.ageMs() < readyAgeMs(revokeMs) || doubtMs() > 0),
+            (evidence.ageMs() < readyAgeMs(revokeMs) ||
+              keysUnconfirmedMs() > 0),
         );
       case 'count':
-        return message.reply(serving.open());
+        return message.reply(serving.openRequests());
       case 'drain':
         return drain(message.reply);
     }
   };
 
   ctx.own(() => server?.close());
-  ctx.own(reportState(clock, metrics, readState));
+  ctx.own(reportGauges(clock, metrics, readState));
   const tellSuspects = () => {
-    const reports = serving.crashes.next(SUSPECTS_TOLD);
+    const reports = serving.crashes.nextReports(SUSPECTS_TOLD);
     if (reports.length === 0) return;
     ctx.send('sharing', {kind: 'crash-reports', reports, toAll: false});
   };
--- a/src/direct/gauges.ts
+++ b/src/direct/gauges.ts
@@ -5,7 +5,7 @@
 const PERIOD_MS = 1_000;
 
 /** One reading. */
-export interface EntryState {
+export interface GaugeReadings {
   readonly evidenceAgeMs: number;
   readonly openRequests: number;
   /** Entries that are heard of, with this one. */
@@ -22,10 +22,10 @@
 }
 
 /** Sets the gauges every second. */
-export function reportState(
+export function reportGauges(
   clock: Clock,
   metrics: Metrics,
-  read: () => EntryState,
+  read: () => GaugeReadings,
 ): Cancel {
   const gauge = (name: string, value: number) =>
     metrics.gauge(`onyxloft_direct_${name}`, {}, value);
--- a/src/direct/groups.ts
+++ b/src/direct/groups.ts
@@ -36,7 +36,7 @@
 export interface Group {
   readonly members: readonly GroupMember[];
   /** The lead sent something. */
-  heard(): void;
+  noteActivity(): void;
   /** `onLost` is called once, when the memory is released for this reason. */
   watchLoss(onLost: (loss: GroupLoss) => void): void;
   /** Releases all members. */
@@ -70,7 +70,7 @@
   /** All members or none; a refusal names the replica that refused. */
   open(req: GroupRequest): Promise<Group | {readonly refusedBy: string}>;
   /** Reservations that are held, or may be. */
-  held(): number;
+  reservationCount(): number;
 }
 
 /** What a member says of its memory; `untold` where it lists no reservations. */
@@ -179,7 +179,7 @@
     void keepRenewed();
     return {
       members: asked.map(({address, id}) => ({address, reservation: id})),
-      heard: () => {
+      noteActivity: () => {
         heardAt = clock.now();
       },
       watchLoss: onLoss => {
@@ -202,5 +202,5 @@
     return {refusedBy};
   };
 
-  return {open, held: leases.count};
+  return {open, reservationCount: leases.count};
 }
--- a/src/direct/local_answers.ts
+++ b/src/direct/local_answers.ts
@@ -5,25 +5,25 @@
 import type {ServerResponse} from 'node:http';
 
 /** When a refused caller should come back, where nothing is known of it. */
-const COME_BACK_MS = 250;
+const DEFAULT_RETRY_AFTER_MS = 250;
 
-export type OwnStatus =
+export type LocalStatus =
   400 | 401 | 404 | 408 | 413 | 429 | 431 | 502 | 503 | 504;
 
 /** What the caller is told. */
-export interface OwnAnswer {
-  readonly status: OwnStatus;
+export interface LocalAnswer {
+  readonly status: LocalStatus;
   readonly message: string;
   /** Ends the connection, so that a retry reaches another entry. */
   readonly close: boolean;
   /** When a refused caller should come back, from now. */
-  readonly comeBackMs?: number;
+  readonly retryAfterMs?: number;
 }
 
 /** Sends the answer; nothing of another may have been sent. */
-export function sendOwnAnswer(
+export function sendLocalAnswer(
   res: ServerResponse,
-  {status, message, close, comeBackMs = COME_BACK_MS}: OwnAnswer,
+  {status, message, close, retryAfterMs = DEFAULT_RETRY_AFTER_MS}: LocalAnswer,
 ): void {
   const body = JSON.stringify({error: message});
   const headers = [
@@ -33,7 +33,7 @@
     String(Buffer.byteLength(body)),
   ];
   if (status === 503 || status === 429) {
-    headers.push('Retry-After', (comeBackMs / 1_000).toFixed(3));
+    headers.push('Retry-After', (retryAfterMs / 1_000).toFixed(3));
   }
   if (close) headers.push('Connection', 'close');
   res.writeHead(status, headers);
--- a/src/direct/lost_runs.ts
+++ b/src/direct/lost_runs.ts
@@ -4,7 +4,7 @@
  * has ended refuses new connections at once.
  */
 import type {Clock} from '../types/runtime.js';
-import type {Dial} from './port_probe.js';
+import type {ProbePort} from './port_probe.js';
 import type {DirectReplica} from './types.js';
 
 /** A replica that is found ended within this time of a lost run ended under it. */
@@ -25,20 +25,20 @@
 
 export interface LostRuns {
   /** The run's connection broke, or fell silent: the replica is looked for. */
-  broke(digest: string, replica: DirectReplica): void;
+  runBroken(digest: string, replica: DirectReplica): void;
   /** Its caller left; counts if the replica is found ended for other reasons. */
-  left(digest: string, replica: DirectReplica): void;
+  runCancelled(digest: string, replica: DirectReplica): void;
   /** The same, and the replica is looked for, as the request is suspect. */
-  leftSuspect(digest: string, replica: DirectReplica): void;
+  suspectRunCancelled(digest: string, replica: DirectReplica): void;
   /** It is known from elsewhere that this start of a replica has ended. */
   replicaEnded(replicaId: string): void;
   /** Its record is gone: its last runs count, but it may serve on for a while. */
-  recordGone(replicaId: string): void;
+  recordRemoved(replicaId: string): void;
 }
 
 export interface LostRunsOptions {
   readonly clock: Clock;
-  readonly dial: Dial;
+  readonly probePort: ProbePort;
   /** It was told to leave, and ends without a crash. */
   isLeaving(replicaId: string): boolean;
   onEnded(digest: string, replicaId: string): void;
@@ -61,7 +61,7 @@
       else pending.delete(id);
     }
   };
-  const recordGone = (replicaId: string): void => {
+  const recordRemoved = (replicaId: string): void => {
     prune();
     const runs = pending.get(replicaId) ?? [];
     pending.delete(replicaId);
@@ -69,7 +69,7 @@
   };
   const replicaEnded = (replicaId: string): void => {
     ended.set(replicaId, clock.now());
-    recordGone(replicaId);
+    recordRemoved(replicaId);
   };
   const note = (
     digest: string,
@@ -93,7 +93,7 @@
   };
   const lookFor = async ({id, address}: DirectReplica): Promise<void> => {
     const since = clock.now();
-    const answer = await options.dial(address);
+    const answer = await options.probePort(address);
     if (answer === 'open') outlived(id, since);
     if (answer === 'refused' && !options.isLeaving(id)) replicaEnded(id);
   };
@@ -108,16 +108,16 @@
   };
 
   return {
-    broke: (digest, replica) => {
+    runBroken: (digest, replica) => {
       note(digest, replica, true);
       lookOnce(replica, BROKEN_LOOK_MS);
     },
-    left: (digest, replica) => note(digest, replica, false),
-    leftSuspect: (digest, replica) => {
+    runCancelled: (digest, replica) => note(digest, replica, false),
+    suspectRunCancelled: (digest, replica) => {
       note(digest, replica, false);
       lookOnce(replica, LEFT_LOOK_MS);
     },
     replicaEnded,
-    recordGone,
+    recordRemoved,
   };
 }
--- a/src/direct/place_request.ts
+++ b/src/direct/place_request.ts
@@ -14,9 +14,9 @@
 } from './decide/place_or_wait.js';
 import {answerTokens} from './exchange.js';
 import type {Exchange} from './exchange.js';
-import {plainPlace, takePlace} from './request_placement.js';
-import type {Place} from './request_placement.js';
-import {candidatesOf, loadsOf} from './serve_context.js';
+import {placeOnPlainService, acquirePlacement} from './request_placement.js';
+import type {RequestPlacement} from './request_placement.js';
+import {candidatesOf, withLoads} from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica, EngineFigures} from './types.js';
 
@@ -28,24 +28,25 @@
 const COME_BACK_SPREAD = 0.25;
 
 /** Why there is no place. */
-export interface NoPlace {
+export interface NotPlaced {
   readonly kind: 'none';
   readonly reason: string;
   /** When the caller should come back, where that is known. */
-  readonly comeBackMs: number | undefined;
+  readonly retryAfterMs: number | undefined;
 }
 
-export type Opened = {readonly kind: 'place'; readonly place: Place} | NoPlace;
+export type PlacementResult =
+  {readonly kind: 'place'; readonly place: RequestPlacement} | NotPlaced;
 
 /** Ends with the request's own end at the latest. */
-export async function openPlace(
+export async function placeRequest(
   ctx: ServeContext,
   exchange: Exchange,
   tried: ReadonlySet<string>,
-): Promise<Opened> {
+): Promise<PlacementResult> {
   const figures = exchange.config.services.get(exchange.service)?.engine;
   if (figures === undefined) return openPlainPlace(ctx, exchange, tried);
-  const leave = ctx.looks.enter();
+  const leave = ctx.pollPace.enter();
   try {
     return await openEnginePlace(ctx, exchange, tried, figures);
   } finally {
@@ -57,9 +58,13 @@
   ctx: ServeContext,
   exchange: Exchange,
   tried: ReadonlySet<string>,
-): Opened {
+): PlacementResult {
   const there = candidatesOf(ctx, exchange.service, tried);
-  const place = plainPlace(ctx, exchange, loadsOf(ctx, drawn(ctx, there)));
+  const place = placeOnPlainService(
+    ctx,
+    exchange,
+    withLoads(ctx, drawn(ctx, there)),
+  );
   return place === undefined
     ? none('no replica is there')
     : {kind: 'place', place};
@@ -70,7 +75,7 @@
   exchange: Exchange,
   tried: ReadonlySet<string>,
   figures: EngineFigures,
-): Promise<Opened> {
+): Promise<PlacementResult> {
   const {clock} = ctx;
   const memoryUntil = clock.now() + exchange.timeLeftMs() * MEMORY_WAIT_SHARE;
   const refusing = new Set<string>();
@@ -85,7 +90,7 @@
       return none(decision.reason, drawnApart(ctx, decision.comeBackMs));
     }
     if (decision.kind === 'place') {
-      const place = await takePlace(ctx, exchange, decision.plan);
+      const place = await acquirePlacement(ctx, exchange, decision.plan);
       if ('replica' in place) return {kind: 'place', place};
       refusing.add(place.refusedBy);
       if (++groupTries < GROUP_TRIES) continue;
@@ -96,7 +101,7 @@
       return none('no room in time');
     }
     refusing.clear();
-    await pause(ctx, ctx.looks.pauseMs(ctx.random.next()));
+    await pause(ctx, ctx.pollPace.pauseMs(ctx.random.next()));
   }
   return none('the request has ended');
 }
@@ -111,7 +116,7 @@
   const startedAt = ctx.clock.now();
   const req = requestOf(ctx, exchange);
   const looked = isReadAlone(figures, req) ? drawn(ctx, there) : there;
-  const candidates = loadsOf(ctx, looked);
+  const candidates = withLoads(ctx, looked);
   const pool = {
     figures,
     candidates,
@@ -119,7 +124,7 @@
     fullness: ctx.fullness,
   };
   const decision = placeOrWait(pool, req);
-  ctx.looks.took(ctx.clock.now() - startedAt);
+  ctx.pollPace.took(ctx.clock.now() - startedAt);
   return decision;
 }
 
@@ -133,7 +138,7 @@
 function requestOf(ctx: ServeContext, exchange: Exchange): PlacingRequest {
   const {facts, route, weight} = exchange;
   return {
-    isNew: exchange.sent === 0,
+    isNew: exchange.attempts === 0,
     promptTokens: facts.promptTokens,
     weight,
     answerTokens: answerTokens(facts),
@@ -145,8 +150,8 @@
   };
 }
 
-function none(reason: string, comeBackMs?: number): NoPlace {
-  return {kind: 'none', reason, comeBackMs};
+function none(reason: string, retryAfterMs?: number): NotPlaced {
+  return {kind: 'none', reason, retryAfterMs};
 }
 
 function drawnApart({random}: ServeContext, ms: number): number {
--- a/src/direct/port_probe.ts
+++ b/src/direct/port_probe.ts
@@ -6,17 +6,17 @@
 const DIAL_MS = 300;
 
 /** `refused` where a host answers that nothing listens there. */
-export type DialAnswer = 'open' | 'refused' | 'silent';
+export type PortState = 'open' | 'refused' | 'silent';
 
-export type Dial = (address: string) => Promise<DialAnswer>;
+export type ProbePort = (address: string) => Promise<PortState>;
 
 /** Opens a connection and closes it again. */
-export const dial: Dial = address => {
+export const probePort: ProbePort = address => {
   const to = splitAddress(address);
   if (to === undefined) return Promise.resolve('silent');
   return new Promise(resolve => {
     const socket = connect({host: to.ip, port: to.port, timeout: DIAL_MS});
-    const end = (answer: DialAnswer) => {
+    const end = (answer: PortState) => {
       socket.destroy();
       resolve(answer);
     };
--- a/src/direct/replica_losses.ts
+++ b/src/direct/replica_losses.ts
@@ -9,7 +9,7 @@
 export interface ReplicaLosses {
   /** `onLost` is called once, when this start of a replica has ended. */
   watch(replicaId: string, onLost: () => void): Cancel;
-  lost(replicaId: string): void;
+  notifyLost(replicaId: string): void;
 }
 
 export function createReplicaLosses(): ReplicaLosses {
@@ -24,7 +24,7 @@
         if (isCurrent && those.size === 0) watchers.delete(replicaId);
       };
     },
-    lost: replicaId => {
+    notifyLost: replicaId => {
       const those = watchers.get(replicaId);
       watchers.delete(replicaId);
       for (const onLost of [...(those ?? [])]) onLost();
--- a/src/direct/replica_table.ts
+++ b/src/direct/replica_table.ts
@@ -28,28 +28,28 @@
  */
 const COPY_DOUBT_MS = 4_000;
 
-export interface Fleet {
+export interface ReplicaTable {
   setAll(replicas: ReadonlyMap<string, DirectReplica>): void;
   /** By name; an undefined one was removed. */
-  change(replicas: ReadonlyMap<string, DirectReplica | undefined>): void;
+  applyChanges(replicas: ReadonlyMap<string, DirectReplica | undefined>): void;
   /** A call to the store failed just now. */
   storeFailed(): void;
   /** The store has come back from an older copy. */
-  restored(): void;
+  storeRestored(): void;
   /** Replicas of a service that may get new work. */
-  serving(service: string): readonly DirectReplica[];
+  availableFor(service: string): readonly DirectReplica[];
   /** This start of a replica was told to leave, or its record is gone. */
   isLeaving(replicaId: string): boolean;
   size(): number;
 }
 
-export interface FleetOptions {
+export interface ReplicaTableOptions {
   readonly clock: Clock;
   /**
    * It was removed; work that it has may still be answered. `mayHaveLapsed`
    * where the store failed just before, so that it may live.
    */
-  onGone(replica: DirectReplica, mayHaveLapsed: boolean): void;
+  onRemoved(replica: DirectReplica, mayHaveLapsed: boolean): void;
   /** A later start took its name: it will answer nothing more. */
   onRestarted(replica: DirectReplica, now: DirectReplica): void;
 }
@@ -66,7 +66,11 @@
   readonly since: number;
 }
 
-export function createFleet({clock, onGone, onRestarted}: FleetOptions): Fleet {
+export function createReplicaTable({
+  clock,
+  onRemoved,
+  onRestarted,
+}: ReplicaTableOptions): ReplicaTable {
   const present = new Map<string, DirectReplica>();
   const removed = new Map<string, Removed>();
   const earlier = new Map<string, EarlierStart>();
@@ -87,7 +91,7 @@
     const mayHaveLapsed = at - failedAt < OUTAGE_DOUBT_MS && !replica.leaving;
     const usedUntil = mayHaveLapsed ? at + LAPSED_USE_MS : at;
     removed.set(name, {replica, at, usedUntil});
-    onGone(replica, mayHaveLapsed);
+    onRemoved(replica, mayHaveLapsed);
   };
   const take = (replica: DirectReplica) => {
     const {name} = replica;
@@ -143,7 +147,7 @@
       }
       for (const replica of replicas.values()) putListed(replica);
     },
-    change: replicas => {
+    applyChanges: replicas => {
       for (const [name, replica] of replicas) {
         if (replica === undefined) {
           remove(name);
@@ -157,7 +161,7 @@
     storeFailed: () => {
       failedAt = clock.now();
     },
-    restored: () => {
+    storeRestored: () => {
       const now = clock.now();
       // Records of those that live may have lapsed while it was away.
       failedAt = now;
@@ -167,7 +171,7 @@
         ...[...removed.values()].map(it => it.replica.id),
       ]);
     },
-    serving: service => {
+    availableFor: service => {
       settle();
       const there = [...present.values()].filter(
         replica => replica.service === service && !replica.leaving,
--- a/src/direct/request_digest.ts
+++ b/src/direct/request_digest.ts
@@ -11,7 +11,7 @@
 const SHOWN_DIGITS = 12;
 
 /** What makes a request the same as another. */
-export interface SameRequest {
+export interface RequestIdentity {
   readonly host: string;
   /** With its query. */
   readonly path: string;
@@ -19,7 +19,7 @@
   readonly body: Buffer;
 }
 
-export function digestOf(req: SameRequest): string {
+export function digestOf(req: RequestIdentity): string {
   const {host, path, organisation = '', body} = req;
   return createHash('sha256')
     .update(JSON.stringify([host, path, organisation]))
@@ -29,6 +29,6 @@
 }
 
 /** As log lines have it. */
-export function shownDigest(digest: string): string {
+export function shortDigest(digest: string): string {
   return digest.slice(0, SHOWN_DIGITS);
 }
--- a/src/direct/request_placement.ts
+++ b/src/direct/request_placement.ts
@@ -21,30 +21,30 @@
 /** First event of a stream without published figures. */
 const UNKNOWN_FIRST_EVENT_MS = 200;
 /** Why nothing more will come: sure where a member has started again. */
-export type PlaceLoss = 'a member restarted' | GroupLoss;
+export type PlacementLoss = 'a member restarted' | GroupLoss;
 
-export interface Place {
+export interface RequestPlacement {
   readonly replica: DirectReplica;
   readonly helpers: readonly GroupMember[];
   /** Expected time to the first event, in milliseconds. */
   readonly firstEventMs: number;
   /** Something came from the replica. */
-  heard(): void;
+  noteActivity(): void;
   /** `onLost` is called when no answer can come from here any more. */
-  watchLoss(onLost: (loss: PlaceLoss) => void): Cancel;
+  watchLoss(onLost: (loss: PlacementLoss) => void): Cancel;
   /** The first event came after `tookMs`. */
-  hasRead(tookMs: number): void;
+  firstEventReceived(tookMs: number): void;
   /** The replica refused; `faultAt` is the member at fault, if it said so. */
   refused(faultAt: string | undefined): void;
   close(): void;
 }
 
 /** Holds the plan's place; a refusal names the member's address. */
-export async function takePlace(
+export async function acquirePlacement(
   ctx: ServeContext,
   exchange: Exchange,
   plan: EnginePlan,
-): Promise<Place | {readonly refusedBy: string}> {
+): Promise<RequestPlacement | {readonly refusedBy: string}> {
   const {helpers, partTokens, first} = plan;
   const works = enterWorks(ctx, exchange, plan);
   const endWorks = () => works.forEach(work => work.end());
@@ -66,7 +66,7 @@
   const addresses = helpers.map(({replica}) => replica.address);
   return {
     replica: first.replica,
-    heard: () => group?.heard(),
+    noteActivity: () => group?.noteActivity(),
     watchLoss: onLost => {
       group?.watchLoss(loss => {
         ctx.health.failed(first.replica.id);
@@ -78,7 +78,7 @@
       group?.members ??
       addresses.map(address => ({address, reservation: undefined})),
     firstEventMs: plan.firstEventMs,
-    hasRead: tookMs => {
+    firstEventReceived: tookMs => {
       works.forEach(work => work.hasRead());
       if (helpers.length > 0) return;
       ctx.health.answered(first.replica.id, tookMs, plan.firstEventMs);
@@ -97,7 +97,7 @@
 function watchRestarts(
   ctx: ServeContext,
   members: readonly Pick<EngineCandidate, 'replica'>[],
-  onLost: (loss: PlaceLoss) => void,
+  onLost: (loss: PlacementLoss) => void,
 ): Cancel {
   const cancels = members.map(({replica}) =>
     ctx.losses.watch(replica.id, () => onLost('a member restarted')),
@@ -163,11 +163,11 @@
 }
 
 /** A place at a replica without published figures. */
-export function plainPlace(
+export function placeOnPlainService(
   ctx: ServeContext,
   exchange: Exchange,
   candidates: readonly CallCandidate[],
-): Place | undefined {
+): RequestPlacement | undefined {
   const chosen = chooseForCall(candidates, callRequestOf(ctx, exchange));
   if (chosen === undefined) return undefined;
   const {replica} = chosen;
@@ -175,11 +175,11 @@
   const work = ctx.book.enter(callWork(replica.id, pauseAimMs));
   return {
     replica,
-    heard: () => undefined,
+    noteActivity: () => undefined,
     watchLoss: onLost => watchRestarts(ctx, [chosen], onLost),
     helpers: [],
     firstEventMs: UNKNOWN_FIRST_EVENT_MS,
-    hasRead: tookMs =>
+    firstEventReceived: tookMs =>
       ctx.health.answered(replica.id, tookMs, UNKNOWN_FIRST_EVENT_MS),
     refused: () => undefined,
     close: () => work.end(),
--- a/src/direct/route_table.ts
+++ b/src/direct/route_table.ts
@@ -34,7 +34,7 @@
 }
 
 /** Draws a service by the weights; `drawn` is uniform in [0, 1). */
-export function drawService(route: Route, drawn: number): string | undefined {
+export function pickService(route: Route, drawn: number): string | undefined {
   const total = route.targets.reduce((sum, {weight}) => sum + weight, 0);
   let left = drawn * total;
   for (const {service, weight} of route.targets) {
--- a/src/direct/serve_call.ts
+++ b/src/direct/serve_call.ts
@@ -4,8 +4,8 @@
  * replica that breaks off can be replaced before the caller saw a byte.
  */
 import {DIRECT_EVENTS} from '../utils/events.js';
-import {tryCall} from './call_attempt.js';
-import type {Answered, CallOutcome} from './call_attempt.js';
+import {attemptCall} from './call_attempt.js';
+import type {BufferedAnswer, CallOutcome} from './call_attempt.js';
 import {chooseForCall} from './decide/choose_call.js';
 import type {AnswerHead} from './dispatch.js';
 import type {Exchange} from './exchange.js';
@@ -13,10 +13,10 @@
   callRequestOf,
   candidatesOf,
   giveUp,
-  loadsOf,
-  lostDigest,
-  mayTry,
-  refuseForGood,
+  withLoads,
+  brokenRunDigest,
+  mayAttempt,
+  refuseQuarantined,
   writeHead,
 } from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
@@ -34,17 +34,17 @@
   exchange: Exchange,
 ): Promise<void> {
   const tried: Tried = {any: new Set(), sent: new Set()};
-  let failure: Answered | undefined;
+  let failure: BufferedAnswer | undefined;
   ctx.budget.onFirstAttempt(ctx.retryRatio);
   while (!exchange.signal.aborted) {
     const replica = choose(ctx, exchange, tried);
-    if (replica === undefined || !mayTry(ctx, exchange)) {
+    if (replica === undefined || !mayAttempt(ctx, exchange)) {
       endUnserved(ctx, exchange, failure, replica);
       return;
     }
     logChoice(ctx, exchange, replica);
     tried.any.add(replica.id);
-    const outcome = await tryCall(ctx, exchange, replica);
+    const outcome = await attemptCall(ctx, exchange, replica);
     if (outcome.kind !== 'not-sent') tried.sent.add(replica.id);
     if (settle(ctx, exchange, replica, outcome)) return;
     if (outcome.kind === 'answered') failure = outcome;
@@ -55,7 +55,7 @@
 function endUnserved(
   ctx: ServeContext,
   exchange: Exchange,
-  failure: Answered | undefined,
+  failure: BufferedAnswer | undefined,
   replica: DirectReplica | undefined,
 ): void {
   if (failure !== undefined) {
@@ -81,9 +81,9 @@
   const candidates =
     untried.length > 0 || route.kind !== 'idempotent'
       ? untried
-      : ctx.fleet.serving(service).filter(({id}) => sent.has(id));
+      : ctx.replicas.availableFor(service).filter(({id}) => sent.has(id));
   const req = callRequestOf(ctx, exchange);
-  return chooseForCall(loadsOf(ctx, candidates), req)?.replica;
+  return chooseForCall(withLoads(ctx, candidates), req)?.replica;
 }
 
 function logChoice(
@@ -119,7 +119,7 @@
     case 'ended':
       return true;
     case 'quarantined':
-      refuseForGood(ctx, exchange);
+      refuseQuarantined(ctx, exchange);
       return true;
     case 'not-run':
     case 'not-sent':
@@ -150,7 +150,7 @@
     requestId: exchange.id,
     replica: replica.id,
     reason,
-    digest: lostDigest(exchange, kind),
+    digest: brokenRunDigest(exchange, kind),
     elapsedMs,
   });
 }
--- a/src/direct/serve_context.ts
+++ b/src/direct/serve_context.ts
@@ -12,12 +12,12 @@
 import type {RequestWorth} from './decide/request_worth.js';
 import type {AnswerHead, DispatchRequest, OpenDispatch} from './dispatch.js';
 import type {Exchange} from './exchange.js';
-import type {Fleet} from './replica_table.js';
+import type {ReplicaTable} from './replica_table.js';
 import type {Groups} from './groups.js';
 import type {LoadBook} from './load_book.js';
 import type {LookPace} from './look_pace.js';
-import {sendOwnAnswer} from './local_answers.js';
-import {shownDigest} from './request_digest.js';
+import {sendLocalAnswer} from './local_answers.js';
+import {shortDigest} from './request_digest.js';
 import type {ReplicaHealth} from './replica_health.js';
 import type {ReplicaLosses} from './replica_losses.js';
 import {QUARANTINE_MS} from './suspects.js';
@@ -36,7 +36,7 @@
   readonly codec: HeaderCodec;
   readonly dispatch: OpenDispatch;
   readonly failureDomain: string;
-  readonly fleet: Fleet;
+  readonly replicas: ReplicaTable;
   readonly health: ReplicaHealth;
   readonly losses: ReplicaLosses;
   readonly crashes: CrashWatch;
@@ -44,7 +44,7 @@
   readonly worth: RequestWorth;
   readonly fullness: Fullness | undefined;
   readonly callTimes: CallTimes;
-  readonly looks: LookPace;
+  readonly pollPace: LookPace;
   readonly groups: Groups;
   readonly budget: RetryBudget;
   /** Share of the budget that each request adds. */
@@ -61,13 +61,15 @@
   service: string,
   tried: ReadonlySet<string>,
 ): readonly DirectReplica[] {
-  const untried = ctx.fleet.serving(service).filter(({id}) => !tried.has(id));
+  const untried = ctx.replicas
+    .availableFor(service)
+    .filter(({id}) => !tried.has(id));
   const well = untried.filter(({id}) => !ctx.health.isSuspect(id));
   return well.length > 0 ? well : untried;
 }
 
 /** The replicas with what is known of their load and their pace. */
-export function loadsOf(
+export function withLoads(
   {book, health}: ServeContext,
   replicas: readonly DirectReplica[],
 ): readonly (EngineCandidate & CallCandidate)[] {
@@ -86,7 +88,7 @@
 ): CallRequest {
   return {
     failureDomain,
-    usualMs: callTimes.usualMs(service),
+    usualMs: callTimes.meanMs(service),
     aimMs: route.aimMs,
     isOnce: route.kind === 'once',
     draw: () => random.next(),
@@ -97,21 +99,24 @@
  * For the log line of a try that broke off: requests that ask the same bear the
  * same digest under all their ids.
  */
-export function lostDigest(
+export function brokenRunDigest(
   exchange: Exchange,
   outcome: string | undefined,
 ): string | undefined {
-  return outcome === 'broken' ? shownDigest(exchange.digest()) : undefined;
+  return outcome === 'broken' ? shortDigest(exchange.digest()) : undefined;
 }
 
 /** Whether the request may be sent once more. */
-export function mayTry(ctx: ServeContext, {sent, route}: Exchange): boolean {
-  if (sent === 0) return true;
-  return sent < route.maxAttempts && ctx.budget.take();
+export function mayAttempt(
+  ctx: ServeContext,
+  {attempts, route}: Exchange,
+): boolean {
+  if (attempts === 0) return true;
+  return attempts < route.maxAttempts && ctx.budget.take();
 }
 
 /** The request as the replica gets it. */
-export function dispatchRequest(
+export function buildDispatch(
   ctx: ServeContext,
   exchange: Exchange,
   replica: DirectReplica,
@@ -152,7 +157,7 @@
   | {readonly kind: 'foreign'; readonly reason: string};
 
 /** Judges a head; but for a refusal, the request may have run. */
-export function judgeHead(
+export function classifyHead(
   {codec}: ServeContext,
   exchange: Exchange,
   {status, headers}: AnswerHead,
@@ -203,7 +208,7 @@
 }
 
 /** Ends a request of a kind that crashes replicas; it is not sent on. */
-export function refuseForGood(ctx: ServeContext, exchange: Exchange): void {
+export function refuseQuarantined(ctx: ServeContext, exchange: Exchange): void {
   const reason = 'requests like this one crash replicas';
   if (exchange.mayHaveRun) {
     giveUp(ctx, exchange, reason);
@@ -211,15 +216,15 @@
   }
   ctx.log(DIRECT_EVENTS.quarantineRefused, {
     requestId: exchange.id,
-    digest: shownDigest(exchange.digest()),
+    digest: shortDigest(exchange.digest()),
   });
   ctx.metrics.count('onyxloft_direct_quarantine_refused_total', {});
   exchange.end('answered');
-  sendOwnAnswer(exchange.res, {
+  sendLocalAnswer(exchange.res, {
     status: 429,
     message: reason,
     close: ctx.isDraining(),
-    comeBackMs: QUARANTINE_MS,
+    retryAfterMs: QUARANTINE_MS,
   });
 }
 
@@ -228,7 +233,7 @@
   ctx: ServeContext,
   exchange: Exchange,
   reason: string,
-  comeBackMs?: number,
+  retryAfterMs?: number,
 ): void {
   const {res, id} = exchange;
   const ran = exchange.mayHaveRun ? 'unknown' : 'no';
@@ -236,9 +241,9 @@
     requestId: id,
     reason,
     ran,
-    sent: exchange.sent,
+    sent: exchange.attempts,
     elapsedMs: Math.round(exchange.elapsedMs()),
-    comeBackMs: comeBackMs && Math.round(comeBackMs),
+    comeBackMs: retryAfterMs && Math.round(retryAfterMs),
   });
   ctx.metrics.count('onyxloft_direct_given_up_total', {ran, reason});
   const timeUp = exchange.signal.reason === 'time is up';
@@ -249,10 +254,10 @@
     return;
   }
   const failed = timeUp ? 504 : 502;
-  sendOwnAnswer(res, {
+  sendLocalAnswer(res, {
     status: exchange.mayHaveRun ? failed : 503,
     message: reason,
     close: ctx.isDraining(),
-    comeBackMs,
+    retryAfterMs,
   });
 }
--- a/src/direct/serve_stream.ts
+++ b/src/direct/serve_stream.ts
@@ -5,17 +5,17 @@
  */
 import {DIRECT_EVENTS} from '../utils/events.js';
 import type {Exchange} from './exchange.js';
-import {openPlace} from './place_request.js';
-import type {Place} from './request_placement.js';
+import {placeRequest} from './place_request.js';
+import type {RequestPlacement} from './request_placement.js';
 import {
   giveUp,
-  lostDigest,
-  mayTry,
-  refuseForGood,
+  brokenRunDigest,
+  mayAttempt,
+  refuseQuarantined,
   writeHead,
 } from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
-import {tryStream} from './stream_attempt.js';
+import {attemptStream} from './stream_attempt.js';
 import type {StreamOutcome} from './stream_attempt.js';
 import {startProgress} from './stream_progress.js';
 import type {StreamProgress} from './stream_progress.js';
@@ -29,14 +29,14 @@
   const progress = startProgress(exchange);
   ctx.budget.onFirstAttempt(ctx.retryRatio);
   while (!exchange.signal.aborted) {
-    if (!mayTry(ctx, exchange)) {
+    if (!mayAttempt(ctx, exchange)) {
       giveUp(ctx, exchange, 'no more attempts');
       return;
     }
-    const opened = await openPlace(ctx, exchange, tried);
+    const opened = await placeRequest(ctx, exchange, tried);
     if (opened.kind === 'none') {
-      const {reason, comeBackMs} = opened;
-      if (!exchange.signal.aborted) giveUp(ctx, exchange, reason, comeBackMs);
+      const {reason, retryAfterMs} = opened;
+      if (!exchange.signal.aborted) giveUp(ctx, exchange, reason, retryAfterMs);
       return;
     }
     const {place} = opened;
@@ -50,12 +50,12 @@
 async function tryAt(
   ctx: ServeContext,
   exchange: Exchange,
-  place: Place,
+  place: RequestPlacement,
   progress: StreamProgress,
 ): Promise<StreamOutcome> {
   try {
     if (exchange.signal.aborted) return {kind: 'ended'};
-    return await tryStream(ctx, exchange, place, progress);
+    return await attemptStream(ctx, exchange, place, progress);
   } finally {
     place.close();
   }
@@ -65,7 +65,7 @@
 function settle(
   ctx: ServeContext,
   exchange: Exchange,
-  place: Place,
+  place: RequestPlacement,
   outcome: StreamOutcome,
   progress: StreamProgress,
 ): boolean {
@@ -80,7 +80,7 @@
     case 'ended':
       return true;
     case 'quarantined':
-      refuseForGood(ctx, exchange);
+      refuseQuarantined(ctx, exchange);
       return true;
     case 'failure':
       if (res.headersSent) break;
@@ -97,7 +97,7 @@
     reason,
     faultAt: 'faultAt' in outcome ? outcome.faultAt : undefined,
     events: progress.events,
-    digest: lostDigest(exchange, outcome.kind),
+    digest: brokenRunDigest(exchange, outcome.kind),
     elapsedMs: Math.round(exchange.elapsedMs()),
   });
   ctx.metrics.count('onyxloft_direct_tries_failed_total', {
@@ -121,7 +121,7 @@
     events: progress.events,
     firstEventMs: Math.round(progress.firstEventMs),
     longestPauseMs: Math.round(progress.longestPauseMs),
-    sent: exchange.sent,
+    sent: exchange.attempts,
     elapsedMs: Math.round(exchange.elapsedMs()),
   });
 }
--- a/src/direct/serving.ts
+++ b/src/direct/serving.ts
@@ -15,12 +15,12 @@
 import {readMs} from './decide/engine_timing.js';
 import type {Fullness} from './decide/place_or_wait.js';
 import {createRequestWorth, sizeOf} from './decide/request_worth.js';
-import type {Dial} from './port_probe.js';
+import type {ProbePort} from './port_probe.js';
 import type {OpenDispatch} from './dispatch.js';
 import {openExchange} from './exchange.js';
-import type {Admitted, Exchange} from './exchange.js';
-import {createFleet} from './replica_table.js';
-import type {Fleet} from './replica_table.js';
+import type {AdmittedRequest, Exchange} from './exchange.js';
+import {createReplicaTable} from './replica_table.js';
+import type {ReplicaTable} from './replica_table.js';
 import {createGroups} from './groups.js';
 import {createLoadBook} from './load_book.js';
 import type {LoadBook} from './load_book.js';
@@ -29,7 +29,7 @@
 import {createReplicaHealth} from './replica_health.js';
 import {createReplicaLosses} from './replica_losses.js';
 import {serveCall} from './serve_call.js';
-import {giveUp, refuseForGood} from './serve_context.js';
+import {giveUp, refuseQuarantined} from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
 import {serveStream} from './serve_stream.js';
 import type {DirectSettings} from './settings.js';
@@ -52,7 +52,7 @@
   readonly random: Random;
   readonly codec: HeaderCodec;
   readonly dispatch: OpenDispatch;
-  readonly dial: Dial;
+  readonly probePort: ProbePort;
   /** Name of this entry. */
   readonly node: string;
   readonly orders: Reservations;
@@ -69,9 +69,9 @@
   readonly fullness?: Fullness;
   isDraining(): boolean;
   /** Tells the other entries what this one has assigned, a long read among it. */
-  share(loads: readonly ReplicaLoad[], isLong: boolean): void;
+  shareLoads(loads: readonly ReplicaLoad[], isLong: boolean): void;
   /** Tells them of requests that may crash replicas. */
-  tellCrashes(reports: readonly CrashReport[]): void;
+  shareCrashReports(reports: readonly CrashReport[]): void;
   /** See `CrashWatchOptions`. */
   readonly quarantine: Pick<
     CrashWatchOptions,
@@ -80,20 +80,20 @@
 }
 
 export interface Serving {
-  readonly fleet: Fleet;
+  readonly replicas: ReplicaTable;
   readonly book: LoadBook;
-  readonly crashes: Pick<CrashWatch, 'merge' | 'release' | 'next'>;
+  readonly crashes: Pick<CrashWatch, 'merge' | 'release' | 'nextReports'>;
   /** Serves to the final answer. */
   serve(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     req: IncomingMessage,
     res: ServerResponse,
     arrivedAt: number,
   ): void;
   /** Entries that are there, with this one. */
-  setEntries(count: number): void;
+  setEntryCount(count: number): void;
   /** Requests without a final answer. */
-  open(): number;
+  openRequests(): number;
   state(): {
     readonly entries: number;
     readonly retriesLeft: number;
@@ -110,31 +110,31 @@
   const worth = createRequestWorth();
   const health = createReplicaHealth(clock);
   const losses = createReplicaLosses();
-  const fleet = createFleet({
+  const replicas = createReplicaTable({
     clock,
-    onGone: ({id, leaving}, mayHaveLapsed) => {
+    onRemoved: ({id, leaving}, mayHaveLapsed) => {
       health.forget(id);
-      if (!leaving && !mayHaveLapsed) crashes.recordGone(id);
+      if (!leaving && !mayHaveLapsed) crashes.recordRemoved(id);
     },
     onRestarted: ({id, leaving}, now) => {
       log(DIRECT_EVENTS.replicaRestarted, {replica: id, now: now.id});
       health.forget(id);
       if (!leaving) crashes.replicaEnded(id);
-      losses.lost(id);
+      losses.notifyLost(id);
     },
   });
   const news = new Map<string, CrashReport>();
   const tellCrashes = createBatcher(clock, () => {
-    options.tellCrashes([...news.values()]);
+    options.shareCrashReports([...news.values()]);
     news.clear();
   });
   const crashes = createCrashWatch({
     clock,
     log,
-    dial: options.dial,
+    probePort: options.probePort,
     node: options.node,
-    isLeaving: fleet.isLeaving,
-    tell: report => {
+    isLeaving: replicas.isLeaving,
+    shareReport: report => {
       news.set(report.digest, report);
       tellCrashes(SHARE_MORE_MS);
     },
@@ -142,7 +142,7 @@
   });
   let isLong = false;
   const shareLater = createBatcher(clock, () => {
-    options.share(book.own(), isLong);
+    options.shareLoads(book.own(), isLong);
     isLong = false;
   });
   const book = createLoadBook(clock, change => {
@@ -157,7 +157,7 @@
     codec,
     dispatch,
     failureDomain: options.failureDomain,
-    fleet,
+    replicas,
     health,
     losses,
     crashes,
@@ -165,7 +165,7 @@
     worth,
     fullness: options.fullness,
     callTimes: createCallTimes(),
-    looks: createLookPace(),
+    pollPace: createLookPace(),
     groups: createGroups({
       clock,
       log,
@@ -180,7 +180,7 @@
     isDraining: options.isDraining,
   };
 
-  const weigh = ({config, service, route, facts}: Admitted): number => {
+  const weigh = ({config, service, route, facts}: AdmittedRequest): number => {
     const figures = config.services.get(service)?.engine;
     const ms =
       figures === undefined ? 0 : readMs(figures, facts.promptTokens, 1);
@@ -192,7 +192,7 @@
       const isTrial = await crashes.claimTrial(exchange);
       if (exchange.signal.aborted) return;
       if (!isTrial) {
-        refuseForGood(ctx, exchange);
+        refuseQuarantined(ctx, exchange);
         return;
       }
     }
@@ -231,20 +231,20 @@
   };
 
   return {
-    fleet,
+    replicas,
     book,
     crashes,
     serve,
-    setEntries: count => {
+    setEntryCount: count => {
       entries = count;
     },
-    open: () => open.size,
+    openRequests: () => open.size,
     state: () => ({
       entries,
       retriesLeft: ctx.budget.left(),
-      memoryLeases: ctx.groups.held(),
-      suspects: crashes.size(),
-      quarantined: crashes.quarantined(),
+      memoryLeases: ctx.groups.reservationCount(),
+      suspects: crashes.suspectCount(),
+      quarantined: crashes.quarantinedCount(),
     }),
   };
 }
--- a/src/direct/stream_attempt.ts
+++ b/src/direct/stream_attempt.ts
@@ -6,10 +6,10 @@
 import {createEventSplitter} from './event_splitter.js';
 import type {StreamEvent} from './event_splitter.js';
 import type {Exchange} from './exchange.js';
-import type {Place, PlaceLoss} from './request_placement.js';
-import {dispatchRequest, judgeHead, writeHead} from './serve_context.js';
+import type {RequestPlacement, PlacementLoss} from './request_placement.js';
+import {buildDispatch, classifyHead, writeHead} from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
-import {enterEvent, hasEvent} from './stream_progress.js';
+import {recordEvent, hasEvent} from './stream_progress.js';
 import type {StreamProgress} from './stream_progress.js';
 import {watchSilence} from './stream_silence.js';
 
@@ -28,10 +28,10 @@
   | {readonly kind: 'ended'};
 
 /** Sends the request and hands events on until the try ends. */
-export function tryStream(
+export function attemptStream(
   ctx: ServeContext,
   exchange: Exchange,
-  place: Place,
+  place: RequestPlacement,
   progress: StreamProgress,
 ): Promise<StreamOutcome> {
   const {isTrial} = exchange;
@@ -43,7 +43,7 @@
   const {replica} = place;
   const startedAt = clock.now();
   const splitter = createEventSplitter();
-  exchange.sent++;
+  exchange.attempts++;
 
   return new Promise(resolve => {
     let head: AnswerHead | undefined;
@@ -59,7 +59,7 @@
     };
     const breakOff = (reason: string) => {
       health.failed(replica.id);
-      ctx.crashes.broke(exchange, replica);
+      ctx.crashes.runBroken(exchange, replica);
       leave(reason);
     };
     const leave = (reason: string) => {
@@ -67,22 +67,22 @@
       dispatch.cancel();
       finish({kind: 'broken', reason});
     };
-    const onLost = (loss: PlaceLoss) => {
+    const onLost = (loss: PlacementLoss) => {
       // An engine that begins without the group's memory refuses as not run,
       // and only such a refusal lets a stream go on that may run once.
       const isOnce = exchange.route.kind !== 'resumable-stream';
       if (loss !== 'a member restarted' && isOnce) return;
-      ctx.crashes.left(exchange, replica);
+      ctx.crashes.runCancelled(exchange, replica);
       leave(loss);
     };
     const onAbort = () => {
       exchange.mayHaveRun = true;
-      ctx.crashes.left(exchange, replica);
+      ctx.crashes.runCancelled(exchange, replica);
       dispatch.cancel();
       finish({kind: 'ended'});
     };
     const onHead = (came: AnswerHead) => {
-      const verdict = judgeHead(ctx, exchange, came);
+      const verdict = classifyHead(ctx, exchange, came);
       head = came;
       if (verdict.kind === 'failure') failure = [];
       if (verdict.kind === 'foreign') breakOff(verdict.reason);
@@ -94,7 +94,7 @@
     const writeEvent = ({bytes, id}: StreamEvent) => {
       if (hasEvent(progress, id)) return;
       if (!res.headersSent && head !== undefined) writeHead(ctx, res, head);
-      enterEvent(metrics, exchange, progress, id, clock.now());
+      recordEvent(metrics, exchange, progress, id, clock.now());
       if (res.write(bytes)) return;
       dispatch.pause();
       res.once('drain', () => dispatch.resume());
@@ -110,21 +110,22 @@
         return;
       }
       for (const event of splitter.push(chunk)) {
-        if (eventsHere++ === 0) place.hasRead(clock.now() - startedAt);
+        if (eventsHere++ === 0)
+          place.firstEventReceived(clock.now() - startedAt);
         writeEvent(event);
       }
       silence.onEvent();
-      place.heard();
+      place.noteActivity();
     };
     const onEnd = () => {
       if (head === undefined) return;
       if (failure !== undefined) {
         health.failed(replica.id);
         finish({kind: 'failure', head, body: Buffer.concat(failure)});
-      } else if (splitter.rest() > 0) {
+      } else if (splitter.pendingBytes() > 0) {
         breakOff('ended within an event');
       } else {
-        ctx.crashes.ranWell(exchange);
+        ctx.crashes.runSucceeded(exchange);
         finish({kind: 'whole', head});
       }
     };
@@ -132,9 +133,9 @@
       health.failed(replica.id);
       if (sent) {
         exchange.mayHaveRun = true;
-        ctx.crashes.broke(exchange, replica);
+        ctx.crashes.runBroken(exchange, replica);
       } else {
-        exchange.sent--;
+        exchange.attempts--;
         exchange.isTrial = isTrial;
       }
       finish({kind: sent ? 'broken' : 'not-sent', reason});
@@ -146,7 +147,7 @@
     const lastEventId =
       progress.events > 0 ? String(progress.lastId) : undefined;
     const dispatch = ctx.dispatch(
-      dispatchRequest(ctx, exchange, replica, lastEventId, place.helpers),
+      buildDispatch(ctx, exchange, replica, lastEventId, place.helpers),
       clock,
       {onHead, onData, onEnd, onBroken},
     );
--- a/src/direct/stream_progress.ts
+++ b/src/direct/stream_progress.ts
@@ -32,7 +32,7 @@
 }
 
 /** Enters an event that goes to the caller now. */
-export function enterEvent(
+export function recordEvent(
   metrics: Metrics,
   {facts}: Exchange,
   progress: StreamProgress,
--- a/src/direct/stream_silence.ts
+++ b/src/direct/stream_silence.ts
@@ -29,8 +29,8 @@
 }
 
 /** Whether another replica may be tried in place of one that is silent. */
-function mayGoOn({route, sent}: Exchange): boolean {
-  return route.kind === 'resumable-stream' && sent < route.maxAttempts;
+function mayGoOn({route, attempts}: Exchange): boolean {
+  return route.kind === 'resumable-stream' && attempts < route.maxAttempts;
 }
 
 /** `onSilent` is called once, and only while another replica may be tried. */
--- a/src/direct/suspects.ts
+++ b/src/direct/suspects.ts
@@ -9,7 +9,7 @@
  * the same in any order.
  */
 import type {Clock} from '../types/runtime.js';
-import {ENDED_MOST} from './crash_reports.js';
+import {MAX_ENDED_REPLICAS} from './crash_reports.js';
 import type {CrashReport} from './crash_reports.js';
 
 /** Replicas that a request may end before it is refused. */
@@ -52,7 +52,7 @@
   /** Name of this entry. */
   readonly self: string;
   /** Something is known here that the other entries should hear of. */
-  onNews(report: CrashReport): void;
+  onChanged(report: CrashReport): void;
   /** It is refused from now on; `isOwn` where this entry saw the last crash. */
   onQuarantined(report: CrashReport, isOwn: boolean): void;
   /** It is refused no longer; `isOwn` where the last good run was here. */
@@ -61,11 +61,11 @@
 
 export interface Suspects {
   /** A replica, named by its start, ended while it ran the request. */
-  ended(digest: string, replicaId: string): void;
+  replicaEnded(digest: string, replicaId: string): void;
   /** A run of it ended well. */
-  ranWell(digest: string): void;
+  runSucceeded(digest: string): void;
   /** A replica has ended under it. */
-  isKnown(digest: string): boolean;
+  isSuspect(digest: string): boolean;
   isQuarantined(digest: string): boolean;
   /** Number of the trial that is due, from 0; undefined for none. */
   dueTrial(digest: string): number | undefined;
@@ -76,9 +76,9 @@
   /** An operator has released it. */
   release(digest: string): void;
   /** The next few, in turn, to tell another entry. */
-  next(count: number): readonly CrashReport[];
-  size(): number;
-  quarantined(): number;
+  nextReports(count: number): readonly CrashReport[];
+  suspectCount(): number;
+  quarantinedCount(): number;
 }
 
 export function createSuspects(options: SuspectsOptions): Suspects {
@@ -152,18 +152,18 @@
     }
     // Runs that ended well here are unknown to the one that told of it.
     const isNews = before === undefined && suspect.good.has(self);
-    if (isNews) options.onNews(reportOf(digest, suspect));
+    if (isNews) options.onChanged(reportOf(digest, suspect));
     judge(digest, suspect, false);
   };
 
   return {
-    ended: (digest, replicaId) => {
+    replicaEnded: (digest, replicaId) => {
       const suspect = of(digest) ?? add(digest);
       if (!addEnded(suspect, replicaId, clock.now())) return;
-      options.onNews(reportOf(digest, suspect));
+      options.onChanged(reportOf(digest, suspect));
       judge(digest, suspect, true);
     },
-    ranWell: digest => {
+    runSucceeded: digest => {
       const suspect = of(digest);
       if (suspect === undefined) {
         good.add(digest);
@@ -178,10 +178,10 @@
       const count = (suspect.good.get(self) ?? 0) + 1;
       suspect.good.set(self, count);
       // A request that is asked often would be told of at each of its runs.
-      if (isPowerOfTwo(count)) options.onNews(reportOf(digest, suspect));
+      if (isPowerOfTwo(count)) options.onChanged(reportOf(digest, suspect));
       judge(digest, suspect, true);
     },
-    isKnown: digest => of(digest) !== undefined,
+    isSuspect: digest => of(digest) !== undefined,
     isQuarantined: digest => of(digest)?.quarantinedAt !== undefined,
     dueTrial: digest => {
       const suspect = of(digest);
@@ -203,15 +203,15 @@
     },
     merge: reports => reports.forEach(mergeOne),
     release: drop,
-    next: count => {
+    nextReports: count => {
       const all = [...suspects].filter(([, suspect]) => !isOver(suspect));
       const from = all.length === 0 ? 0 : told % all.length;
       const some = [...all.slice(from), ...all.slice(0, from)].slice(0, count);
       told = from + some.length;
       return some.map(([digest, suspect]) => reportOf(digest, suspect));
     },
-    size: () => suspects.size,
-    quarantined: () =>
+    suspectCount: () => suspects.size,
+    quarantinedCount: () =>
       [...suspects.values()].filter(it => it.quarantinedAt !== undefined)
         .length,
   };
@@ -225,7 +225,7 @@
 /** False when it was known, or there are enough. */
 function addEnded(suspect: Suspect, replicaId: string, at: number): boolean {
   const {ended} = suspect;
-  if (ended.has(replicaId) || ended.size >= ENDED_MOST) return false;
+  if (ended.has(replicaId) || ended.size >= MAX_ENDED_REPLICAS) return false;
   ended.add(replicaId);
   suspect.endedAt = at;
   return true;
--- a/src/direct_main.ts
+++ b/src/direct_main.ts
@@ -4,7 +4,7 @@
  */
 import type {DirectSettings} from './direct/settings.js';
 import {wireDirectEntry} from './direct_wiring.js';
-import type {DirectParts} from './direct_wiring.js';
+import type {DirectDependencies} from './direct_wiring.js';
 import type {Runtime} from './types/runtime.js';
 import {createBoundedSink} from './utils/bounded_sink.js';
 import {createProcessClock, createProcessRandom} from './utils/clock.js';
@@ -17,12 +17,14 @@
 const FLUSH_MS = 20;
 
 /** Makes what the platform brings, with the process's clock and metrics. */
-export type MakeParts = (runtime: Runtime) => Omit<DirectParts, 'settings'>;
+export type CreateDependencies = (
+  runtime: Runtime,
+) => Omit<DirectDependencies, 'settings'>;
 
 /** Runs until SIGTERM. */
 export function runDirectEntry(
   settings: DirectSettings,
-  makeParts: MakeParts,
+  makeParts: CreateDependencies,
 ): void {
   const metrics = createMetrics();
   const log = createProcessLog({
@@ -48,7 +50,7 @@
         const limitMs = settings.timing.graceS * 1_000;
         log(KERNEL_EVENTS.drainStarted, {signal, limitMs});
         void wired.drain().then(async () => {
-          const open = await wired.open();
+          const open = await wired.openRequests();
           log(KERNEL_EVENTS.drainEnded, {why: 'drained', open});
           runtime.clock.after(FLUSH_MS, () => process.exit(0));
         });
--- a/src/direct_wiring.ts
+++ b/src/direct_wiring.ts
@@ -36,7 +36,7 @@
 const UNUSED_SHARE = 0.5;
 
 /** What the platform's folder brings. */
-export interface DirectParts {
+export interface DirectDependencies {
   readonly settings: DirectSettings;
   readonly store: DirectStore;
   readonly codec: HeaderCodec;
@@ -50,12 +50,12 @@
   readonly kernel: Kernel;
   /** Takes no new work; resolves when what is in progress has ended. */
   drain(): Promise<void>;
-  open(): Promise<number>;
+  openRequests(): Promise<number>;
 }
 
 /** Starts all services of a direct entry. */
 export async function wireDirectEntry(
-  parts: DirectParts,
+  parts: DirectDependencies,
   runtime: Runtime,
 ): Promise<DirectProcess> {
   const {settings, store} = parts;
@@ -104,7 +104,7 @@
         kind: 'drain',
         reply: () => reply(),
       })),
-    open: () =>
+    openRequests: () =>
       kernel.ask('direct', (reply: (open: number) => void) => ({
         kind: 'count',
         reply,
--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -126,10 +126,10 @@
 describe('the usual time of a call', () => {
   test('is learned by service', () => {
     const times = createCallTimes();
-    for (let call = 0; call < 200; call++) times.took('fast', 5);
-    times.took('slow', 400);
-    expect(times.usualMs('fast')).toBeCloseTo(5);
-    expect(times.usualMs('slow')).toBe(400);
-    expect(times.usualMs('unknown')).toBe(50);
+    for (let call = 0; call < 200; call++) times.record('fast', 5);
+    times.record('slow', 400);
+    expect(times.meanMs('fast')).toBeCloseTo(5);
+    expect(times.meanMs('slow')).toBe(400);
+    expect(times.meanMs('unknown')).toBe(50);
   });
 });
--- a/test/direct/group_memory.test.ts
+++ b/test/direct/group_memory.test.ts
@@ -183,7 +183,7 @@
   test('is kept while events come', async () => {
     const {clock, open, heldNow} = rig();
     const group = await open();
-    const stop = clock.every(100, () => group.heard());
+    const stop = clock.every(100, () => group.noteActivity());
     await clock.runFor(2 * UNUSED_MS);
     stop();
     expect(heldNow()).toBe(HELPERS.length);
--- a/test/direct/parts.test.ts
+++ b/test/direct/parts.test.ts
@@ -2,11 +2,11 @@
 import {describe, expect, test} from 'vitest';
 import {createEventSplitter} from '../../src/direct/event_splitter.js';
 import {createEvidence} from '../../src/direct/evidence.js';
-import {createFleet} from '../../src/direct/replica_table.js';
+import {createReplicaTable} from '../../src/direct/replica_table.js';
 import {callWork, createLoadBook} from '../../src/direct/load_book.js';
 import {packLoads, unpackLoads} from '../../src/direct/load_codec.js';
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
-import {drawService} from '../../src/direct/route_table.js';
+import {pickService} from '../../src/direct/route_table.js';
 import type {DirectReplica, Route} from '../../src/direct/types.js';
 import {createBoundedSink} from '../../src/utils/bounded_sink.js';
 import {createMetrics} from '../../src/utils/metrics.js';
@@ -22,7 +22,7 @@
         splitter.push(Buffer.from(piece)),
       );
       expect(events.map(({id}) => id)).toEqual([1, 2]);
-      expect(splitter.rest()).toBe('id: 3\ndata'.length);
+      expect(splitter.pendingBytes()).toBe('id: 3\ndata'.length);
     }
   });
 });
@@ -102,13 +102,13 @@
     leaving: false,
   });
   const fleetOn = (clock: VirtualClock) =>
-    createFleet({
+    createReplicaTable({
       clock,
-      onGone: () => undefined,
+      onRemoved: () => undefined,
       onRestarted: () => undefined,
     });
-  const ids = (fleet: ReturnType<typeof createFleet>) =>
-    fleet.serving('s').map(({id}) => id);
+  const ids = (fleet: ReturnType<typeof createReplicaTable>) =>
+    fleet.availableFor('s').map(({id}) => id);
 
   test('that lapsed in an outage serve for a while, those removed do not', async () => {
     const clock = createVirtualClock();
@@ -121,7 +121,7 @@
     expect(ids(fleet)).toEqual([]);
     await clock.advance(5_000);
     fleet.setAll(new Map([['b', replica('b')]]));
-    fleet.change(new Map([['b', undefined]]));
+    fleet.applyChanges(new Map([['b', undefined]]));
     expect(ids(fleet)).toEqual([]);
   });
 
@@ -154,7 +154,7 @@
         {service: 'b', weight: 10},
       ],
     } as unknown as Route;
-    expect([0, 0.89, 0.9, 0.99].map(at => drawService(route, at))).toEqual([
+    expect([0, 0.89, 0.9, 0.99].map(at => pickService(route, at))).toEqual([
       'a',
       'a',
       'b',
--- a/test/direct/restarts.test.ts
+++ b/test/direct/restarts.test.ts
@@ -1,6 +1,6 @@
 /** Replicas that start again under their name, as callers see it. */
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
-import {createFleet} from '../../src/direct/replica_table.js';
+import {createReplicaTable} from '../../src/direct/replica_table.js';
 import type {DirectReplica} from '../../src/direct/types.js';
 import {DIRECT_EVENTS} from '../../src/utils/events.js';
 import {announce} from '../../standins/users_platform/deployment.js';
@@ -122,14 +122,14 @@
   function setUp() {
     const clock = createVirtualClock();
     const restarted: string[] = [];
-    const one = createFleet({
+    const one = createReplicaTable({
       clock,
-      onGone: () => undefined,
+      onRemoved: () => undefined,
       onRestarted: ({id}, now) => restarted.push(`${id} to ${now.id}`),
     });
     const put = (startedAt: number | undefined) =>
-      one.change(new Map([['a', start(startedAt)]]));
-    const serving = () => one.serving('s').map(({id}) => id);
+      one.applyChanges(new Map([['a', start(startedAt)]]));
+    const serving = () => one.availableFor('s').map(({id}) => id);
     return {clock, fleet: one, put, serving, restarted};
   }
 
@@ -151,7 +151,7 @@
   test('that come back after a removal end it too', () => {
     const {fleet: one, put, restarted} = setUp();
     put(5);
-    one.change(new Map([['a', undefined]]));
+    one.applyChanges(new Map([['a', undefined]]));
     put(6);
     expect(restarted).toEqual(['a@5 to a@6']);
   });
--- a/test/direct/restored_store.test.ts
+++ b/test/direct/restored_store.test.ts
@@ -3,7 +3,7 @@
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createConfigProof} from '../../src/direct/config_proof.js';
 import {createCover} from '../../src/direct/cover.js';
-import {createFleet} from '../../src/direct/replica_table.js';
+import {createReplicaTable} from '../../src/direct/replica_table.js';
 import {createStoreEras} from '../../src/direct/store_eras.js';
 import type {DirectReplica, EntryAnswer} from '../../src/direct/types.js';
 import {DIRECT_EVENTS} from '../../src/utils/events.js';
@@ -36,13 +36,13 @@
 
   function fleetOf(...replicas: readonly DirectReplica[]) {
     const clock = createVirtualClock();
-    const fleet = createFleet({
+    const fleet = createReplicaTable({
       clock,
-      onGone: () => undefined,
+      onRemoved: () => undefined,
       onRestarted: () => undefined,
     });
     fleet.setAll(byName(...replicas));
-    const names = () => fleet.serving('pool').map(({name}) => name);
+    const names = () => fleet.availableFor('pool').map(({name}) => name);
     return {clock, fleet, names};
   }
 
@@ -51,10 +51,10 @@
   test('stay unused when they were leaving', async () => {
     const {clock, fleet, names} = fleetOf(replica('a'), replica('b', true));
     await clock.runFor(100);
-    fleet.restored();
+    fleet.storeRestored();
     fleet.setAll(byName(replica('a'), replica('b')));
     expect(names()).toEqual(['a']);
-    fleet.change(byName(replica('b', true)));
+    fleet.applyChanges(byName(replica('b', true)));
     await clock.runFor(DOUBT_MS);
     expect(names()).toEqual(['a']);
   });
@@ -62,9 +62,9 @@
   // One that had gone is alive by the copy until its record lapses there.
   test('stay gone when they were gone', async () => {
     const {clock, fleet, names} = fleetOf(replica('a'), replica('b'));
-    fleet.change(new Map([['b', undefined]]));
+    fleet.applyChanges(new Map([['b', undefined]]));
     await clock.runFor(100);
-    fleet.restored();
+    fleet.storeRestored();
     fleet.setAll(byName(replica('a'), replica('b')));
     expect(names()).toEqual(['a']);
     fleet.setAll(byName(replica('a')));
@@ -74,17 +74,17 @@
 
   test('are used again as soon as they write so themselves', () => {
     const {fleet, names} = fleetOf(replica('a'), replica('b'));
-    fleet.change(new Map([['b', undefined]]));
-    fleet.restored();
+    fleet.applyChanges(new Map([['b', undefined]]));
+    fleet.storeRestored();
     fleet.setAll(byName(replica('a'), replica('b')));
-    fleet.change(byName(replica('b')));
+    fleet.applyChanges(byName(replica('b')));
     expect(names().sort()).toEqual(['a', 'b']);
   });
 
   // No write of its own comes; what the store goes on saying is the truth then.
   test('are used again when the store says so for long', async () => {
     const {clock, fleet, names} = fleetOf(replica('a'), replica('b', true));
-    fleet.restored();
+    fleet.storeRestored();
     fleet.setAll(byName(replica('a'), replica('b')));
     await clock.runFor(DOUBT_MS);
     expect(names().sort()).toEqual(['a', 'b']);
@@ -93,7 +93,7 @@
   // Its record is younger than the copy. It writes again within two seconds.
   test('are used on for a while when the copy knows none of them', () => {
     const {fleet, names} = fleetOf(replica('a'));
-    fleet.restored();
+    fleet.storeRestored();
     fleet.setAll(new Map());
     expect(names()).toEqual(['a']);
   });
--- a/test/direct/suspects.test.ts
+++ b/test/direct/suspects.test.ts
@@ -16,7 +16,7 @@
   const suspects = createSuspects({
     clock,
     self,
-    onNews: report => news.push(report),
+    onChanged: report => news.push(report),
     onQuarantined: (_report, isOwn) => quarantined.push(isOwn),
     onCleared: () => undefined,
   });
@@ -24,7 +24,7 @@
 }
 
 function endUnder(suspects: Suspects, ...replicas: readonly string[]): void {
-  for (const replica of replicas) suspects.ended(A, replica);
+  for (const replica of replicas) suspects.replicaEnded(A, replica);
 }
 
 describe('a request under which replicas ended', () => {
@@ -46,7 +46,7 @@
   // Three replicas of a domain that is lost run what is asked all the time.
   test('is not refused when it ran well just before', () => {
     const {suspects} = entry();
-    suspects.ranWell(A);
+    suspects.runSucceeded(A);
     endUnder(suspects, 'r1', 'r2', 'r3');
     expect(suspects.isQuarantined(A)).toBe(false);
   });
@@ -54,7 +54,7 @@
   test('is served again when a run of it ends well', () => {
     const {suspects} = entry();
     endUnder(suspects, 'r1', 'r2', 'r3');
-    suspects.ranWell(A);
+    suspects.runSucceeded(A);
     expect(suspects.isQuarantined(A)).toBe(false);
   });
 
@@ -62,7 +62,7 @@
   test('is not refused when it ran well at another entry', () => {
     const one = entry('entry-1');
     const two = entry('entry-2');
-    two.suspects.ranWell(A);
+    two.suspects.runSucceeded(A);
     endUnder(one.suspects, 'r1', 'r2', 'r3');
     two.suspects.merge(one.news);
     one.suspects.merge(two.news);
@@ -117,10 +117,10 @@
     const {suspects} = entry();
     endUnder(suspects, 'r1', 'r2', 'r3');
     for (let at = 0; at < 5_000; at++) {
-      suspects.ended(at.toString(16).padStart(32, '0'), `other-${at}`);
+      suspects.replicaEnded(at.toString(16).padStart(32, '0'), `other-${at}`);
     }
     expect(suspects.isQuarantined(A)).toBe(true);
-    expect(suspects.size()).toBe(1_000);
+    expect(suspects.suspectCount()).toBe(1_000);
   });
 });
 
@@ -146,24 +146,24 @@
           for (const {at, digest, replica, isGood} of steps) {
             const {suspects} = entries[at];
             const mayRun = !suspects.isQuarantined(digest);
-            if (isGood && mayRun && suspects.isKnown(digest)) {
-              suspects.ranWell(digest);
+            if (isGood && mayRun && suspects.isSuspect(digest)) {
+              suspects.runSucceeded(digest);
               good.set(digest, (good.get(digest) ?? 0) + 1);
             } else if (!isGood) {
-              suspects.ended(digest, replica);
+              suspects.replicaEnded(digest, replica);
               ended.get(digest)?.add(replica);
             }
             const [from] = draws.next().value === 0 ? entries : [];
-            entries[at].suspects.merge(from?.suspects.next(2) ?? []);
+            entries[at].suspects.merge(from?.suspects.nextReports(2) ?? []);
           }
           for (const one of entries) {
             for (const other of entries) {
-              one.suspects.merge(other.suspects.next(10));
+              one.suspects.merge(other.suspects.nextReports(10));
             }
           }
           for (const one of entries) {
             for (const other of entries) {
-              one.suspects.merge(other.suspects.next(10));
+              one.suspects.merge(other.suspects.nextReports(10));
             }
           }
           for (const digest of digests) {
