--- a/src/direct/admit_request.ts
+++ b/src/direct/admit_request.ts
@@ -1,41 +1,55 @@
-/** Decides whether a request may be served, and reads its body. */
+/**
+ * Checks a caller's request against the limits, the routes and the keys of the
+ * configuration, and reads its body. The request is served or refused
+ * accordingly.
+ */
 import type {IncomingMessage} from 'node:http';
 import type {AdmittedRequest} from './exchange.js';
 import type {LocalAnswer} from './local_answers.js';
 import {pickService, findRoute} from './route_table.js';
 import type {CallerLimits, DirectConfig, HeaderCodec} from './types.js';
 
-/** All that were refused for one reason would come back in the same instant. */
-const COME_BACK_SPREAD_MS = 500;
+/**
+ * Upper bound of the random delay that is added to a retry time. Without it all
+ * callers that were refused for one reason would retry at the same instant.
+ */
+const RETRY_SPREAD_MS = 500;
 
-/** A refusal, before the connection's fate is known. */
+/** A refusal for which nothing has decided yet whether the connection closes. */
 export type Refusal = Omit<LocalAnswer, 'close'>;
 
 export interface AdmitOptions {
   readonly codec: HeaderCodec;
+  /** Uniform in [0, 1). */
   readonly random: () => number;
-  /** Whether keys may be taken as valid now; may wait for the store. */
+  /**
+   * Whether the known keys are recent enough to be accepted. May wait for an
+   * answer of the store.
+   */
   readonly keysAreFresh: () => Promise<boolean>;
-  /** No key can be confirmed for so long; 0 where they can. */
+  /**
+   * Time until keys can be confirmed again, in milliseconds; 0 when they can be
+   * confirmed now.
+   */
   readonly keysUnconfirmedMs: () => number;
   /** The newest configuration. */
   readonly config: () => DirectConfig | undefined;
 }
 
-/** The request if it may be served, or why not. */
+/** Returns the admitted request, or the refusal to answer it with. */
 export async function admitRequest(
   options: AdmitOptions,
   req: IncomingMessage,
 ): Promise<AdmittedRequest | Refusal> {
-  const before = options.config();
-  if (before === undefined) return refused(503, 'no configuration yet');
-  const early = findFault(before.limits, req);
-  if (early !== undefined) return early;
-  const body = await readBody(req, before.limits.maxBodyBytes);
+  const earlyConfig = options.config();
+  if (earlyConfig === undefined) return refused(503, 'no configuration yet');
+  const refusal = checkHeaders(earlyConfig.limits, req);
+  if (refusal !== undefined) return refusal;
+  const body = await readBody(req, earlyConfig.limits.maxBodyBytes);
   if (body === undefined) return refused(413, 'the body is too large');
   const fresh = await options.keysAreFresh();
-  // What came while the body was read, or the store was asked, counts.
-  const config = options.config() ?? before;
+  // A configuration that arrived during the body or the store call applies.
+  const config = options.config() ?? earlyConfig;
   return authorise(options, config, req, body, fresh);
 }
 
@@ -49,7 +63,7 @@
   const facts = options.codec.readRequest(req.headers);
   if (facts.id === undefined) return refused(400, 'the request has no id');
   const route = findRoute(config, req.headers.host ?? '', req.url ?? '');
-  // An old configuration may lack a route or key that is there by now.
+  // An outdated configuration may lack a route or a key that exists by now.
   const stale = {
     ...refused(503, 'the configuration may be old'),
     retryAfterMs: retryAfterMs(options),
@@ -68,20 +82,23 @@
     : {...admitted, owner};
 }
 
-/** Undefined where nothing is known of it. */
+/**
+ * Time after which the caller should retry, in milliseconds; undefined when the
+ * time at which keys can be confirmed is unknown.
+ */
 function retryAfterMs({
   keysUnconfirmedMs,
   random,
 }: AdmitOptions): number | undefined {
   const leftMs = keysUnconfirmedMs();
-  return leftMs > 0 ? leftMs + random() * COME_BACK_SPREAD_MS : undefined;
+  return leftMs > 0 ? leftMs + random() * RETRY_SPREAD_MS : undefined;
 }
 
 function refused(status: LocalAnswer['status'], message: string): Refusal {
   return {status, message};
 }
 
-function findFault(
+function checkHeaders(
   limits: CallerLimits,
   req: IncomingMessage,
 ): Refusal | undefined {
@@ -98,20 +115,23 @@
     : undefined;
 }
 
-/** Undefined when it is over the limit; rejects when the caller breaks off. */
+/**
+ * Returns undefined when the body exceeds `maxBytes`. Rejects when the caller
+ * closes the connection first.
+ */
 function readBody(
   req: IncomingMessage,
   maxBytes: number,
 ): Promise<Buffer | undefined> {
   return new Promise((resolve, reject) => {
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let bytes = 0;
-    req.on('data', (piece: Buffer) => {
-      bytes += piece.length;
+    req.on('data', (chunk: Buffer) => {
+      bytes += chunk.length;
       if (bytes > maxBytes) resolve(undefined);
-      else pieces.push(piece);
+      else chunks.push(chunk);
     });
-    req.on('end', () => resolve(Buffer.concat(pieces)));
+    req.on('end', () => resolve(Buffer.concat(chunks)));
     req.on('error', reject);
     req.on('close', () => reject(new Error('the caller broke off')));
   });
--- a/src/direct/call_attempt.ts
+++ b/src/direct/call_attempt.ts
@@ -1,6 +1,7 @@
 /**
- * One try of a call at one replica. The answer is held until it is whole, but
- * for large ones, which are passed on as they come.
+ * Sends a call to one replica and receives the answer. The answer is buffered
+ * until it is complete, so that a call which fails midway can be retried. A
+ * large answer is streamed to the caller instead, which bounds memory use.
  */
 import type {AnswerHead} from './dispatch.js';
 import type {Exchange} from './exchange.js';
@@ -9,28 +10,36 @@
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica} from './types.js';
 
-/** Larger answers go on as they come, once so much of them is there. */
-const HELD_BYTES = 1024 * 1024;
+/**
+ * Largest answer that is buffered, in bytes. Once more has arrived, the answer
+ * is streamed to the caller and the call can no longer be retried.
+ */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 
-/** A whole answer. */
+/** A complete answer. */
 export interface BufferedAnswer {
   readonly kind: 'answered';
   readonly head: AnswerHead;
   readonly body: Buffer;
 }
 
-/** How one try ended. */
+/** How one attempt ended. */
 export type CallOutcome =
   | BufferedAnswer
+  /** The answer was streamed to the caller. */
   | {readonly kind: 'passed-on'}
+  /** The replica refused the request and did not run it. */
   | {readonly kind: 'not-run'; readonly faultAt: string | undefined}
+  /** No connection was established, so the replica received nothing. */
   | {readonly kind: 'not-sent'; readonly reason: string}
+  /** The answer failed midway or was invalid; the request may have run. */
   | {readonly kind: 'broken'; readonly reason: string}
-  /** Requests like it crash replicas: it was not sent. */
+  /** The request was not sent, because equal requests crashed replicas. */
   | {readonly kind: 'quarantined'}
+  /** The request ended before the answer: its time is up or the caller left. */
   | {readonly kind: 'ended'};
 
-/** Sends the request and takes its answer until the try ends. */
+/** Sends the request to the replica and resolves when the attempt has ended. */
 export function attemptCall(
   ctx: ServeContext,
   exchange: Exchange,
@@ -47,9 +56,9 @@
   exchange.attempts++;
   return new Promise(resolve => {
     let head: AnswerHead | undefined;
-    let held: Buffer[] = [];
+    let buffered: Buffer[] = [];
     let bytes = 0;
-    let passing = false;
+    let isStreaming = false;
 
     const finish = (outcome: CallOutcome) => {
       work.end();
@@ -63,15 +72,15 @@
       dispatch.cancel();
       finish({kind: 'ended'});
     };
-    const startPassing = (of: AnswerHead) => {
-      passing = true;
-      writeHead(ctx, exchange.res, of);
-      for (const piece of held) exchange.res.write(piece);
-      held = [];
+    const startStreaming = (answerHead: AnswerHead) => {
+      isStreaming = true;
+      writeHead(ctx, exchange.res, answerHead);
+      for (const chunk of buffered) exchange.res.write(chunk);
+      buffered = [];
     };
-    const onHead = (came: AnswerHead) => {
-      head = came;
-      const verdict = classifyHead(ctx, exchange, came);
+    const onHead = (received: AnswerHead) => {
+      head = received;
+      const verdict = classifyHead(ctx, exchange, received);
       if (verdict.kind === 'success' || verdict.kind === 'failure') return;
       dispatch.cancel();
       if (verdict.kind === 'not-run') {
@@ -83,17 +92,17 @@
     };
     const onData = (chunk: Buffer) => {
       bytes += chunk.length;
-      if (!passing) held.push(chunk);
-      if (!passing && bytes > HELD_BYTES && head !== undefined) {
-        startPassing(head);
+      if (!isStreaming) buffered.push(chunk);
+      if (!isStreaming && bytes > MAX_BUFFERED_BYTES && head !== undefined) {
+        startStreaming(head);
         return;
       }
-      if (!passing || exchange.res.write(chunk)) return;
+      if (!isStreaming || exchange.res.write(chunk)) return;
       dispatch.pause();
       exchange.res.once('drain', () => dispatch.resume());
     };
     const onEnd = () => {
-      if (passing) {
+      if (isStreaming) {
         ctx.crashes.runSucceeded(exchange);
         exchange.res.end();
         finish({kind: 'passed-on'});
@@ -107,7 +116,7 @@
       callTimes.record(service, tookMs);
       metrics.observe('onyxloft_direct_call_ms', {}, tookMs);
       if (head === undefined) return;
-      finish({kind: 'answered', head, body: Buffer.concat(held)});
+      finish({kind: 'answered', head, body: Buffer.concat(buffered)});
     };
     const onBroken = (sent: boolean, reason: string) => {
       health.failed(replica.id);
@@ -119,8 +128,8 @@
       }
       exchange.mayHaveRun = true;
       ctx.crashes.runBroken(exchange, replica);
-      if (passing) exchange.res.destroy();
-      finish({kind: passing ? 'passed-on' : 'broken', reason});
+      if (isStreaming) exchange.res.destroy();
+      finish({kind: isStreaming ? 'passed-on' : 'broken', reason});
     };
     const spec = buildDispatch(ctx, exchange, replica, undefined, []);
     const dispatch = ctx.dispatch(spec, clock, {
@@ -129,7 +138,7 @@
       onEnd,
       onBroken,
     });
-    // Its connection may stay silent without a reset.
+    // A replica that restarted may leave the connection open without a reset.
     const stopWatching = losses.watch(replica.id, () => {
       dispatch.cancel();
       onBroken(true, 'the replica restarted');
--- a/src/direct/call_times.ts
+++ b/src/direct/call_times.ts
@@ -1,30 +1,32 @@
 /**
- * How long a call at a plain service usually takes, learned by service. Nothing
- * on the platform publishes it, and it is the measure by which one replica is
- * told to be slow and a queue to be long.
+ * Learns the mean duration of a call for each plain service. The platform does
+ * not publish it. It is the reference against which a replica counts as slow
+ * and a queue as long.
  */
 
-/** Share of the newest call in the running mean. */
-const NEWEST_SHARE = 0.05;
-/** Taken for a service that has not been called yet; soon learned over. */
-const UNKNOWN_MS = 50;
-/** Services that are remembered; the oldest goes first. */
-const MOST_SERVICES = 200;
+/** Weight of the newest call in the moving average. */
+const NEWEST_WEIGHT = 0.05;
+/** Assumed for a service that has not been called yet, in milliseconds. */
+const INITIAL_MEAN_MS = 50;
+/** Services whose means are kept. Beyond it the oldest entry is dropped. */
+const MAX_SERVICES = 200;
 
 export interface CallTimes {
+  /** Mean duration of the service's calls, in milliseconds. */
   meanMs(service: string): number;
+  /** Adds a call that took `ms`. */
   record(service: string, ms: number): void;
 }
 
 export function createCallTimes(): CallTimes {
   const means = new Map<string, number>();
   return {
-    meanMs: service => means.get(service) ?? UNKNOWN_MS,
+    meanMs: service => means.get(service) ?? INITIAL_MEAN_MS,
     record: (service, ms) => {
-      const before = means.get(service) ?? ms;
-      means.set(service, before + NEWEST_SHARE * (ms - before));
+      const previous = means.get(service) ?? ms;
+      means.set(service, previous + NEWEST_WEIGHT * (ms - previous));
       const oldest = means.keys().next().value;
-      if (means.size > MOST_SERVICES && oldest !== undefined) {
+      if (means.size > MAX_SERVICES && oldest !== undefined) {
         means.delete(oldest);
       }
     },
--- a/src/direct/callers_server.ts
+++ b/src/direct/callers_server.ts
@@ -1,6 +1,6 @@
 /**
- * The socket for callers: Node's HTTP server with the configuration's limits,
- * and an end that leaves no request without its answer.
+ * The HTTP server for callers. It applies the limits of the configuration and
+ * can stop accepting connections while open requests still get their answers.
  */
 import {createServer} from 'node:http';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
@@ -8,23 +8,36 @@
 import {splitAddress} from './settings.js';
 import type {CallerLimits} from './types.js';
 
-/** Callers reuse a connection until shortly before the limit. */
+/**
+ * The server keeps idle connections open for this much longer than the
+ * configured limit. Callers reuse a connection until shortly before the limit,
+ * and one that closed at the limit could break a request on its way.
+ */
 const IDLE_MARGIN_MS = 1_000;
-/** Headers over the configured limit are answered with 431 by the front. */
+/**
+ * Largest headers that the HTTP parser accepts, in bytes. It exceeds the
+ * configured limit, so that requests between the two are answered with 431 by
+ * `admitRequest`; the parser refuses larger ones.
+ */
 const PARSER_HEADER_BYTES = 256 * 1024;
-const CHECK_MS = 500;
-/** A refused caller reads its answer before the connection is closed. */
-const LINGER_MS = 200;
+/** Interval at which connections are checked for timeouts, in milliseconds. */
+const TIMEOUT_CHECK_MS = 500;
+/**
+ * Time between the answer to an invalid request and the closing of its socket,
+ * in milliseconds. It lets the caller read the answer.
+ */
+const CLOSE_DELAY_MS = 200;
 
-const STATUS_BY_FAULT: Readonly<Record<string, string>> = {
+const STATUS_BY_ERROR: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
   ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout',
 };
 
 export interface CallersServer {
   setLimits(limits: CallerLimits): void;
-  /** Takes no new connections and closes those that are idle. */
+  /** Accepts no new connections and closes the idle ones. */
   stopAccepting(): void;
+  /** Closes all connections, also those with open requests. */
   close(): Promise<void>;
 }
 
@@ -33,7 +46,7 @@
   res: ServerResponse,
 ) => void;
 
-/** Listens at IP:PORT; rejects when the address cannot be had. */
+/** Listens at `address`, an IP:PORT; rejects when it cannot be bound. */
 export async function openCallersServer(
   address: string,
   handler: RequestHandler,
@@ -41,7 +54,7 @@
   const server = createServer({
     maxHeaderSize: PARSER_HEADER_BYTES,
     requestTimeout: 0,
-    connectionsCheckingInterval: CHECK_MS,
+    connectionsCheckingInterval: TIMEOUT_CHECK_MS,
   });
   server.on('request', handler);
   server.on('checkContinue', (req: IncomingMessage, res: ServerResponse) => {
@@ -69,26 +82,26 @@
 }
 
 function listen(server: Server, address: string): Promise<void> {
-  const at = splitAddress(address);
+  const endpoint = splitAddress(address);
   return new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen(at?.port, at?.ip, () => {
+    server.listen(endpoint?.port, endpoint?.ip, () => {
       server.removeListener('error', reject);
       resolve();
     });
   });
 }
 
-/** Bytes that are no request run nowhere; the caller is told what is wrong. */
+/** Answers bytes that are not a valid HTTP request, and closes the socket. */
 function refuse(err: NodeJS.ErrnoException, duplex: unknown): void {
   const socket = duplex as Socket;
   if (err.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy();
     return;
   }
-  const status = STATUS_BY_FAULT[err.code ?? ''] ?? '400 Bad Request';
+  const status = STATUS_BY_ERROR[err.code ?? ''] ?? '400 Bad Request';
   socket.end(
     `HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`,
   );
-  setTimeout(() => socket.destroy(), LINGER_MS).unref();
+  setTimeout(() => socket.destroy(), CLOSE_DELAY_MS).unref();
 }
--- a/src/direct/crash_reports.ts
+++ b/src/direct/crash_reports.ts
@@ -1,27 +1,30 @@
 /**
- * What entries tell each other of requests that may crash replicas. Reports of
- * one request merge in any order and any number of times to the same, so a lost
- * or late one does no harm.
+ * Reports that entries exchange about requests that may crash replicas. Merging
+ * the reports of one request is commutative and idempotent, so lost, late and
+ * repeated reports do no harm.
  */
 import {Codec, array, number, record, string} from 'purify-ts/Codec';
 
-/** Starts of replicas that one report names; more say nothing more. */
+/**
+ * Most crashed replicas that one report names. Further ones carry no more
+ * information and are left out.
+ */
 export const MAX_ENDED_REPLICAS = 8;
-/** Entries that one report names. */
-const GOOD_MOST = 64;
-const DIGEST_FORM = /^[0-9a-f]{32}$/;
+/** Most entries that one report names. A report with more is invalid. */
+const MAX_REPORTING_ENTRIES = 64;
+const DIGEST_PATTERN = /^[0-9a-f]{32}$/;
 
-/** What is known of the runs of one request, under all its ids. */
+/** Outcomes of the runs of one request, under all its request ids. */
 export interface CrashReport {
   /** See `digestOf`. */
   readonly digest: string;
-  /** Starts of replicas that ended while they ran it. */
+  /** Ids of replicas that ended during a run. Each start has its own id. */
   readonly ended: readonly string[];
-  /** Runs that ended well, by the entry that saw them. */
+  /** Number of successful runs, by the entry that observed them. */
   readonly good: Readonly<Record<string, number>>;
 }
 
-/** As it stands in the platform's store. */
+/** A report as it is stored in the platform's store. */
 export interface QuarantineRecord extends CrashReport {
   /** Time of day, in milliseconds. */
   readonly writtenAt: number;
@@ -38,13 +41,13 @@
   writtenAt: number,
 });
 
-/** Whether a report can be one, whoever made it. */
+/** Whether a report that came from outside is within its bounds. */
 export function isValidReport({digest, ended, good}: CrashReport): boolean {
   const counts = Object.values(good);
   return (
-    DIGEST_FORM.test(digest) &&
+    DIGEST_PATTERN.test(digest) &&
     ended.length <= MAX_ENDED_REPLICAS &&
-    counts.length <= GOOD_MOST &&
+    counts.length <= MAX_REPORTING_ENTRIES &&
     counts.every(count => Number.isSafeInteger(count) && count >= 0)
   );
 }
--- a/src/direct/crash_watch.ts
+++ b/src/direct/crash_watch.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps requests that crash replicas from being sent on: notes how each run
- * ended, and refuses what has ended too many replicas under whatever ids.
+ * Stops requests that crash replicas from being dispatched again. It records
+ * how each run ended, and quarantines a request whose runs ended too many
+ * replicas, whatever request ids it had.
  */
 import type {Clock, Log} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
@@ -14,28 +15,36 @@
 import type {DirectReplica} from './types.js';
 
 /**
- * Larger bodies are digested only while there are suspects. Requests that are
- * asked again and again, whose good runs matter beforehand, are small.
+ * Largest body, in bytes, whose successful runs are counted while no request is
+ * suspect. Larger bodies are hashed only while there are suspects, which saves
+ * the time. The count matters for requests that are repeated often, and those
+ * are small.
  */
-const DIGESTED_BYTES = 64 * 1024;
+const MAX_ALWAYS_DIGESTED_BYTES = 64 * 1024;
 
 export interface CrashWatch extends Pick<
   Suspects,
   'merge' | 'release' | 'nextReports' | 'suspectCount' | 'quarantinedCount'
 > {
   isQuarantined(exchange: Exchange): boolean;
-  /** Whether it may be sent to a replica now; takes up its trial, if it has one. */
+  /**
+   * Whether the request may be sent to a replica now. A quarantined request may
+   * be sent once as a trial; the call uses that trial up.
+   */
   maySend(exchange: Exchange): boolean;
-  /** Makes a quarantined request the trial of its like, if one is due. */
+  /**
+   * Claims the trial of a quarantined request, if one is due. Resolves with
+   * whether this request may run as the trial.
+   */
   claimTrial(exchange: Exchange): Promise<boolean>;
-  /** The run's connection broke, or fell silent. */
+  /** The connection of the run broke, or no more data came on it. */
   runBroken(exchange: Exchange, replica: DirectReplica): void;
-  /** The run was given up for another reason while it was under way. */
+  /** This entry cancelled the run before its end. */
   runCancelled(exchange: Exchange, replica: DirectReplica): void;
   runSucceeded(exchange: Exchange): void;
-  /** This start of a replica is known to have ended. */
+  /** The replica with this id has ended. */
   replicaEnded(replicaId: string): void;
-  /** Its record was removed, and it was not told to leave. */
+  /** The replica's record was removed, though it was not told to leave. */
   recordRemoved(replicaId: string): void;
 }
 
@@ -45,15 +54,20 @@
   readonly probePort: ProbePort;
   /** Name of this entry. */
   readonly node: string;
+  /** Whether the replica was told to leave, so that its end is no crash. */
   isLeaving(replicaId: string): boolean;
-  /** The other entries should hear of it. */
+  /** Sends a report to the other entries. */
   shareReport(report: CrashReport): void;
-  /** It is to last; `isOwn` where this entry saw the last crash. */
+  /**
+   * Called when a request is quarantined, to store it. `isOwn` is true when
+   * this entry observed the last crash.
+   */
   onQuarantined(report: CrashReport, isOwn: boolean): void;
   /** See `SuspectsOptions`. */
   onCleared(digest: string, isOwn: boolean): void;
   /**
-   * True for one claim of all entries; undefined when nobody answered.
+   * Claims a trial in the store. Resolves with true for one entry only, and
+   * with undefined when the store did not answer.
    */
   claimTrial(digest: string, trial: number): Promise<boolean | undefined>;
 }
@@ -78,7 +92,7 @@
       options.onCleared(digest, isOwn);
     },
   });
-  const lost = createLostRuns({
+  const lostRuns = createLostRuns({
     clock,
     probePort: options.probePort,
     isLeaving: options.isLeaving,
@@ -126,18 +140,19 @@
       return exchange.isTrial;
     },
     runBroken: (exchange, replica) =>
-      lost.runBroken(exchange.digest(), replica),
+      lostRuns.runBroken(exchange.digest(), replica),
     runCancelled: (exchange, replica) => {
       const digest = exchange.digest();
-      if (suspects.isSuspect(digest)) lost.suspectRunCancelled(digest, replica);
-      else lost.runCancelled(digest, replica);
+      if (suspects.isSuspect(digest))
+        lostRuns.suspectRunCancelled(digest, replica);
+      else lostRuns.runCancelled(digest, replica);
     },
     runSucceeded: exchange => {
-      const isSmall = exchange.body.length <= DIGESTED_BYTES;
+      const isSmall = exchange.body.length <= MAX_ALWAYS_DIGESTED_BYTES;
       if (isSmall || suspects.suspectCount() > 0)
         suspects.runSucceeded(exchange.digest());
     },
-    replicaEnded: lost.replicaEnded,
-    recordRemoved: lost.recordRemoved,
+    replicaEnded: lostRuns.replicaEnded,
+    recordRemoved: lostRuns.recordRemoved,
   };
 }
--- a/src/direct/dispatch.ts
+++ b/src/direct/dispatch.ts
@@ -1,15 +1,20 @@
 /**
- * One request to one replica, over a connection of its own. A kept connection
- * may have gone silent, or hold a late second answer to an earlier request;
- * dialling costs about a millisecond and rules both out.
+ * Sends one request to one replica over a new connection. A reused connection
+ * may be dead without a reset, or may deliver a late second answer to an
+ * earlier request. A new connection costs about a millisecond and rules out
+ * both.
  */
 import {request} from 'node:http';
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
 import type {Clock} from '../types/runtime.js';
 import {splitAddress} from './settings.js';
 
-/** Hosts of one region answer a dial within a few milliseconds. */
-const DIAL_MS = 300;
+/**
+ * Timeout for establishing the connection, in milliseconds; beyond it the
+ * attempt fails as not sent. Hosts of one region answer within a few
+ * milliseconds.
+ */
+const CONNECT_TIMEOUT_MS = 300;
 
 /** Status line and headers of a replica's answer. */
 export interface AnswerHead {
@@ -18,100 +23,109 @@
   readonly rawHeaders: readonly string[];
 }
 
-/** What is sent, and to whom. */
+/** A request and the address of the replica that gets it. */
 export interface DispatchRequest {
   /** IP:PORT. */
   readonly address: string;
   readonly method: string;
   readonly path: string;
-  /** Flat list of names and values. */
+  /** Names and values in turn. */
   readonly headers: readonly string[];
   readonly body: Buffer;
 }
 
-/** Called in order: at most one head, data, then one end. */
+/**
+ * Callbacks of a dispatch, in this order: at most one `onHead`, any number of
+ * `onData`, then either `onEnd` or `onBroken`, once.
+ */
 export interface DispatchObserver {
   onHead(head: AnswerHead): void;
   onData(chunk: Buffer): void;
-  /** The body is whole: its framing says so. */
+  /** The body is complete by its HTTP framing. */
   onEnd(): void;
-  /** No whole answer came. `sent` is false when nothing can have arrived. */
+  /**
+   * The exchange failed before the answer was complete. `sent` is false when no
+   * connection was established, so that the replica cannot have the request.
+   */
   onBroken(sent: boolean, reason: string): void;
 }
 
 export interface Dispatch {
-  /** Closes the connection, which ends the replica's work; no more calls. */
+  /**
+   * Closes the connection, which ends the replica's work. The observer is not
+   * called any more.
+   */
   cancel(): void;
   pause(): void;
   resume(): void;
 }
 
-/** Sends the request; the observer hears of the rest. */
+/** Sends a request and reports the answer to the observer. */
 export type OpenDispatch = (
   spec: DispatchRequest,
   clock: Clock,
   observer: DispatchObserver,
 ) => Dispatch;
 
-/** Over HTTP. */
+/** Sends the request over HTTP. */
 export function openDispatch(
   spec: DispatchRequest,
   clock: Clock,
   observer: DispatchObserver,
 ): Dispatch {
-  const to = splitAddress(spec.address);
-  let over = false;
-  let connected = false;
+  const endpoint = splitAddress(spec.address);
+  let isFinished = false;
+  let isConnected = false;
   let answer: IncomingMessage | undefined;
 
-  const finish = (tell: () => void) => {
-    if (over) return;
-    over = true;
-    cancelDial();
-    tell();
+  const finish = (notify: () => void) => {
+    if (isFinished) return;
+    isFinished = true;
+    cancelTimeout();
+    notify();
   };
-  const broken = (reason: string) =>
-    finish(() => observer.onBroken(connected, reason));
+  const fail = (reason: string) =>
+    finish(() => observer.onBroken(isConnected, reason));
 
   const req = request({
-    host: to?.ip,
-    port: to?.port,
+    host: endpoint?.ip,
+    port: endpoint?.port,
     method: spec.method,
     path: spec.path,
     headers: spec.headers as string[],
     agent: false,
   });
-  const cancelDial = clock.after(DIAL_MS, () => {
-    if (connected) return;
-    broken('dial timed out');
+  const cancelTimeout = clock.after(CONNECT_TIMEOUT_MS, () => {
+    if (isConnected) return;
+    fail('dial timed out');
     req.destroy();
   });
   req.on('socket', socket => {
     socket.setNoDelay(true);
     socket.once('connect', () => {
-      connected = true;
+      isConnected = true;
     });
   });
   req.on('response', res => {
     answer = res;
-    if (over) return;
+    if (isFinished) return;
     observer.onHead({
       status: res.statusCode ?? 0,
       headers: res.headers,
       rawHeaders: res.rawHeaders,
     });
     res.on('data', (chunk: Buffer) => {
-      if (!over) observer.onData(chunk);
+      if (!isFinished) observer.onData(chunk);
     });
     res.on('end', () => {
       if (res.complete) finish(() => observer.onEnd());
-      else broken('cut');
+      else fail('cut');
     });
-    res.on('error', err => broken(err.message));
-    res.on('close', () => broken('closed'));
+    res.on('error', err => fail(err.message));
+    res.on('close', () => fail('closed'));
   });
-  req.on('error', err => broken(err.message));
-  req.on('close', () => broken('closed without an answer'));
+  req.on('error', err => fail(err.message));
+  req.on('close', () => fail('closed without an answer'));
   req.end(spec.body);
 
   return {
--- a/src/direct/event_splitter.ts
+++ b/src/direct/event_splitter.ts
@@ -1,13 +1,13 @@
 /**
- * Cuts a stream of server-sent events into whole events. A replica may break
- * off in the middle of one; handing on only whole events lets the stream go on
- * from another replica without a torn or doubled piece.
+ * Splits a stream of server-sent events into complete events. A replica may
+ * fail in the middle of an event. Since only complete events are forwarded, the
+ * stream can resume at another replica without partial or duplicate data.
  */
 
-/** One event with the blank line that ends it. */
+/** One event, up to and including the blank line that ends it. */
 export interface StreamEvent {
   readonly bytes: Buffer;
-  /** Undefined where the event has no number. */
+  /** Value of the `id` field; undefined when it is missing or no number. */
   readonly id: number | undefined;
 }
 
@@ -16,9 +16,9 @@
 const ID_LINE = /^id: ?(\d+)\r?$/m;
 
 export interface EventSplitter {
-  /** The events that are whole now. */
+  /** Adds a chunk and returns the events that it completes. */
   push(chunk: Buffer): readonly StreamEvent[];
-  /** Bytes of an event that is not whole yet. */
+  /** Bytes received of the event that is not complete yet. */
   pendingBytes(): number;
 }
 
@@ -29,9 +29,9 @@
       pending = pending.length === 0 ? chunk : Buffer.concat([pending, chunk]);
       const events: StreamEvent[] = [];
       for (;;) {
-        const end = endOfEvent(pending);
+        const end = findEventEnd(pending);
         if (end < 0) return events;
-        events.push(eventOf(pending.subarray(0, end)));
+        events.push(parseEvent(pending.subarray(0, end)));
         pending = pending.subarray(end);
       }
     },
@@ -39,8 +39,8 @@
   };
 }
 
-/** Just after the first blank line; -1 when there is none. */
-function endOfEvent(bytes: Buffer): number {
+/** Offset just after the first blank line; -1 when there is none. */
+function findEventEnd(bytes: Buffer): number {
   for (let at = bytes.indexOf(LINE_FEED); at >= 0;) {
     let next = at + 1;
     if (bytes[next] === CARRIAGE_RETURN) next++;
@@ -50,7 +50,7 @@
   return -1;
 }
 
-function eventOf(bytes: Buffer): StreamEvent {
+function parseEvent(bytes: Buffer): StreamEvent {
   const id = ID_LINE.exec(bytes.toString('latin1'))?.[1];
   return {bytes, id: id === undefined ? undefined : Number(id)};
 }
--- a/src/direct/exchange.ts
+++ b/src/direct/exchange.ts
@@ -1,54 +1,58 @@
 /**
- * One caller's request from its arrival to its one final answer: what was
- * asked, how much time is left, and whether the caller is still there.
+ * State of one caller's request from its arrival to its final answer: the
+ * request, the time left for it, and whether the caller is still connected.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Clock} from '../types/runtime.js';
 import {digestOf} from './request_digest.js';
 import type {DirectConfig, KeyOwner, RequestFacts, Route} from './types.js';
 
-/** A request that may be served. */
+/** A request that passed all checks, with the route and service for it. */
 export interface AdmittedRequest {
   readonly config: DirectConfig;
   readonly route: Route;
   readonly service: string;
   readonly facts: RequestFacts;
   readonly id: string;
+  /** Undefined for a public route, and where requests carry no keys. */
   readonly owner: KeyOwner | undefined;
   readonly body: Buffer;
 }
 
-/** Tokens of an answer whose length nothing tells. */
-const UNKNOWN_ANSWER_TOKENS = 512;
+/** Assumed length of an answer when the caller gives neither limit nor estimate. */
+const DEFAULT_ANSWER_TOKENS = 512;
 
-/** Tokens that an answer may take of an engine's memory. */
+/** Tokens of an engine's memory to plan for the answer. */
 export function answerTokens({maxTokens, expectedTokens}: RequestFacts) {
-  return maxTokens || expectedTokens || UNKNOWN_ANSWER_TOKENS;
+  return maxTokens || expectedTokens || DEFAULT_ANSWER_TOKENS;
 }
 
-/** Why nothing more can come of a request. */
+/** Why a request has ended. */
 export type EndReason = 'caller left' | 'time is up' | 'answered';
 
 export interface Exchange extends AdmittedRequest {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
-  /** On this process's clock. */
+  /** Time of arrival on this process's clock, in milliseconds. */
   readonly arrivedAt: number;
-  /** Aborts when nothing more can come of the request. */
+  /** Aborted with the `EndReason` when the request ends. */
   readonly signal: AbortSignal;
   timeLeftMs(): number;
   elapsedMs(): number;
-  /** Equal for requests that ask the same; see `digestOf`. */
+  /** Digest that equal requests share; see `digestOf`. */
   digest(): string;
-  /** What its lateness costs, relative to others. */
+  /** Cost of a late answer, relative to other requests. */
   readonly weight: number;
-  /** Replicas to which the request was sent so far. */
+  /** Number of times that the request was sent to a replica. */
   attempts: number;
-  /** It may have run: a replica got it and gave no proof that it did not. */
+  /**
+   * True when a replica may have run the request: it was sent, and the replica
+   * did not state that it was not run.
+   */
   mayHaveRun: boolean;
-  /** It may be sent once though requests like it are quarantined. */
+  /** True when the request may be sent once although it is quarantined. */
   isTrial: boolean;
-  /** Refuses, or ends an answer that has begun; set by the front. */
+  /** Stops the timer and aborts `signal`, if it is not aborted yet. */
   end(reason: EndReason): void;
 }
 
@@ -59,7 +63,7 @@
   readonly res: ServerResponse;
   readonly admitted: AdmittedRequest;
   readonly weight: number;
-  /** The time limit or the caller's own ended first. */
+  /** Called when the route's time limit or the caller's own has passed. */
   onTimeUp(exchange: Exchange): void;
   onCallerLeft(exchange: Exchange): void;
 }
@@ -85,7 +89,7 @@
     elapsedMs: () => clock.now() - arrivedAt,
     digest: () =>
       (digest ??= digestOf({
-        // As the route has it: callers may write it in several ways.
+        // The route's spelling, since callers may write the host differently.
         host: admitted.route.host,
         path: req.url ?? '/',
         organisation: admitted.owner?.organisation,
@@ -103,9 +107,9 @@
   });
   res.once('close', () => {
     if (abort.signal.aborted) return;
-    const whole = res.writableFinished;
-    end(whole ? 'answered' : 'caller left');
-    if (!whole) options.onCallerLeft(exchange);
+    const isComplete = res.writableFinished;
+    end(isComplete ? 'answered' : 'caller left');
+    if (!isComplete) options.onCallerLeft(exchange);
   });
   return exchange;
 }
--- a/src/direct/port_probe.ts
+++ b/src/direct/port_probe.ts
@@ -1,30 +1,40 @@
-/** Whether anything listens at an address. */
+/** Checks whether a process listens at an address. */
 import {connect} from 'node:net';
 import {splitAddress} from './settings.js';
 
-/** Hosts of one region answer a dial within a few milliseconds. */
-const DIAL_MS = 300;
+/**
+ * Timeout of a connection attempt, in milliseconds; beyond it the address
+ * counts as silent. Hosts of one region answer within a few milliseconds.
+ */
+const CONNECT_TIMEOUT_MS = 300;
 
-/** `refused` where a host answers that nothing listens there. */
+/**
+ * `open`: a process listens. `refused`: the host answers that nothing listens.
+ * `silent`: no answer came.
+ */
 export type PortState = 'open' | 'refused' | 'silent';
 
 export type ProbePort = (address: string) => Promise<PortState>;
 
-/** Opens a connection and closes it again. */
+/** Opens a TCP connection to the address and closes it again. */
 export const probePort: ProbePort = address => {
-  const to = splitAddress(address);
-  if (to === undefined) return Promise.resolve('silent');
+  const endpoint = splitAddress(address);
+  if (endpoint === undefined) return Promise.resolve('silent');
   return new Promise(resolve => {
-    const socket = connect({host: to.ip, port: to.port, timeout: DIAL_MS});
-    const end = (answer: PortState) => {
+    const socket = connect({
+      host: endpoint.ip,
+      port: endpoint.port,
+      timeout: CONNECT_TIMEOUT_MS,
+    });
+    const finish = (state: PortState) => {
       socket.destroy();
-      resolve(answer);
+      resolve(state);
     };
-    socket.once('connect', () => end('open'));
-    socket.once('timeout', () => end('silent'));
+    socket.once('connect', () => finish('open'));
+    socket.once('timeout', () => finish('silent'));
     socket.on('error', err => {
       const isRefused = 'code' in err && err.code === 'ECONNREFUSED';
-      end(isRefused ? 'refused' : 'silent');
+      finish(isRefused ? 'refused' : 'silent');
     });
   });
 };
