--- a/src/direct/front.ts
+++ b/src/direct/front.ts
@@ -1,7 +1,8 @@
 /**
- * The service `direct`: takes callers' requests and serves them at upstreams
- * that have no side. It owns the callers' socket, the load book and what it
- * knows of the replicas; the configuration and the replicas come as messages.
+ * The service `direct`: accepts callers' requests and serves them at upstreams
+ * that have no side process. It owns the HTTP server for callers, the load of
+ * each replica and the health of each replica. The configuration and the list
+ * of replicas arrive as messages from other services.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {ServiceContext, ServiceSpec} from '../types/kernel.js';
@@ -25,23 +26,30 @@
   Reservations,
 } from './types.js';
 
-/** In logs and gauges, the age of evidence that there is none of. */
-const NEVER_TOLD_MS = 1e9;
-/** Share of the revocation bound for which evidence counts. */
+/** Age that logs and gauges show when there is no evidence for keys. */
+const NO_EVIDENCE_AGE_MS = 1e9;
+/**
+ * Evidence for keys counts for this share of the revocation bound. The rest is
+ * a margin, so that no revoked key is accepted after the bound.
+ */
 const EVIDENCE_SHARE = 0.9;
 /**
- * From the signal on, new connections come until the balancer has missed two
- * checks, a second each; then the socket is closed.
+ * Time for which new connections are still accepted after the drain signal. The
+ * load balancer sends connections until two readiness checks, one second apart,
+ * have failed.
  */
-const TAKE_ON_MS = 2_600;
-/** Between looks whether all that was taken has ended. */
-const DRAIN_LOOK_MS = 20;
-/** Kept of the grace time for the last answers' way out. */
+const ACCEPT_AFTER_DRAIN_MS = 2_600;
+/** Interval at which a drain checks whether all requests have ended. */
+const DRAIN_POLL_MS = 20;
+/** The drain ends this long before the grace time, to send the last answers. */
 const GRACE_MARGIN_MS = 500;
-/** One other entry is told of some suspects, so that a lost word is mended. */
-const SUSPECTS_EVERY_MS = 1_000;
-/** As many as one datagram holds. */
-const SUSPECTS_TOLD = 4;
+/**
+ * Interval at which some crash reports are sent to one other entry. The
+ * repetition makes up for reports that were lost.
+ */
+const CRASH_REPORT_INTERVAL_MS = 1_000;
+/** Crash reports that fit into one datagram. */
+const REPORTS_PER_DATAGRAM = 4;
 
 export interface DirectFrontOptions {
   readonly settings: DirectSettings;
@@ -49,9 +57,12 @@
   readonly codec: HeaderCodec;
   readonly orders: Reservations;
   readonly readReport: ReadReport;
-  /** Time of one lease on a replica's memory, in milliseconds. */
+  /** Duration of one lease on a replica's memory, in milliseconds. */
   readonly holdMs: number;
-  /** Memory of a group without a sign of use for this long is released. */
+  /**
+   * Time after which a group's memory is released when nothing shows that it is
+   * used, in milliseconds.
+   */
   readonly unusedMs: number;
   /** Time of day, in milliseconds. */
   readonly wallMs: () => number;
@@ -65,17 +76,18 @@
     name: 'direct',
     start: ctx => {
       startFront(options, ctx);
-      if (isRestart) askAgain(ctx);
+      if (isRestart) requestState(ctx);
       isRestart = true;
     },
   };
 }
 
 /**
- * The others tell each change once. Without this a front that was started again
- * would have no configuration and no replicas, and refuse every caller.
+ * Asks the other services for their state. They send each change only once, so
+ * without this a restarted service would have no configuration and no replicas
+ * and would refuse every request.
  */
-function askAgain(ctx: ServiceContext<'direct'>): void {
+function requestState(ctx: ServiceContext<'direct'>): void {
   ctx.send('followed', {kind: 'tell-again'});
   ctx.send('sharing', {kind: 'tell-again'});
 }
@@ -89,12 +101,12 @@
   const {revokeMs} = settings.timing;
   let config: DirectConfig | undefined;
   let server: CallersServer | undefined;
-  let opening = false;
-  let draining = false;
-  /** No key can be confirmed before, on this process's clock. */
-  let doubtedUntil = Number.NEGATIVE_INFINITY;
-  /** Requests that are read, or whose key waits for the store. */
-  let admitting = 0;
+  let isOpening = false;
+  let isDraining = false;
+  /** Earliest time, on this process's clock, at which keys can be confirmed. */
+  let keysUnconfirmedUntil = Number.NEGATIVE_INFINITY;
+  /** Requests whose body is being read or whose key waits for the store. */
+  let admittingCount = 0;
 
   const evidence = createEvidence(
     clock,
@@ -117,7 +129,7 @@
     idPrefix: `${settings.node}-${options.incarnation}`,
     holdMs: options.holdMs,
     unusedMs: options.unusedMs,
-    isDraining: () => draining,
+    isDraining: () => isDraining,
     shareLoads: (loads, isLong) =>
       ctx.send('sharing', {kind: 'load', loads, isLong}),
     shareCrashReports: reports =>
@@ -140,56 +152,57 @@
     },
   });
 
-  const toldAgeMs = () => Math.round(Math.min(evidence.ageMs(), NEVER_TOLD_MS));
+  const shownEvidenceAgeMs = () =>
+    Math.round(Math.min(evidence.ageMs(), NO_EVIDENCE_AGE_MS));
   const {setOther} = serving.book;
-  const readState = () => ({
-    evidenceAgeMs: toldAgeMs(),
+  const readGauges = () => ({
+    evidenceAgeMs: shownEvidenceAgeMs(),
     openRequests: serving.openRequests(),
     replicas: serving.replicas.size(),
     ...serving.state(),
   });
 
   const keysUnconfirmedMs = () =>
-    evidence.isFresh() ? 0 : Math.max(0, doubtedUntil - clock.now());
-  // What is known to be in vain is not waited for.
+    evidence.isFresh() ? 0 : Math.max(0, keysUnconfirmedUntil - clock.now());
+  // There is no wait when it is known that keys cannot be confirmed yet.
   const keysAreFresh = async () =>
     keysUnconfirmedMs() === 0 &&
     waitForEvidence(clock, evidence, () =>
       ctx.send('followed', {kind: 'confirm'}),
     );
 
-  const refuse = (res: ServerResponse, refused: Refusal, id: unknown) => {
-    const {status, message} = refused;
+  const refuse = (res: ServerResponse, refusal: Refusal, id: unknown) => {
+    const {status, message} = refusal;
     log(DIRECT_EVENTS.refused, {
       requestId: String(id),
       status,
       message,
       config: config?.version,
-      evidenceAgeMs: toldAgeMs(),
+      evidenceAgeMs: shownEvidenceAgeMs(),
     });
     metrics.count('onyxloft_direct_refused_total', {status: String(status)});
-    // A retry should reach an entry that knows more.
-    const close = draining || status === 503 || status === 413;
-    sendLocalAnswer(res, {...refused, close});
+    // Closes the connection, so that a retry can reach another entry.
+    const close = isDraining || status === 503 || status === 413;
+    sendLocalAnswer(res, {...refusal, close});
   };
 
   const onRequest = (req: IncomingMessage, res: ServerResponse): void => {
     const arrivedAt = clock.now();
-    // A head that went out before the drain promised to keep the connection.
-    // Kept, it would bring a request too late for a whole answer.
+    // Headers that were sent before the drain announced keep-alive. A request
+    // that came later on the kept connection might not be answered completely.
     res.once('finish', () => {
-      if (draining) req.socket.end();
+      if (isDraining) req.socket.end();
     });
-    const parts = {
+    const admitOptions = {
       codec,
       random: () => random.next(),
       keysAreFresh,
       keysUnconfirmedMs,
       config: () => config,
     };
-    admitting++;
-    admitRequest(parts, req)
-      .finally(() => admitting--)
+    admittingCount++;
+    admitRequest(admitOptions, req)
+      .finally(() => admittingCount--)
       .then(result => {
         if (res.destroyed) return;
         if ('status' in result) {
@@ -207,14 +220,14 @@
   };
 
   const openServer = async (): Promise<void> => {
-    opening = true;
+    isOpening = true;
     server = await openCallersServer(settings.listen.callers, onRequest);
     if (config !== undefined) server.setLimits(config.limits);
     log(DIRECT_EVENTS.listening, {address: settings.listen.callers});
   };
 
   const setConfig = (next: DirectConfig): void => {
-    // A read of an older state must never undo what was in force.
+    // An older version never replaces a newer one.
     if (config !== undefined && next.version <= config.version) return;
     log(DIRECT_EVENTS.configAdopted, {
       version: next.version,
@@ -223,21 +236,22 @@
     });
     config = next;
     server?.setLimits(next.limits);
-    if (!opening) openServer().catch(ctx.fail);
+    if (!isOpening) openServer().catch(ctx.fail);
   };
 
   const drain = (reply: () => void): void => {
-    if (draining) return;
-    draining = true;
+    if (isDraining) return;
+    isDraining = true;
     ctx.send('sharing', {kind: 'draining'});
     const startedAt = clock.now();
-    clock.after(TAKE_ON_MS, () => server?.stopAccepting());
+    clock.after(ACCEPT_AFTER_DRAIN_MS, () => server?.stopAccepting());
     const graceMs = settings.timing.graceS * 1_000 - GRACE_MARGIN_MS;
-    const cancel = clock.every(DRAIN_LOOK_MS, () => {
-      const passedMs = clock.now() - startedAt;
+    const cancel = clock.every(DRAIN_POLL_MS, () => {
+      const elapsedMs = clock.now() - startedAt;
       const done =
-        passedMs > TAKE_ON_MS && serving.openRequests() + admitting === 0;
-      if (!done && passedMs < graceMs) return;
+        elapsedMs > ACCEPT_AFTER_DRAIN_MS &&
+        serving.openRequests() + admittingCount === 0;
+      if (!done && elapsedMs < graceMs) return;
       cancel();
       reply();
     });
@@ -254,7 +268,7 @@
       case 'replica-changes':
         return serving.replicas.applyChanges(message.replicas);
       case 'keys-in-doubt':
-        doubtedUntil = message.until;
+        keysUnconfirmedUntil = message.until;
         return;
       case 'store-failed':
         return serving.replicas.storeFailed();
@@ -272,10 +286,11 @@
         return serving.setEntryCount(message.count);
       case 'ready':
         return message.reply(
-          !draining &&
+          !isDraining &&
             server !== undefined &&
             serving.replicas.size() > 0 &&
-            // In doubt are all entries at once, so no other one serves more.
+            // When keys cannot be confirmed, the other entries cannot confirm
+            // them either, so this one stays in the load balancer's rotation.
             (evidence.ageMs() < readyAgeMs(revokeMs) ||
               keysUnconfirmedMs() > 0),
         );
@@ -287,12 +302,12 @@
   };
 
   ctx.own(() => server?.close());
-  ctx.own(reportGauges(clock, metrics, readState));
-  const tellSuspects = () => {
-    const reports = serving.crashes.nextReports(SUSPECTS_TOLD);
+  ctx.own(reportGauges(clock, metrics, readGauges));
+  const shareSuspects = () => {
+    const reports = serving.crashes.nextReports(REPORTS_PER_DATAGRAM);
     if (reports.length === 0) return;
     ctx.send('sharing', {kind: 'crash-reports', reports, toAll: false});
   };
-  ctx.own(clock.every(SUSPECTS_EVERY_MS, tellSuspects));
+  ctx.own(clock.every(CRASH_REPORT_INTERVAL_MS, shareSuspects));
   void ctx.mailbox.observe(handle);
 }
--- a/src/direct/gauges.ts
+++ b/src/direct/gauges.ts
@@ -1,43 +1,44 @@
-/** What a direct entry is like now, as gauges on the metrics address. */
+/** Publishes the state of a direct entry as gauges of its metrics endpoint. */
 import type {Cancel, Clock, Metrics} from '../types/runtime.js';
 
-/** Collectors read every few seconds at most. */
-const PERIOD_MS = 1_000;
+/** Update interval of the gauges. Collectors read less often than this. */
+const UPDATE_INTERVAL_MS = 1_000;
 
-/** One reading. */
+/** Values of the gauges at one time. */
 export interface GaugeReadings {
+  /** Age of the newest evidence for keys, in milliseconds. */
   readonly evidenceAgeMs: number;
   readonly openRequests: number;
-  /** Entries that are heard of, with this one. */
+  /** Known entries, including this one. */
   readonly entries: number;
   readonly replicas: number;
-  /** Retries that may be made at once. */
+  /** Retries that the budget allows now. */
   readonly retriesLeft: number;
-  /** Leases on replicas' memory that are held, or may be. */
+  /** Leases on replicas' memory that are held or may still be held. */
   readonly memoryLeases: number;
-  /** Requests under which replicas have ended. */
+  /** Distinct requests during whose runs a replica ended. */
   readonly suspects: number;
-  /** Those of them that are refused. */
+  /** Suspects that are refused. */
   readonly quarantined: number;
 }
 
-/** Sets the gauges every second. */
+/** Updates the gauges every second until it is cancelled. */
 export function reportGauges(
   clock: Clock,
   metrics: Metrics,
   read: () => GaugeReadings,
 ): Cancel {
-  const gauge = (name: string, value: number) =>
+  const setGauge = (name: string, value: number) =>
     metrics.gauge(`onyxloft_direct_${name}`, {}, value);
-  return clock.every(PERIOD_MS, () => {
-    const state = read();
-    gauge('evidence_age_ms', state.evidenceAgeMs);
-    gauge('open_requests', state.openRequests);
-    gauge('entries', state.entries);
-    gauge('replicas', state.replicas);
-    gauge('retries_left', state.retriesLeft);
-    gauge('memory_leases', state.memoryLeases);
-    gauge('suspects', state.suspects);
-    gauge('quarantined', state.quarantined);
+  return clock.every(UPDATE_INTERVAL_MS, () => {
+    const readings = read();
+    setGauge('evidence_age_ms', readings.evidenceAgeMs);
+    setGauge('open_requests', readings.openRequests);
+    setGauge('entries', readings.entries);
+    setGauge('replicas', readings.replicas);
+    setGauge('retries_left', readings.retriesLeft);
+    setGauge('memory_leases', readings.memoryLeases);
+    setGauge('suspects', readings.suspects);
+    setGauge('quarantined', readings.quarantined);
   });
 }
--- a/src/direct/groups.ts
+++ b/src/direct/groups.ts
@@ -1,13 +1,13 @@
 /**
- * Memory that the members of a group set aside for one prompt. The entry
- * renews its leases while the request runs and releases them when it ends; if
- * the entry dies, they lapse by themselves.
+ * Reserves memory at the replicas of a group, which prefill one long prompt
+ * together. The entry renews the leases while the request runs and releases
+ * them when it ends. If the entry dies, the leases expire.
  *
- * They are renewed only on a sign that the memory is used and that the engine
- * which leads is alive. One that goes dark before its first event resets
- * nothing; one that takes a request and never begins it answers for its state
- * all the while. For both the members' memory was held for nobody, for as long
- * as the entry waited for the first event.
+ * The leases are renewed only while the lead engine is alive and the memory is
+ * used. A lead that becomes unreachable before its first event resets no
+ * connection, and one that accepts a request but never starts it still answers
+ * status requests. In both cases the members' memory would otherwise be held
+ * without use for as long as the entry waits for the first event.
  */
 import type {Clock, Log} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
@@ -20,36 +20,42 @@
   Reservations,
 } from './types.js';
 
-/** A lease is renewed after this share of its time. */
+/** A lease is renewed after this share of its duration. */
 const RENEW_SHARE = 0.45;
-/** What the lead sent this long ago is a sign of life and use still. */
-const HEARD_MS = 300;
-/** Questions without an answer until the lead counts as gone. */
-const LIFE_TRIES = 2;
-/** Members that are asked in turn until one says whether its memory is used. */
-const USE_TRIES = 2;
+/**
+ * Data that the lead sent within this time shows that it is alive and uses the
+ * memory, so no status request is needed.
+ */
+const RECENT_ACTIVITY_MS = 300;
+/** Unanswered status requests after which the lead counts as gone. */
+const LEAD_CHECK_ATTEMPTS = 2;
+/** Most members that are asked, in turn, whether their memory is used. */
+const MAX_MEMBERS_ASKED = 2;
 
 /** Why a group's memory was released before its request ended. */
 export type GroupLoss = 'the lead is silent' | 'the memory is unused';
 
-/** A group whose members all hold their part. */
+/** A group whose helpers have all reserved their memory. */
 export interface Group {
   readonly members: readonly GroupMember[];
-  /** The lead sent something. */
+  /** Records that the lead sent data just now. */
   noteActivity(): void;
-  /** `onLost` is called once, when the memory is released for this reason. */
+  /** `onLost` is called once, if the memory is released before `close`. */
   watchLoss(onLost: (loss: GroupLoss) => void): void;
-  /** Releases all members. */
+  /** Releases the memory of all members. */
   close(): void;
 }
 
-/** What a group is opened for. */
+/** The request for which memory is reserved, and the replicas of its group. */
 export interface GroupRequest {
   readonly requestId: string;
-  /** Reads a part as well, and writes; its own part needs no reservation. */
+  /**
+   * The replica that gets the request. It prefills a part of the prompt itself
+   * and decodes; its own part needs no reservation.
+   */
   readonly lead: DirectReplica;
   readonly helpers: readonly DirectReplica[];
-  /** Of each helper's part. */
+  /** Tokens to reserve at each helper. */
   readonly tokens: number;
 }
 
@@ -60,20 +66,29 @@
   readonly readReport: ReadReport;
   /** Prefix of the reservations' ids, unique to this process. */
   readonly idPrefix: string;
-  /** Time of one lease, in milliseconds. */
+  /** Duration of one lease, in milliseconds. */
   readonly holdMs: number;
-  /** Memory without a sign of use for this long is released, in milliseconds. */
+  /**
+   * Time after which the memory is released when nothing shows that it is used,
+   * in milliseconds.
+   */
   readonly unusedMs: number;
 }
 
 export interface Groups {
-  /** All members or none; a refusal names the replica that refused. */
+  /**
+   * Reserves memory at all helpers or at none. `refusedBy` is the address of
+   * the replica that refused or did not answer.
+   */
   open(req: GroupRequest): Promise<Group | {readonly refusedBy: string}>;
-  /** Reservations that are held, or may be. */
+  /** Reservations that are held or may still be held. */
   reservationCount(): number;
 }
 
-/** What a member says of its memory; `untold` where it lists no reservations. */
+/**
+ * Use of a member's memory as the member reports it; `untold` when its report
+ * lists no reservations.
+ */
 type MemoryUse = 'used' | 'unused' | 'untold';
 
 export function createGroups(options: GroupsOptions): Groups {
@@ -83,9 +98,9 @@
   const pause = (ms: number): Promise<void> =>
     new Promise(resolve => void clock.after(ms, resolve));
 
-  /** Whether the lead is the start that was chosen, and answers. */
-  const isAlive = async ({address, startedAt}: DirectReplica) => {
-    for (let tries = 1; tries <= LIFE_TRIES; tries++) {
+  /** Whether the lead answers and has not restarted since it was chosen. */
+  const checkAlive = async ({address, startedAt}: DirectReplica) => {
+    for (let attempt = 1; attempt <= LEAD_CHECK_ATTEMPTS; attempt++) {
       const report = await options.readReport(address);
       if (report === undefined) continue;
       const isSame =
@@ -97,11 +112,11 @@
     return false;
   };
 
-  /** Undefined when no member that was asked answers. */
-  const askForUse = async (
+  /** Asks the members in turn; undefined when none of them answers. */
+  const queryUse = async (
     held: readonly MemoryLease[],
   ): Promise<MemoryUse | undefined> => {
-    for (const {address, id} of held.slice(0, USE_TRIES)) {
+    for (const {address, id} of held.slice(0, MAX_MEMBERS_ASKED)) {
       const report = await options.readReport(address);
       if (report === undefined) continue;
       const {reservations} = report;
@@ -111,39 +126,41 @@
     return undefined;
   };
 
-  const groupOf = (
+  const createGroup = (
     {requestId, lead, tokens}: GroupRequest,
-    asked: readonly MemoryLease[],
+    reserved: readonly MemoryLease[],
   ): Group => {
     const reservedAt = clock.now();
-    let heardAt = reservedAt;
-    let usedAt = reservedAt;
+    let lastActivityAt = reservedAt;
+    let lastUseAt = reservedAt;
     let use: MemoryUse | undefined;
     let isOpen = true;
-    let held = asked;
+    let held = reserved;
     let onLost = (_loss: GroupLoss) => {};
     log(DIRECT_EVENTS.memoryReserved, {
       requestId,
       tokens,
-      members: asked.map(({address, id}) => `${address}/${id}`),
+      members: reserved.map(({address, id}) => `${address}/${id}`),
     });
 
-    const unusedMs = () => clock.now() - Math.max(usedAt, heardAt);
-    const isHeard = () => clock.now() - heardAt < HEARD_MS;
-    const noteUse = async () => {
-      if (isHeard()) return;
-      use = await askForUse(held);
-      // Without a word of its use, the lead's life is all there is to go by.
-      if (use === 'used' || use === 'untold') usedAt = clock.now();
+    const unusedMs = () => clock.now() - Math.max(lastUseAt, lastActivityAt);
+    const isRecentlyActive = () =>
+      clock.now() - lastActivityAt < RECENT_ACTIVITY_MS;
+    const checkUse = async () => {
+      if (isRecentlyActive()) return;
+      use = await queryUse(held);
+      // Where members report no reservations, only the lead's life counts.
+      if (use === 'used' || use === 'untold') lastUseAt = clock.now();
     };
-    const leadLives = async () => isHeard() || (await isAlive(lead));
+    const isLeadAlive = async () =>
+      isRecentlyActive() || (await checkAlive(lead));
     const findLoss = async (): Promise<GroupLoss | undefined> => {
-      const [lives] = await Promise.all([leadLives(), noteUse()]);
-      if (!lives) return 'the lead is silent';
+      const [isAlive] = await Promise.all([isLeadAlive(), checkUse()]);
+      if (!isAlive) return 'the lead is silent';
       return unusedMs() > options.unusedMs ? 'the memory is unused' : undefined;
     };
-    // Each by itself: awaited together, one member whose answers are lost would
-    // keep the others' leases from renewal, and their use from being looked at.
+    // Each lease is renewed on its own. If all were awaited together, a member
+    // whose answers are lost would delay the other renewals and the use check.
     const renew = async (lease: MemoryLease) => {
       const isKept = await lease.renew();
       if (!isKept) held = held.filter(it => it !== lease);
@@ -157,12 +174,12 @@
         use,
         unusedMs: Math.round(unusedMs()),
       });
-      for (const lease of asked) lease.release();
+      for (const lease of reserved) lease.release();
     };
     const lose = (loss: GroupLoss) => {
       const {leadSilent, memoryUnused} = DIRECT_EVENTS;
-      const line = loss === 'the lead is silent' ? leadSilent : memoryUnused;
-      log(line, {requestId, replica: lead.id});
+      const event = loss === 'the lead is silent' ? leadSilent : memoryUnused;
+      log(event, {requestId, replica: lead.id});
       close();
       onLost(loss);
     };
@@ -178,9 +195,9 @@
     };
     void keepRenewed();
     return {
-      members: asked.map(({address, id}) => ({address, reservation: id})),
+      members: reserved.map(({address, id}) => ({address, reservation: id})),
       noteActivity: () => {
-        heardAt = clock.now();
+        lastActivityAt = clock.now();
       },
       watchLoss: onLoss => {
         onLost = onLoss;
@@ -191,14 +208,16 @@
 
   const open: Groups['open'] = async req => {
     const {requestId, helpers, tokens} = req;
-    const asked = helpers.map(({address}) => leases.create(address, tokens));
-    const answers = await Promise.all(asked.map(lease => lease.reserve()));
-    const at = answers.findIndex(answer => answer !== 'done');
-    if (at < 0) return groupOf(req, asked);
-    const refusedBy = asked[at].address;
-    const answer = answers[at];
+    const requested = helpers.map(({address}) =>
+      leases.create(address, tokens),
+    );
+    const answers = await Promise.all(requested.map(lease => lease.reserve()));
+    const failedIndex = answers.findIndex(answer => answer !== 'done');
+    if (failedIndex < 0) return createGroup(req, requested);
+    const refusedBy = requested[failedIndex].address;
+    const answer = answers[failedIndex];
     log(DIRECT_EVENTS.groupRefused, {requestId, refusedBy, answer});
-    for (const lease of asked) lease.release();
+    for (const lease of requested) lease.release();
     return {refusedBy};
   };
 
--- a/src/direct/local_answers.ts
+++ b/src/direct/local_answers.ts
@@ -1,26 +1,26 @@
 /**
- * Answers of the entry's own. 503 and 429 promise that the request has not run
- * and never will; 502 and 504 promise nothing.
+ * Answers that the entry generates itself. The statuses 503 and 429 guarantee
+ * that the request has not run and never will; 502 and 504 guarantee nothing.
  */
 import type {ServerResponse} from 'node:http';
 
-/** When a refused caller should come back, where nothing is known of it. */
+/** Retry time for a refused caller when no better one is known. */
 const DEFAULT_RETRY_AFTER_MS = 250;
 
 export type LocalStatus =
   400 | 401 | 404 | 408 | 413 | 429 | 431 | 502 | 503 | 504;
 
-/** What the caller is told. */
+/** Content of an answer that the entry generates. */
 export interface LocalAnswer {
   readonly status: LocalStatus;
   readonly message: string;
-  /** Ends the connection, so that a retry reaches another entry. */
+  /** Closes the connection, so that a retry can reach another entry. */
   readonly close: boolean;
-  /** When a refused caller should come back, from now. */
+  /** Time after which a refused caller should retry, in milliseconds. */
   readonly retryAfterMs?: number;
 }
 
-/** Sends the answer; nothing of another may have been sent. */
+/** Sends the answer. Nothing may have been sent on `res` before. */
 export function sendLocalAnswer(
   res: ServerResponse,
   {status, message, close, retryAfterMs = DEFAULT_RETRY_AFTER_MS}: LocalAnswer,
--- a/src/direct/lost_runs.ts
+++ b/src/direct/lost_runs.ts
@@ -1,121 +1,141 @@
 /**
- * Finds out whether a replica has ended under a run that broke off. A broken
- * connection alone says little: links are cut, answers are lost. A process that
- * has ended refuses new connections at once.
+ * Determines whether a replica's process ended during a run whose connection
+ * was lost. A broken connection alone is no proof, since networks fail too. A
+ * host whose process has ended refuses new connections at once, so the
+ * replica's port is probed.
  */
 import type {Clock} from '../types/runtime.js';
 import type {ProbePort} from './port_probe.js';
 import type {DirectReplica} from './types.js';
 
-/** A replica that is found ended within this time of a lost run ended under it. */
-const ENDED_WITHIN_MS = 5_000;
-/** Of one replica; many run there at once. */
-const RUNS_MOST = 64;
-/** A process that ends closes its connections a moment before its port. */
-const BROKEN_LOOK_MS = 20;
-/** A run that its caller left may go on for so long at most. */
-const LEFT_LOOK_MS = 300;
+/**
+ * A replica's end is attributed to the runs that were lost at most this long
+ * before or after it was noticed.
+ */
+const ATTRIBUTION_WINDOW_MS = 5_000;
+/** Most lost runs kept for one replica; beyond it the oldest are dropped. */
+const MAX_RUNS_PER_REPLICA = 64;
+/**
+ * Delay of the probe after a connection broke. A process that ends closes its
+ * connections a moment before its port.
+ */
+const BROKEN_PROBE_DELAY_MS = 20;
+/**
+ * Delay of the probe after a suspect run was cancelled. The run may continue
+ * for this long at most and crash the replica in that time.
+ */
+const CANCELLED_PROBE_DELAY_MS = 300;
 
 interface LostRun {
   readonly digest: string;
   readonly at: number;
-  /** The replica's side broke it off; what outlives that did not crash. */
+  /**
+   * True when the connection broke, false when this entry cancelled the run.
+   * A replica that accepts connections after a broken run did not crash.
+   */
   readonly isBroken: boolean;
 }
 
 export interface LostRuns {
-  /** The run's connection broke, or fell silent: the replica is looked for. */
+  /** The run's connection broke or fell silent. Probes the replica. */
   runBroken(digest: string, replica: DirectReplica): void;
-  /** Its caller left; counts if the replica is found ended for other reasons. */
+  /**
+   * The run was cancelled. It counts if the replica is found to have ended; the
+   * replica is not probed for it.
+   */
   runCancelled(digest: string, replica: DirectReplica): void;
-  /** The same, and the replica is looked for, as the request is suspect. */
+  /** The run of a suspect request was cancelled. Probes the replica. */
   suspectRunCancelled(digest: string, replica: DirectReplica): void;
-  /** It is known from elsewhere that this start of a replica has ended. */
+  /** Another source reports that the replica with this id has ended. */
   replicaEnded(replicaId: string): void;
-  /** Its record is gone: its last runs count, but it may serve on for a while. */
+  /**
+   * The replica's record is gone. Its recent lost runs count as ended with it,
+   * but later ones do not, since the process may still serve for a while.
+   */
   recordRemoved(replicaId: string): void;
 }
 
 export interface LostRunsOptions {
   readonly clock: Clock;
   readonly probePort: ProbePort;
-  /** It was told to leave, and ends without a crash. */
+  /** Whether the replica was told to leave, so that its end is no crash. */
   isLeaving(replicaId: string): boolean;
+  /** The replica ended during a run of the request with this digest. */
   onEnded(digest: string, replicaId: string): void;
 }
 
 export function createLostRuns(options: LostRunsOptions): LostRuns {
   const {clock} = options;
-  /** By the replica's start. */
-  const pending = new Map<string, LostRun[]>();
-  const ended = new Map<string, number>();
-  /** Replicas that are to be looked for in a moment, and after how long. */
-  const looking = new Set<string>();
+  /** Lost runs by replica id; each start of a replica has its own id. */
+  const lostRuns = new Map<string, LostRun[]>();
+  const endedAt = new Map<string, number>();
+  /** Scheduled probes, as replica id and delay. */
+  const scheduledProbes = new Set<string>();
 
-  const isNew = (at: number) => clock.now() - at <= ENDED_WITHIN_MS;
-  const prune = () => {
-    for (const [id, at] of ended) if (!isNew(at)) ended.delete(id);
-    for (const [id, runs] of pending) {
-      const kept = runs.filter(({at}) => isNew(at));
-      if (kept.length > 0) pending.set(id, kept);
-      else pending.delete(id);
+  const isRecent = (at: number) => clock.now() - at <= ATTRIBUTION_WINDOW_MS;
+  const dropOld = () => {
+    for (const [id, at] of endedAt) if (!isRecent(at)) endedAt.delete(id);
+    for (const [id, runs] of lostRuns) {
+      const kept = runs.filter(({at}) => isRecent(at));
+      if (kept.length > 0) lostRuns.set(id, kept);
+      else lostRuns.delete(id);
     }
   };
   const recordRemoved = (replicaId: string): void => {
-    prune();
-    const runs = pending.get(replicaId) ?? [];
-    pending.delete(replicaId);
+    dropOld();
+    const runs = lostRuns.get(replicaId) ?? [];
+    lostRuns.delete(replicaId);
     for (const {digest} of runs) options.onEnded(digest, replicaId);
   };
   const replicaEnded = (replicaId: string): void => {
-    ended.set(replicaId, clock.now());
+    endedAt.set(replicaId, clock.now());
     recordRemoved(replicaId);
   };
-  const note = (
+  const addRun = (
     digest: string,
     {id}: DirectReplica,
     isBroken: boolean,
   ): void => {
-    prune();
-    if (ended.has(id)) {
+    dropOld();
+    if (endedAt.has(id)) {
       options.onEnded(digest, id);
       return;
     }
-    const runs = pending.get(id) ?? [];
+    const runs = lostRuns.get(id) ?? [];
     runs.push({digest, at: clock.now(), isBroken});
-    pending.set(id, runs.slice(-RUNS_MOST));
+    lostRuns.set(id, runs.slice(-MAX_RUNS_PER_REPLICA));
   };
-  /** It lives: the runs that broke off before `since` ended otherwise. */
-  const outlived = (replicaId: string, since: number): void => {
-    const runs = pending.get(replicaId) ?? [];
+  /** The replica is alive, so runs that broke up to `since` did not crash it. */
+  const dropSurvivedRuns = (replicaId: string, since: number): void => {
+    const runs = lostRuns.get(replicaId) ?? [];
     const kept = runs.filter(({at, isBroken}) => !isBroken || at > since);
-    pending.set(replicaId, kept);
+    lostRuns.set(replicaId, kept);
   };
-  const lookFor = async ({id, address}: DirectReplica): Promise<void> => {
+  const probe = async ({id, address}: DirectReplica): Promise<void> => {
     const since = clock.now();
-    const answer = await options.probePort(address);
-    if (answer === 'open') outlived(id, since);
-    if (answer === 'refused' && !options.isLeaving(id)) replicaEnded(id);
+    const state = await options.probePort(address);
+    if (state === 'open') dropSurvivedRuns(id, since);
+    if (state === 'refused' && !options.isLeaving(id)) replicaEnded(id);
   };
-  const lookOnce = (replica: DirectReplica, delayMs: number): void => {
-    const look = `${replica.id}/${delayMs}`;
-    if (looking.has(look) || ended.has(replica.id)) return;
-    looking.add(look);
+  const scheduleProbe = (replica: DirectReplica, delayMs: number): void => {
+    const key = `${replica.id}/${delayMs}`;
+    if (scheduledProbes.has(key) || endedAt.has(replica.id)) return;
+    scheduledProbes.add(key);
     clock.after(delayMs, () => {
-      looking.delete(look);
-      void lookFor(replica);
+      scheduledProbes.delete(key);
+      void probe(replica);
     });
   };
 
   return {
     runBroken: (digest, replica) => {
-      note(digest, replica, true);
-      lookOnce(replica, BROKEN_LOOK_MS);
+      addRun(digest, replica, true);
+      scheduleProbe(replica, BROKEN_PROBE_DELAY_MS);
     },
-    runCancelled: (digest, replica) => note(digest, replica, false),
+    runCancelled: (digest, replica) => addRun(digest, replica, false),
     suspectRunCancelled: (digest, replica) => {
-      note(digest, replica, false);
-      lookOnce(replica, LEFT_LOOK_MS);
+      addRun(digest, replica, false);
+      scheduleProbe(replica, CANCELLED_PROBE_DELAY_MS);
     },
     replicaEnded,
     recordRemoved,
--- a/src/direct/memory_leases.ts
+++ b/src/direct/memory_leases.ts
@@ -1,35 +1,41 @@
 /**
- * Leases on memory that replicas set aside. Each has an id that is never used
- * again; a replica ends it by itself unless it is renewed in time.
+ * Leases on memory that replicas reserve. Each lease has an id that is never
+ * reused, and it expires at the replica unless it is renewed in time.
  *
- * An order without an answer may be carried out seconds later. A reservation
- * that comes true after its release would hold memory that nobody uses, so
- * whatever was left unanswered is released again until no order can still come.
+ * An order that was not answered may still be executed seconds later. A
+ * reservation executed after its release would hold memory that nobody uses. So
+ * after an unanswered order, the release is repeated until no earlier order can
+ * be executed any more.
  */
 import type {Clock} from '../types/runtime.js';
 import type {ReservationAnswer, Reservations} from './types.js';
 
-/** An unanswered order is carried out within this time, or never. */
-const LATE_ORDER_MS = 13_000;
-/** Between releases while an order may still come. */
-const SWEEP_MS = 1_500;
-/** Between tries of an order that got no answer. */
-const AGAIN_MS = 150;
-/** Tries of a first reservation before it is given up. */
-const RESERVE_TRIES = 2;
+/** Longest time until an unanswered order is executed; after it, it never is. */
+const MAX_ORDER_DELAY_MS = 13_000;
+/** Interval of repeated releases while an earlier order may still be executed. */
+const RELEASE_INTERVAL_MS = 1_500;
+/** Delay before an unanswered order is sent again. */
+const RETRY_DELAY_MS = 150;
+/** Attempts of a first reservation; beyond it the reservation fails. */
+const RESERVE_ATTEMPTS = 2;
 
-/** One replica's memory, asked for or held. */
+/** A lease on one replica's memory, requested or held. */
 export interface MemoryLease {
+  /** IP:PORT of the replica. */
   readonly address: string;
   readonly id: string;
-  /** Asks for the memory, once more when no answer comes. */
+  /** Requests the memory, and repeats the request if no answer comes. */
   reserve(): Promise<ReservationAnswer>;
   /**
-   * Repeated until it is answered, or the lease is released; one that is under
-   * way is not begun again. Resolves with whether the memory is still held.
+   * Renews the lease; repeated until it is answered or the lease is released.
+   * A call during a renewal joins it. Resolves with whether the memory is still
+   * held.
    */
   renew(): Promise<boolean>;
-  /** Sent until nothing can be left; right also more than once. */
+  /**
+   * Releases the memory; repeated until no reservation can remain. Later calls
+   * have no effect.
+   */
   release(): void;
 }
 
@@ -38,20 +44,20 @@
   readonly orders: Reservations;
   /** Prefix of the ids, unique to this process. */
   readonly idPrefix: string;
-  /** Time of one lease, in milliseconds. */
+  /** Duration of one lease, in milliseconds. */
   readonly holdMs: number;
 }
 
 export interface MemoryLeases {
-  /** Nothing is asked for before `reserve`. */
+  /** Creates a lease; the memory is requested only by `reserve`. */
   create(address: string, tokens: number): MemoryLease;
-  /** Leases that are held, or may be. */
+  /** Leases that are held or may still be held. */
   count(): number;
 }
 
 export function createMemoryLeases(options: MemoryLeasesOptions): MemoryLeases {
   const {clock, orders, holdMs} = options;
-  const open = new Set<string>();
+  const openIds = new Set<string>();
   let created = 0;
 
   const pause = (ms: number): Promise<void> =>
@@ -60,54 +66,57 @@
   const create = (address: string, tokens: number): MemoryLease => {
     const id = `${options.idPrefix}-${++created}`;
     let unansweredAt = Number.NEGATIVE_INFINITY;
-    let released = false;
+    let isReleased = false;
     let renewing: Promise<boolean> | undefined;
-    open.add(id);
+    openIds.add(id);
 
-    const order = async () => {
+    const sendReserve = async () => {
       const answer = await orders.reserve(address, id, tokens, holdMs);
       if (answer === 'unknown') unansweredAt = clock.now();
       return answer;
     };
     const reserve = async (): Promise<ReservationAnswer> => {
-      for (let tries = 1; ; tries++) {
-        const answer = await order();
-        if (answer !== 'unknown' || tries >= RESERVE_TRIES) return answer;
+      for (let attempt = 1; ; attempt++) {
+        const answer = await sendReserve();
+        if (answer !== 'unknown' || attempt >= RESERVE_ATTEMPTS) return answer;
       }
     };
-    const askUntilAnswered = async (): Promise<boolean> => {
-      while (!released) {
-        const answer = await order();
-        // The renewal may have overtaken the release.
-        if (released) void sweep();
+    const renewUntilAnswered = async (): Promise<boolean> => {
+      while (!isReleased) {
+        const answer = await sendReserve();
+        // The replica may have executed this renewal after the release.
+        if (isReleased) void releaseUntilSure();
         if (answer !== 'unknown') return answer === 'done';
-        await pause(AGAIN_MS);
+        await pause(RETRY_DELAY_MS);
       }
       return false;
     };
     const renew = (): Promise<boolean> => {
-      renewing ??= askUntilAnswered().finally(() => {
+      renewing ??= renewUntilAnswered().finally(() => {
         renewing = undefined;
       });
       return renewing;
     };
-    const sweep = async (): Promise<void> => {
-      const endsAt = clock.now() + LATE_ORDER_MS;
+    const releaseUntilSure = async (): Promise<void> => {
+      const endsAt = clock.now() + MAX_ORDER_DELAY_MS;
       while (clock.now() < endsAt) {
         const answer = await orders.release(address, id);
-        const mayCome = clock.now() - unansweredAt < LATE_ORDER_MS;
-        if (answer !== 'unknown' && !mayCome) break;
-        await pause(answer === 'unknown' ? AGAIN_MS : SWEEP_MS);
+        const isReservePending =
+          clock.now() - unansweredAt < MAX_ORDER_DELAY_MS;
+        if (answer !== 'unknown' && !isReservePending) break;
+        await pause(
+          answer === 'unknown' ? RETRY_DELAY_MS : RELEASE_INTERVAL_MS,
+        );
       }
-      open.delete(id);
+      openIds.delete(id);
     };
     const release = (): void => {
-      if (released) return;
-      released = true;
-      void sweep();
+      if (isReleased) return;
+      isReleased = true;
+      void releaseUntilSure();
     };
     return {address, id, reserve, renew, release};
   };
 
-  return {create, count: () => open.size};
+  return {create, count: () => openIds.size};
 }
--- a/src/direct/replica_table.ts
+++ b/src/direct/replica_table.ts
@@ -1,44 +1,57 @@
 /**
- * The replicas that are there. After an outage of the store, entries that
- * lapsed meanwhile come back within about two seconds, so a replica that is
- * missing then is still asked for a while, where nothing better is left.
+ * Table of the known replicas. Records may expire during an outage of the
+ * store, and live replicas write theirs again within about two seconds after
+ * it. So a replica whose record disappears then is still used for a while, if
+ * its service has no other one.
  *
- * A replica may start again under its name and then knows nothing of before.
- * Its later start is known by the time it tells.
+ * A replica may restart under its name, and a restarted one has none of the
+ * earlier state. The start time in the records tells which start is the later.
  */
 import type {Clock} from '../types/runtime.js';
 import type {DirectReplica} from './types.js';
 
-/** A removal this soon after a failed call may be a lapse, not an end. */
-const OUTAGE_DOUBT_MS = 2_500;
-/** Lapsed replicas that live are back in the store by then. */
-const LAPSED_USE_MS = 1_900;
 /**
- * A record of an earlier start is a late write of a process that is gone, and
- * the living one writes over it at its next heartbeat, a second or so later.
- * One that stands for longer is the truth: its host's time of day was set back.
+ * A removal within this time after a failed store call may mean that the record
+ * expired while the replica lives.
  */
-const EARLIER_START_MS = 3_000;
-/** A removed replica's streams are ended if it starts again within this time. */
-const REMEMBERED_MS = 30_000;
+const EXPIRY_SUSPECTED_MS = 2_500;
 /**
- * What a store that came back from a copy lists of a replica that was leaving,
- * or had gone, is as old as the copy. One that leaves writes so again within a
- * heartbeat; the record of one that is gone lapses after three.
+ * A replica whose record may have expired is used for this long. A live one has
+ * written its record again by then.
  */
-const COPY_DOUBT_MS = 4_000;
+const USE_AFTER_EXPIRY_MS = 1_900;
+/**
+ * Time after which a record with an earlier start time is accepted. At first it
+ * counts as a late write of a process that is gone: the live process overwrites
+ * it at its next heartbeat, about a second later. A record that persists is
+ * valid, and the host's time of day was set back.
+ */
+const EARLIER_START_ACCEPTED_MS = 3_000;
+/**
+ * A removed replica is kept for this long, so that its restart is recognised
+ * and its open streams are ended.
+ */
+const REMOVED_KEPT_MS = 30_000;
+/**
+ * Time after a restore of the store from a copy during which its records of
+ * replicas that were leaving or removed are not trusted, because they are as
+ * old as the copy. A leaving replica writes its state again within a heartbeat;
+ * the record of a replica that is gone expires after three heartbeats.
+ */
+const RESTORE_DISTRUST_MS = 4_000;
 
 export interface ReplicaTable {
+  /** Replaces all replicas, by name. */
   setAll(replicas: ReadonlyMap<string, DirectReplica>): void;
-  /** By name; an undefined one was removed. */
+  /** Applies changes, by name; an undefined value means removed. */
   applyChanges(replicas: ReadonlyMap<string, DirectReplica | undefined>): void;
-  /** A call to the store failed just now. */
+  /** Records that a call to the store failed just now. */
   storeFailed(): void;
-  /** The store has come back from an older copy. */
+  /** Records that the store was restored from an older copy. */
   storeRestored(): void;
   /** Replicas of a service that may get new work. */
   availableFor(service: string): readonly DirectReplica[];
-  /** This start of a replica was told to leave, or its record is gone. */
+  /** Whether the replica was told to leave or has no record any more. */
   isLeaving(replicaId: string): boolean;
   size(): number;
 }
@@ -46,18 +59,19 @@
 export interface ReplicaTableOptions {
   readonly clock: Clock;
   /**
-   * It was removed; work that it has may still be answered. `mayHaveLapsed`
-   * where the store failed just before, so that it may live.
+   * A replica's record was removed; its open work may still be answered.
+   * `mayHaveLapsed` is true when the store failed just before, so that the
+   * replica may live and only its record may have expired.
    */
   onRemoved(replica: DirectReplica, mayHaveLapsed: boolean): void;
-  /** A later start took its name: it will answer nothing more. */
+  /** `now` is a later start under the same name; `replica` answers no more. */
   onRestarted(replica: DirectReplica, now: DirectReplica): void;
 }
 
 interface Removed {
   readonly replica: DirectReplica;
-  readonly at: number;
-  /** Used until then, as its record may have lapsed. */
+  readonly removedAt: number;
+  /** Until then the replica gets work, since its record may only have expired. */
   readonly usedUntil: number;
 }
 
@@ -73,65 +87,69 @@
 }: ReplicaTableOptions): ReplicaTable {
   const present = new Map<string, DirectReplica>();
   const removed = new Map<string, Removed>();
-  const earlier = new Map<string, EarlierStart>();
-  let failedAt = Number.NEGATIVE_INFINITY;
-  let doubtedUntil = Number.NEGATIVE_INFINITY;
-  /** Starts that were leaving or gone when the store came back from a copy. */
-  let leftBefore: ReadonlySet<string> = new Set();
-  /** Records of such, by name, as the copy has them. */
-  const heldBack = new Map<string, DirectReplica>();
+  const earlierStarts = new Map<string, EarlierStart>();
+  let storeFailedAt = Number.NEGATIVE_INFINITY;
+  let distrustedUntil = Number.NEGATIVE_INFINITY;
+  /** Ids of replicas that were leaving or removed when the store was restored. */
+  let leftBeforeRestore: ReadonlySet<string> = new Set();
+  /** Untrusted records of those replicas from the restored copy, by name. */
+  const untrusted = new Map<string, DirectReplica>();
 
   const remove = (name: string) => {
-    earlier.delete(name);
-    heldBack.delete(name);
+    earlierStarts.delete(name);
+    untrusted.delete(name);
     const replica = present.get(name);
     if (replica === undefined) return;
     present.delete(name);
-    const at = clock.now();
-    const mayHaveLapsed = at - failedAt < OUTAGE_DOUBT_MS && !replica.leaving;
-    const usedUntil = mayHaveLapsed ? at + LAPSED_USE_MS : at;
-    removed.set(name, {replica, at, usedUntil});
+    const removedAt = clock.now();
+    const mayHaveLapsed =
+      removedAt - storeFailedAt < EXPIRY_SUSPECTED_MS && !replica.leaving;
+    const usedUntil = mayHaveLapsed
+      ? removedAt + USE_AFTER_EXPIRY_MS
+      : removedAt;
+    removed.set(name, {replica, removedAt, usedUntil});
     onRemoved(replica, mayHaveLapsed);
   };
-  const take = (replica: DirectReplica) => {
+  const accept = (replica: DirectReplica) => {
     const {name} = replica;
-    const before = present.get(name) ?? removed.get(name)?.replica;
+    const previous = present.get(name) ?? removed.get(name)?.replica;
     present.set(name, replica);
     removed.delete(name);
-    earlier.delete(name);
-    const isOther = before !== undefined && before.id !== replica.id;
-    if (isOther) onRestarted(before, replica);
+    earlierStarts.delete(name);
+    const isRestart = previous !== undefined && previous.id !== replica.id;
+    if (isRestart) onRestarted(previous, replica);
   };
-  /** Of one that was leaving or gone, a copy of the store knows nothing new. */
-  const putListed = (replica: DirectReplica) => {
-    const isDoubted = clock.now() < doubtedUntil && leftBefore.has(replica.id);
-    if (isDoubted && !replica.leaving) heldBack.set(replica.name, replica);
+  /** Takes a listed record, unless a restored copy makes it untrustworthy. */
+  const putListedRecord = (replica: DirectReplica) => {
+    const isUntrusted =
+      clock.now() < distrustedUntil && leftBeforeRestore.has(replica.id);
+    if (isUntrusted && !replica.leaving) untrusted.set(replica.name, replica);
     else put(replica);
   };
   const put = (replica: DirectReplica) => {
     const {name} = replica;
     const known = present.get(name);
-    if (known !== undefined && startOf(replica) < startOf(known)) {
-      const since = earlier.get(name)?.since ?? clock.now();
-      earlier.set(name, {replica, since});
+    if (known !== undefined && startTimeOf(replica) < startTimeOf(known)) {
+      const since = earlierStarts.get(name)?.since ?? clock.now();
+      earlierStarts.set(name, {replica, since});
     } else {
-      take(replica);
+      accept(replica);
     }
   };
-  const settle = () => {
+  const updateExpired = () => {
     const now = clock.now();
-    if (now >= doubtedUntil) {
-      for (const replica of heldBack.values()) put(replica);
-      heldBack.clear();
+    if (now >= distrustedUntil) {
+      for (const replica of untrusted.values()) put(replica);
+      untrusted.clear();
     }
-    for (const {replica, since} of [...earlier.values()]) {
-      if (now - since >= EARLIER_START_MS) take(replica);
+    for (const {replica, since} of [...earlierStarts.values()]) {
+      if (now - since >= EARLIER_START_ACCEPTED_MS) accept(replica);
     }
-    for (const [name, {at}] of removed) {
-      if (now - at >= REMEMBERED_MS) removed.delete(name);
+    for (const [name, {removedAt}] of removed) {
+      if (now - removedAt >= REMOVED_KEPT_MS) removed.delete(name);
     }
   };
-  const stillUsed = (service: string): readonly DirectReplica[] => {
+  const recentlyRemoved = (service: string): readonly DirectReplica[] => {
     const now = clock.now();
     return [...removed.values()]
       .filter(({usedUntil}) => now < usedUntil)
@@ -141,11 +159,11 @@
 
   return {
     setAll: replicas => {
-      heldBack.clear();
+      untrusted.clear();
       for (const name of [...present.keys()]) {
         if (!replicas.has(name)) remove(name);
       }
-      for (const replica of replicas.values()) putListed(replica);
+      for (const replica of replicas.values()) putListedRecord(replica);
     },
     applyChanges: replicas => {
       for (const [name, replica] of replicas) {
@@ -153,40 +171,40 @@
           remove(name);
           continue;
         }
-        // Written since, by the replica itself.
-        heldBack.delete(name);
+        // The replica itself has written a record since the restore.
+        untrusted.delete(name);
         put(replica);
       }
     },
     storeFailed: () => {
-      failedAt = clock.now();
+      storeFailedAt = clock.now();
     },
     storeRestored: () => {
       const now = clock.now();
-      // Records of those that live may have lapsed while it was away.
-      failedAt = now;
-      doubtedUntil = now + COPY_DOUBT_MS;
-      leftBefore = new Set([
+      // Records of live replicas may have expired during the store's outage.
+      storeFailedAt = now;
+      distrustedUntil = now + RESTORE_DISTRUST_MS;
+      leftBeforeRestore = new Set([
         ...[...present.values()].filter(it => it.leaving).map(it => it.id),
         ...[...removed.values()].map(it => it.replica.id),
       ]);
     },
     availableFor: service => {
-      settle();
-      const there = [...present.values()].filter(
+      updateExpired();
+      const available = [...present.values()].filter(
         replica => replica.service === service && !replica.leaving,
       );
-      return there.length > 0 ? there : stillUsed(service);
+      return available.length > 0 ? available : recentlyRemoved(service);
     },
     isLeaving: replicaId => {
-      const here = [...present.values()].find(({id}) => id === replicaId);
-      return here?.leaving ?? true;
+      const found = [...present.values()].find(({id}) => id === replicaId);
+      return found?.leaving ?? true;
     },
     size: () => present.size,
   };
 }
 
-/** A start whose time is not told counts as the earliest. */
-function startOf({startedAt}: DirectReplica): number {
+/** Start time of a replica; a replica without one counts as the earliest. */
+function startTimeOf({startedAt}: DirectReplica): number {
   return startedAt ?? Number.NEGATIVE_INFINITY;
 }
