--- a/bench/direct/model_fleet.ts
+++ b/bench/direct/model_fleet.ts
@@ -5,10 +5,10 @@
  */
 import type {Fullness} from '../../src/direct/decide/place_or_wait.js';
 import type {OpenDispatch} from '../../src/direct/dispatch.js';
-import type {ReplicaLoad} from '../../src/direct/load_sum.js';
+import type {ReplicaLoad} from '../../src/direct/replica_load.js';
 import {createServing} from '../../src/direct/serving.js';
 import type {Serving} from '../../src/direct/serving.js';
-import {BEAT_MS, createTelling} from '../../src/direct/telling.js';
+import {BEAT_MS, createTelling} from '../../src/direct/load_broadcast.js';
 import type {
   AnswerFacts,
   DirectReplica,
--- a/src/direct/call_attempt.ts
+++ b/src/direct/call_attempt.ts
@@ -4,7 +4,7 @@
  */
 import type {AnswerHead} from './dispatch.js';
 import type {Exchange} from './exchange.js';
-import {callWork} from './load_book.js';
+import {callWork} from './load_tracker.js';
 import {dispatchRequest, judgeHead, writeHead} from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica} from './types.js';
--- a/src/direct/datagrams.ts
+++ b/src/direct/datagrams.ts
@@ -9,7 +9,7 @@
 import {Maybe, Nothing} from 'purify-ts/Maybe';
 import {crashReportCodec, isSoundReport} from './crash_reports.js';
 import type {CrashReport} from './crash_reports.js';
-import type {ReplicaLoad} from './load_sum.js';
+import type {ReplicaLoad} from './replica_load.js';
 import {packLoads, unpackLoads} from './load_codec.js';
 import type {EntryAddress, StoreKnowledge} from './types.js';
 
--- a/src/direct/decide/choose_call.ts
+++ b/src/direct/decide/choose_call.ts
@@ -7,7 +7,7 @@
  * may not be repeated is lost by it, and one that may comes late, so a broken
  * answer counts as time as well: by the aim, which says what the caller bears.
  */
-import type {ReplicaLoad} from '../load_sum.js';
+import type {ReplicaLoad} from '../replica_load.js';
 import type {DirectReplica} from '../types.js';
 
 /** Added for a replica in another failure domain, in milliseconds. */
--- a/src/direct/decide/judge_engine.ts
+++ b/src/direct/decide/judge_engine.ts
@@ -4,7 +4,7 @@
  * not depend on the part is worked out once for each engine, since a prompt is
  * judged for groups of many sizes, and an entry may have a quarter of a core.
  */
-import type {Reader, ReplicaLoad} from '../load_sum.js';
+import type {Reader, ReplicaLoad} from '../replica_load.js';
 import type {DirectReplica, EngineFigures} from '../types.js';
 import {passMs} from './engine_timing.js';
 import {firstEventLoss, pauseLoss, slackRisk} from './waiting_loss.js';
--- a/src/direct/decide/place_or_wait.ts
+++ b/src/direct/decide/place_or_wait.ts
@@ -16,7 +16,7 @@
  * refused the same way on their return. So it has none while there is room.
  */
 import type {EngineFigures} from '../types.js';
-import {noLoad} from '../load_sum.js';
+import {noLoad} from '../replica_load.js';
 import {LARGEST_GROUP, chooseEngines, leastLoss} from './choose_engines.js';
 import type {EnginePlan} from './choose_engines.js';
 import type {EngineCandidate, EngineRequest} from './judge_engine.js';
--- a/src/direct/load_codec.ts
+++ b/src/direct/load_codec.ts
@@ -5,7 +5,7 @@
  */
 import {Just, Nothing} from 'purify-ts/Maybe';
 import type {Maybe} from 'purify-ts/Maybe';
-import type {ReplicaLoad} from './load_sum.js';
+import type {ReplicaLoad} from './replica_load.js';
 
 type PackedLoad = readonly [
   replicaId: string,
--- a/src/direct/load_book.ts
+++ b/src/direct/load_tracker.ts
@@ -5,9 +5,9 @@
  * fall on one replica.
  */
 import type {Clock} from '../types/runtime.js';
-import {addWriters, noLoad} from './load_sum.js';
-import type {LoadSum, Reader, ReplicaLoad} from './load_sum.js';
-import {createOthersLoads} from './others_loads.js';
+import {addWriters, noLoad} from './replica_load.js';
+import type {LoadSum, Reader, ReplicaLoad} from './replica_load.js';
+import {createOthersLoads} from './peer_loads.js';
 
 /** One request's part at one replica. */
 export interface Work {
--- a/src/direct/messages.ts
+++ b/src/direct/messages.ts
@@ -1,6 +1,6 @@
 /** Messages between the services of a direct entry. */
 import type {CrashReport} from './crash_reports.js';
-import type {ReplicaLoad} from './load_sum.js';
+import type {ReplicaLoad} from './replica_load.js';
 import type {
   DirectConfig,
   DirectReplica,
--- a/src/direct/others_loads.ts
+++ b/src/direct/peer_loads.ts
@@ -4,8 +4,8 @@
  * all of them.
  */
 import type {Clock} from '../types/runtime.js';
-import {addTold} from './load_sum.js';
-import type {LoadSum, ReplicaLoad} from './load_sum.js';
+import {addTold} from './replica_load.js';
+import type {LoadSum, ReplicaLoad} from './replica_load.js';
 
 /** Another entry's word counts no longer than this without a newer one. */
 const OTHERS_AGE_MS = 1_500;
--- a/src/direct/quarantine_records.ts
+++ b/src/direct/quarantine_records.ts
@@ -6,8 +6,8 @@
 import type {Cancel, Clock, Log, Random} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
 import type {CrashReport, QuarantineRecord} from './crash_reports.js';
-import {follow} from './follow.js';
-import type {Follower} from './follow.js';
+import {follow} from './collection_follower.js';
+import type {Follower} from './collection_follower.js';
 import {QUARANTINE_MS} from './suspects.js';
 import type {DirectStore, StoreFault} from './types.js';
 
--- a/src/direct/sharing.ts
+++ b/src/direct/sharing.ts
@@ -11,10 +11,10 @@
 import type {CrashReport} from './crash_reports.js';
 import {decodeDatagram, encodeDatagram} from './datagrams.js';
 import type {AskDatagram, Datagram, LoadDatagram} from './datagrams.js';
-import {createEntryQuestions} from './entry_questions.js';
-import type {ReplicaLoad} from './load_sum.js';
+import {createEntryQuestions} from './peer_queries.js';
+import type {ReplicaLoad} from './replica_load.js';
 import './messages.js';
-import {BEAT_MS, createTelling} from './telling.js';
+import {BEAT_MS, createTelling} from './load_broadcast.js';
 import type {DirectStore, EntryAddress, StoreKnowledge} from './types.js';
 
 /** An entry that was not heard of for this long is not counted. */
--- a/src/direct/followed.ts
+++ b/src/direct/store_follower.ts
@@ -10,8 +10,8 @@
   WRITTEN_AGAIN_MS,
   createConfigProof,
 } from './config_proof.js';
-import {coverAgeMs, createCover} from './cover.js';
-import {follow} from './follow.js';
+import {coverAgeMs, createCover} from './peer_confirmation.js';
+import {follow} from './collection_follower.js';
 import {createKnownReplicas} from './known_replicas.js';
 import './messages.js';
 import {createQuarantineRecords} from './quarantine_records.js';
@@ -20,7 +20,7 @@
   createStoreConnection,
 } from './store_connection.js';
 import {createSettledEra} from './settled_era.js';
-import {createStoreEras} from './store_eras.js';
+import {createStoreEras} from './store_era_tracker.js';
 import type {StoreEra} from './store_position.js';
 import type {
   DirectConfig,
--- a/src/direct_wiring.ts
+++ b/src/direct_wiring.ts
@@ -4,7 +4,7 @@
  */
 import {createDirectFront} from './direct/front.js';
 import {readyAgeMs} from './direct/evidence.js';
-import {createFollowed} from './direct/followed.js';
+import {createFollowed} from './direct/store_follower.js';
 import {createHandover} from './direct/handover.js';
 import {createReadyServer} from './direct/ready_server.js';
 import type {DirectSettings} from './direct/settings.js';
--- a/test/direct/choose_engines.test.ts
+++ b/test/direct/choose_engines.test.ts
@@ -4,7 +4,7 @@
 import {chooseEngines} from '../../src/direct/decide/choose_engines.js';
 import type {EngineRequest} from '../../src/direct/decide/judge_engine.js';
 import {weightOf} from '../../src/direct/decide/request_worth.js';
-import type {ReplicaLoad} from '../../src/direct/load_sum.js';
+import type {ReplicaLoad} from '../../src/direct/replica_load.js';
 import type {EngineFigures} from '../../src/direct/types.js';
 import {engineCandidate} from '../support/engine_candidates.js';
 
--- a/test/direct/follow.test.ts
+++ b/test/direct/collection_follower.test.ts
@@ -2,7 +2,7 @@
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
 import {describe, expect, test} from 'vitest';
-import {follow} from '../../src/direct/follow.js';
+import {follow} from '../../src/direct/collection_follower.js';
 import type {StorePosition} from '../../src/direct/store_position.js';
 import type {Changes, StoreFault} from '../../src/direct/types.js';
 import {createSeededRandom} from '../../standins/seeded_random.js';
--- a/test/direct/follow_restored.test.ts
+++ b/test/direct/collection_follower_restored.test.ts
@@ -2,7 +2,7 @@
 import * as fc from 'fast-check';
 import {Right} from 'purify-ts';
 import {describe, expect, test} from 'vitest';
-import {follow} from '../../src/direct/follow.js';
+import {follow} from '../../src/direct/collection_follower.js';
 import type {StorePosition} from '../../src/direct/store_position.js';
 import {createSeededRandom} from '../../standins/seeded_random.js';
 import {createVirtualClock} from '../../standins/virtual_clock.js';
--- a/test/direct/evidence.test.ts
+++ b/test/direct/evidence.test.ts
@@ -1,9 +1,9 @@
 /** Until when a key may be taken as valid. */
 import {describe, expect, test} from 'vitest';
-import {coverAgeMs, createCover} from '../../src/direct/cover.js';
+import {coverAgeMs, createCover} from '../../src/direct/peer_confirmation.js';
 import {createEvidence, waitForEvidence} from '../../src/direct/evidence.js';
 import {createVirtualClock} from '../../standins/virtual_clock.js';
-import {DEAF} from '../support/cover.js';
+import {DEAF} from '../support/peer_confirmation.js';
 
 const LIMIT_MS = 4_500;
 
--- a/test/direct/telling.test.ts
+++ b/test/direct/load_broadcast.test.ts
@@ -1,6 +1,6 @@
 /** When an entry tells the others of its load. */
 import {describe, expect, test} from 'vitest';
-import {BEAT_MS, createTelling} from '../../src/direct/telling.js';
+import {BEAT_MS, createTelling} from '../../src/direct/load_broadcast.js';
 import {createVirtualClock} from '../../standins/virtual_clock.js';
 
 const SECONDS = 20;
--- a/test/direct/parts.test.ts
+++ b/test/direct/parts.test.ts
@@ -3,7 +3,7 @@
 import {createEventSplitter} from '../../src/direct/event_splitter.js';
 import {createEvidence} from '../../src/direct/evidence.js';
 import {createFleet} from '../../src/direct/fleet.js';
-import {callWork, createLoadBook} from '../../src/direct/load_book.js';
+import {callWork, createLoadBook} from '../../src/direct/load_tracker.js';
 import {packLoads, unpackLoads} from '../../src/direct/load_codec.js';
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
 import {drawService} from '../../src/direct/route_table.js';
--- a/test/direct/cover.test.ts
+++ b/test/direct/peer_confirmation.test.ts
@@ -1,12 +1,12 @@
 /** Another entry's word in place of own calls to the store. */
 import {describe, expect, test} from 'vitest';
-import {coverAgeMs, createCover} from '../../src/direct/cover.js';
-import {createEntryQuestions} from '../../src/direct/entry_questions.js';
+import {coverAgeMs, createCover} from '../../src/direct/peer_confirmation.js';
+import {createEntryQuestions} from '../../src/direct/peer_queries.js';
 import type {AskDatagram} from '../../src/direct/datagrams.js';
 import type {EntryAnswer, StoreKnowledge} from '../../src/direct/types.js';
 import {createVirtualClock} from '../../standins/virtual_clock.js';
 import type {VirtualClock} from '../../standins/virtual_clock.js';
-import {DEAF} from '../support/cover.js';
+import {DEAF} from '../support/peer_confirmation.js';
 
 /** As with a bound of five seconds. */
 const READY_MS = 3_000;
--- a/test/direct/entry_questions.test.ts
+++ b/test/direct/peer_queries.test.ts
@@ -1,6 +1,6 @@
 /** Which other entry is asked what it knows of the store. */
 import {describe, expect, test} from 'vitest';
-import {createEntryQuestions} from '../../src/direct/entry_questions.js';
+import {createEntryQuestions} from '../../src/direct/peer_queries.js';
 import type {EntryAddress} from '../../src/direct/types.js';
 import {createVirtualClock} from '../../standins/virtual_clock.js';
 
--- a/test/direct/place_or_wait.test.ts
+++ b/test/direct/place_or_wait.test.ts
@@ -8,7 +8,7 @@
 } from '../../src/direct/decide/place_or_wait.js';
 import type {PlacingRequest} from '../../src/direct/decide/place_or_wait.js';
 import {weightOf} from '../../src/direct/decide/request_worth.js';
-import type {ReplicaLoad} from '../../src/direct/load_sum.js';
+import type {ReplicaLoad} from '../../src/direct/replica_load.js';
 import {meanBacklog} from '../../bench/direct/ways.js';
 import type {EngineFigures} from '../../src/direct/types.js';
 import {engineCandidate} from '../support/engine_candidates.js';
--- a/test/direct/look_pace.test.ts
+++ b/test/direct/placement_poll_pace.test.ts
@@ -1,6 +1,6 @@
 /** How soon requests that wait look again. */
 import {describe, expect, test} from 'vitest';
-import {createLookPace} from '../../src/direct/look_pace.js';
+import {createLookPace} from '../../src/direct/placement_poll_pace.js';
 
 const MIDDLE_DRAW = 0.5;
 
--- a/test/direct/restored_store.test.ts
+++ b/test/direct/restored_store.test.ts
@@ -2,9 +2,9 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createConfigProof} from '../../src/direct/config_proof.js';
-import {createCover} from '../../src/direct/cover.js';
+import {createCover} from '../../src/direct/peer_confirmation.js';
 import {createFleet} from '../../src/direct/fleet.js';
-import {createStoreEras} from '../../src/direct/store_eras.js';
+import {createStoreEras} from '../../src/direct/store_era_tracker.js';
 import type {DirectReplica, EntryAnswer} from '../../src/direct/types.js';
 import {DIRECT_EVENTS} from '../../src/utils/events.js';
 import {createRecordingRuntime} from '../../standins/recording_runtime.js';
--- a/test/support/engine_candidates.ts
+++ b/test/support/engine_candidates.ts
@@ -1,6 +1,6 @@
 /** Engines with loads made by hand. */
 import type {EngineCandidate} from '../../src/direct/decide/judge_engine.js';
-import type {ReplicaLoad} from '../../src/direct/load_sum.js';
+import type {ReplicaLoad} from '../../src/direct/replica_load.js';
 
 const IDLE = {running: 0, tokens: 0, readMs: 0, readers: [], writers: []};
 
--- a/test/support/cover.ts
+++ b/test/support/peer_confirmation.ts
@@ -1,5 +1,5 @@
 /** What an entry is told of another one's word, passed over. */
-import type {CoverOptions} from '../../src/direct/cover.js';
+import type {CoverOptions} from '../../src/direct/peer_confirmation.js';
 
 export const DEAF = {
   onConfirmed: () => undefined,
