--- a/bench/decision.ts
+++ b/bench/decision.ts
@@ -13,8 +13,8 @@
 import {placeOrWait} from '../src/direct/decide/place_or_wait.js';
 import type {PlacingRequest} from '../src/direct/decide/place_or_wait.js';
 import {weightOf} from '../src/direct/decide/request_worth.js';
-import {createLoadBook} from '../src/direct/load_tracker.js';
-import type {LoadBook} from '../src/direct/load_tracker.js';
+import {createLoadTracker} from '../src/direct/load_tracker.js';
+import type {LoadTracker} from '../src/direct/load_tracker.js';
 import type {ReplicaLoad} from '../src/direct/replica_load.js';
 import type {DirectReplica} from '../src/direct/types.js';
 import type {Random} from '../src/types/runtime.js';
@@ -62,7 +62,7 @@
 function measure(engines: number, load: LoadName, requests: RequestName): Row {
   const random = createSeededRandom(SEED);
   const clock = createVirtualClock();
-  const book = createLoadBook(clock, () => undefined);
+  const book = createLoadTracker(clock, () => undefined);
   const replicas = Array.from({length: engines}, (_, at) => replicaOf(at));
   tellLoads(book, replicas, load, random);
   const times: number[] = [];
@@ -84,7 +84,7 @@
 }
 
 function decide(
-  book: LoadBook,
+  book: LoadTracker,
   replicas: readonly DirectReplica[],
   req: PlacingRequest,
 ): void {
@@ -93,7 +93,7 @@
     : replicas;
   const candidates = looked.map(replica => ({
     replica,
-    load: book.of(replica.id),
+    load: book.totalLoad(replica.id),
     slowness: 1,
   }));
   const weightPerReadMs = 2_000;
@@ -115,7 +115,7 @@
 
 /** Each entry tells of streams, and of parts of long prompts. */
 function tellLoads(
-  book: LoadBook,
+  book: LoadTracker,
   replicas: readonly DirectReplica[],
   load: LoadName,
   random: Random,
@@ -128,7 +128,7 @@
       loadOf(replicas[Math.floor(random.next() * replicas.length)], load),
     );
     const distinct = new Map(loads.map(it => [it.replicaId, it]));
-    book.setOther(`entry-${entry}`, [...distinct.values()]);
+    book.setPeerLoad(`entry-${entry}`, [...distinct.values()]);
   }
 }
 
--- a/bench/direct/model_fleet.ts
+++ b/bench/direct/model_fleet.ts
@@ -8,7 +8,10 @@
 import type {ReplicaLoad} from '../../src/direct/replica_load.js';
 import {createServing} from '../../src/direct/serving.js';
 import type {Serving} from '../../src/direct/serving.js';
-import {BEAT_MS, createTelling} from '../../src/direct/load_broadcast.js';
+import {
+  HEARTBEAT_MS,
+  createLoadBroadcast,
+} from '../../src/direct/load_broadcast.js';
 import type {
   AnswerFacts,
   DirectReplica,
@@ -94,7 +97,8 @@
       if (links.next() < options.lossShare) continue;
       clock.after(options.wayMs, () => {
         const entry = entries[at];
-        if (entry.isUp()) entry.serving.book.setOther(`entry-${from}`, loads);
+        if (entry.isUp())
+          entry.serving.book.setPeerLoad(`entry-${from}`, loads);
       });
     }
   };
@@ -195,7 +199,7 @@
     unusedMs: UNUSED_MS,
     fullness: options.fullness,
     isDraining: () => false,
-    share: (_loads, isLong) => telling.changed(isLong),
+    share: (_loads, isLong) => telling.loadChanged(isLong),
     tellCrashes: () => undefined,
     quarantine: {
       onQuarantined: () => undefined,
@@ -210,13 +214,13 @@
   ).filter(entry => entry !== at);
   const near = others.filter(entry => domainOf(entry) === domainOf(at));
   const far = others.filter(entry => domainOf(entry) !== domainOf(at));
-  const telling = createTelling<number>({
+  const telling = createLoadBroadcast<number>({
     clock,
-    near: () => near,
-    far: () => far,
-    tell: to => isUp() && tellFrom(at, to, serving.book.own()),
+    sameDomainPeers: () => near,
+    otherDomainPeers: () => far,
+    send: to => isUp() && tellFrom(at, to, serving.book.ownLoads()),
   });
-  clock.every(BEAT_MS, telling.beat);
+  clock.every(HEARTBEAT_MS, telling.heartbeat);
   return {
     serving: {
       ...serving,
--- a/src/direct/call_attempt.ts
+++ b/src/direct/call_attempt.ts
@@ -4,7 +4,7 @@
  */
 import type {AnswerHead} from './dispatch.js';
 import type {Exchange} from './exchange.js';
-import {callWork} from './load_tracker.js';
+import {plainCallAssignment} from './load_tracker.js';
 import {dispatchRequest, judgeHead, writeHead} from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica} from './types.js';
@@ -43,7 +43,7 @@
   const {health, losses, book, clock, metrics, callTimes} = ctx;
   const {service} = exchange;
   const startedAt = clock.now();
-  const work = book.enter(callWork(replica.id, Infinity));
+  const work = book.assign(plainCallAssignment(replica.id, Infinity));
   exchange.sent++;
   return new Promise(resolve => {
     let head: AnswerHead | undefined;
--- a/src/direct/catch_up.ts
+++ b/src/direct/catch_up.ts
@@ -9,27 +9,27 @@
  * replicas bears no version: it is taken only while the store is lost to this
  * entry, and its own next read goes before it again.
  */
-import type {DirectConfig, DirectReplica, EntryAnswer} from './types.js';
+import type {DirectConfig, DirectReplica, PeerAnswer} from './types.js';
 
 /** Answers in a row with a newer version until it is fetched from there. */
-const NEWER_TIMES = 2;
+const NEWER_ANSWERS_BEFORE_FETCH = 2;
 
 export interface CatchUpOptions {
   /** Version in force here. */
   ownVersion(): number | undefined;
   /** The last own call to the store failed. */
   isStoreLost(): boolean;
-  fetchConfig(from: EntryAnswer): Promise<DirectConfig | undefined>;
+  fetchConfig(from: PeerAnswer): Promise<DirectConfig | undefined>;
   fetchReplicas(
-    from: EntryAnswer,
+    from: PeerAnswer,
   ): Promise<ReadonlyMap<string, DirectReplica> | undefined>;
-  onConfig(config: DirectConfig, from: EntryAnswer): void;
+  onConfig(config: DirectConfig, from: PeerAnswer): void;
   onReplicas(
     replicas: ReadonlyMap<string, DirectReplica>,
-    from: EntryAnswer,
+    from: PeerAnswer,
   ): void;
   /** It could not be fetched; the next answer tries again. */
-  onFailed(cause: unknown): void;
+  onFetchFailed(cause: unknown): void;
 }
 
 export interface CatchUp {
@@ -37,43 +37,43 @@
    * Another entry has another configuration, on young evidence. True when it is
    * fetched from there: the store need not be asked as well.
    */
-  otherConfig(answer: EntryAnswer): boolean;
+  handleDifferentConfig(answer: PeerAnswer): boolean;
   /** It has the same configuration. */
-  sameConfig(): void;
-  otherReplicas(answer: EntryAnswer): void;
+  handleSameConfig(): void;
+  handleDifferentReplicas(answer: PeerAnswer): void;
 }
 
 export function createCatchUp(options: CatchUpOptions): CatchUp {
-  let newer = 0;
+  let newerAnswers = 0;
   let isFetching = false;
 
-  const isNewer = ({configVersion = -Infinity}: EntryAnswer): boolean =>
+  const isNewer = ({configVersion = -Infinity}: PeerAnswer): boolean =>
     configVersion > (options.ownVersion() ?? -Infinity);
 
   const fetchOnce = (fetch: () => Promise<void>): void => {
     if (isFetching) return;
     isFetching = true;
     fetch()
-      .catch(options.onFailed)
+      .catch(options.onFetchFailed)
       .finally(() => {
         isFetching = false;
       });
   };
 
   return {
-    otherConfig: answer => {
-      newer = isNewer(answer) ? newer + 1 : 0;
-      if (newer < NEWER_TIMES) return false;
+    handleDifferentConfig: answer => {
+      newerAnswers = isNewer(answer) ? newerAnswers + 1 : 0;
+      if (newerAnswers < NEWER_ANSWERS_BEFORE_FETCH) return false;
       fetchOnce(async () => {
         const config = await options.fetchConfig(answer);
         if (config !== undefined) options.onConfig(config, answer);
       });
       return true;
     },
-    sameConfig: () => {
-      newer = 0;
+    handleSameConfig: () => {
+      newerAnswers = 0;
     },
-    otherReplicas: answer => {
+    handleDifferentReplicas: answer => {
       if (!options.isStoreLost()) return;
       fetchOnce(async () => {
         const replicas = await options.fetchReplicas(answer);
--- a/src/direct/collection_follower.ts
+++ b/src/direct/collection_follower.ts
@@ -5,37 +5,37 @@
  * a reset, and only a watch that fails to return shows it.
  */
 import type {Cancel, Clock, Random} from '../types/runtime.js';
-import {isOlderEra, orderOf} from './store_position.js';
+import {isOlderEra, comparePositions} from './store_position.js';
 import type {StoreEra, StorePosition} from './store_position.js';
 import type {Collection, StoreFault} from './types.js';
 
 /** Pause after a failed call; doubles up to `retryMostMs`, with jitter. */
-const RETRY_FIRST_MS = 100;
+const MIN_RETRY_MS = 100;
 /**
  * A store that drops its history again and again would be read whole without a
  * pause between.
  */
-const READ_ANEW_APART_MS = 1_000;
+const IMMEDIATE_REREAD_INTERVAL_MS = 1_000;
 
 /** What a call says of the next one; `wait`: after the pause for faults. */
 type Next = 'at once' | 'wait';
 
-type Verdict = 'current' | 'overtaken' | 'restored' | 'older era';
+type AnswerOrder = 'current' | 'overtaken' | 'restored' | 'older era';
 
 /** What is followed, and who is told. */
-export interface FollowOptions<T> {
+export interface CollectionFollowerOptions<T> {
   readonly collection: Collection<T>;
   readonly clock: Clock;
   readonly random: Random;
   /** Wait of the next watch, in milliseconds. */
   waitMs(): number;
   /** Longest pause after a failed call, in milliseconds. */
-  retryMostMs(): number;
+  maxRetryMs(): number;
   /**
    * Pause after changes. A watch returns at the first of them: of seventy that
    * come within seconds each would cost a call.
    */
-  readonly settleMs: number;
+  readonly changePauseMs: number;
   /** All items after a whole read; where it is partial, others may be there. */
   onList(items: ReadonlyMap<string, T>, isPartial: boolean): void;
   /** Items that changed; undefined ones were removed. */
@@ -51,43 +51,48 @@
 }
 
 /** A running follower. */
-export interface Follower {
+export interface CollectionFollower {
   /**
    * Reads the collection anew at once, beside the running watch. After a read
    * that failed, only when the pause after a failed call is over.
    */
-  confirmNow(): void;
+  rereadNow(): void;
   /** The store is in this era now; what is known from an older one is read anew. */
-  noteEra(era: StoreEra): void;
+  observeEra(era: StoreEra): void;
   stop(): void;
 }
 
 /** Starts to follow; ends with `stop`. */
-export function follow<T>(options: FollowOptions<T>): Follower {
+export function followCollection<T>(
+  options: CollectionFollowerOptions<T>,
+): CollectionFollower {
   const {collection, clock, random} = options;
-  let stopped = false;
+  let isStopped = false;
   let position: StorePosition | undefined;
   /** When the position was learned, on this process's clock. */
-  let learnedAt = Number.NEGATIVE_INFINITY;
+  let positionSetAt = Number.NEGATIVE_INFINITY;
   /** The newest that an answer has told. */
   let era: StoreEra;
   /** The newest watch could not go on from its position. */
-  let isRefused = false;
+  let isWatchRefused = false;
   /** When the collection was last read anew without a pause. */
-  let readAnewAt = Number.NEGATIVE_INFINITY;
+  let immediateRereadAt = Number.NEGATIVE_INFINITY;
   /** A store that was away may be back from a copy. */
-  let isDoubted = false;
-  let retryMs = RETRY_FIRST_MS;
+  let isPositionDoubtful = false;
+  let retryMs = MIN_RETRY_MS;
   let cancelPause: Cancel | undefined;
-  let confirming = false;
-  let confirmFailedAt = Number.NEGATIVE_INFINITY;
+  let isRereading = false;
+  let rereadFailedAt = Number.NEGATIVE_INFINITY;
   let hasChanged = false;
 
   /** How the answer to a call that was sent at `sentAt` stands to what is known. */
-  const judge = (came: StorePosition, sentAt: number): Verdict => {
-    if (isOlderEra(came.era, era)) return 'older era';
+  const classifyAnswer = (
+    answered: StorePosition,
+    sentAt: number,
+  ): AnswerOrder => {
+    if (isOlderEra(answered.era, era)) return 'older era';
     if (position === undefined) return 'current';
-    switch (orderOf(came, position)) {
+    switch (comparePositions(answered, position)) {
       case 'newer era':
         return 'restored';
       case 'same or newer':
@@ -95,36 +100,38 @@
       // A call that was sent when the newer answer was there cannot be
       // overtaken by it: the history itself has gone back.
       case 'older':
-        return sentAt > learnedAt ? 'restored' : 'overtaken';
+        return sentAt > positionSetAt ? 'restored' : 'overtaken';
     }
   };
-  const learn = (came: StorePosition): void => {
-    position = came;
-    learnedAt = clock.now();
-    era = came.era ?? era;
+  const advance = (answered: StorePosition): void => {
+    position = answered;
+    positionSetAt = clock.now();
+    era = answered.era ?? era;
   };
 
-  const mayReadAnew = ({historyGone}: StoreFault): boolean =>
-    historyGone && !isRefused && clock.now() - readAnewAt > READ_ANEW_APART_MS;
+  const mayRereadAtOnce = ({historyGone}: StoreFault): boolean =>
+    historyGone &&
+    !isWatchRefused &&
+    clock.now() - immediateRereadAt > IMMEDIATE_REREAD_INTERVAL_MS;
 
-  const readWhole = async (): Promise<boolean> => {
+  const readAll = async (): Promise<boolean> => {
     const sentAt = clock.now();
     const res = await collection.list();
-    if (stopped) return false;
+    if (isStopped) return false;
     return res.caseOf({
       Left: fault => {
         options.onFault(fault);
         return false;
       },
       Right: listing => {
-        const verdict = judge(listing.position, sentAt);
+        const order = classifyAnswer(listing.position, sentAt);
         // Late on its way, or a store that tells wrong eras: asked again at
         // once, that one would be asked without end.
-        if (verdict === 'older era') return false;
+        if (order === 'older era') return false;
         // A read that was overtaken must not bring back old items.
-        if (verdict === 'overtaken') return true;
-        learn(listing.position);
-        if (verdict === 'restored') options.onRestored();
+        if (order === 'overtaken') return true;
+        advance(listing.position);
+        if (order === 'restored') options.onRestored();
         options.onList(listing.items, listing.isPartial);
         options.onConfirmed(sentAt);
         return true;
@@ -136,37 +143,37 @@
     const sentAt = clock.now();
     // Watched from a revision that was given out again, it might tell nothing
     // for as long as it waits; its answer shows the era.
-    const waitMs = isDoubted ? 0 : options.waitMs();
+    const waitMs = isPositionDoubtful ? 0 : options.waitMs();
     const res = await collection.watch(from, waitMs);
-    if (stopped) return 'wait';
-    isDoubted = res.isLeft();
+    if (isStopped) return 'wait';
+    isPositionDoubtful = res.isLeft();
     return res.caseOf<Next>({
       Left: fault => {
         options.onFault(fault);
         if (!fault.historyGone && !fault.unreadable) return 'wait';
         position = undefined;
-        const isAtOnce = mayReadAnew(fault);
-        isRefused = true;
+        const isAtOnce = mayRereadAtOnce(fault);
+        isWatchRefused = true;
         if (!isAtOnce) return 'wait';
-        readAnewAt = clock.now();
+        immediateRereadAt = clock.now();
         return 'at once';
       },
       Right: changes => {
-        const verdict = judge(changes.position, sentAt);
-        if (verdict === 'older era') return 'wait';
-        isRefused = false;
-        retryMs = RETRY_FIRST_MS;
-        if (verdict === 'overtaken') return 'at once';
+        const order = classifyAnswer(changes.position, sentAt);
+        if (order === 'older era') return 'wait';
+        isWatchRefused = false;
+        retryMs = MIN_RETRY_MS;
+        if (order === 'overtaken') return 'at once';
         // These are the changes after a revision that was given out again;
         // those before it in the new history are unknown.
-        if (verdict === 'restored') {
+        if (order === 'restored') {
           position = undefined;
           options.onRestored();
           return 'at once';
         }
         // The same, but a list of the new history has come in between.
         if (isOlderEra(from.era, changes.position.era)) return 'at once';
-        learn(changes.position);
+        advance(changes.position);
         hasChanged = changes.items.size > 0;
         if (hasChanged) options.onChanges(changes.items);
         options.onConfirmed(sentAt);
@@ -174,10 +181,10 @@
       },
     });
   };
-  const readOnce = async (): Promise<Next> => {
-    if (!(await readWhole())) return 'wait';
+  const readCollection = async (): Promise<Next> => {
+    if (!(await readAll())) return 'wait';
     // Reading does not show that a watch can go on from there.
-    if (!isRefused) retryMs = RETRY_FIRST_MS;
+    if (!isWatchRefused) retryMs = MIN_RETRY_MS;
     return 'at once';
   };
 
@@ -188,40 +195,43 @@
 
   const pauseAfterFault = (): Promise<void> => {
     const delayMs = retryMs * (0.5 + random.next());
-    retryMs = Math.min(options.retryMostMs(), retryMs * 2);
+    retryMs = Math.min(options.maxRetryMs(), retryMs * 2);
     return pause(delayMs);
   };
 
   const run = async (): Promise<void> => {
-    while (!stopped) {
+    while (!isStopped) {
       const next =
-        position === undefined ? await readOnce() : await watchOnce(position);
-      if (stopped) return;
+        position === undefined
+          ? await readCollection()
+          : await watchOnce(position);
+      if (isStopped) return;
       if (next === 'wait') await pauseAfterFault();
-      if (hasChanged) await pause(options.settleMs);
+      if (hasChanged) await pause(options.changePauseMs);
       hasChanged = false;
     }
   };
   void run();
 
-  const confirmNow = (): void => {
-    const sinceFailedMs = clock.now() - confirmFailedAt;
-    const isTooSoon = sinceFailedMs < options.retryMostMs();
-    if (confirming || stopped || isTooSoon) return;
-    confirming = true;
-    void readWhole().then(well => {
-      confirming = false;
-      confirmFailedAt = well ? Number.NEGATIVE_INFINITY : clock.now();
+  const rereadNow = (): void => {
+    const sinceFailedMs = clock.now() - rereadFailedAt;
+    const isTooSoon = sinceFailedMs < options.maxRetryMs();
+    if (isRereading || isStopped || isTooSoon) return;
+    isRereading = true;
+    void readAll().then(hasSucceeded => {
+      isRereading = false;
+      rereadFailedAt = hasSucceeded ? Number.NEGATIVE_INFINITY : clock.now();
     });
   };
 
   return {
-    confirmNow,
-    noteEra: now => {
-      if (position !== undefined && isOlderEra(position.era, now)) confirmNow();
+    rereadNow,
+    observeEra: storeEra => {
+      if (position !== undefined && isOlderEra(position.era, storeEra))
+        rereadNow();
     },
     stop: () => {
-      stopped = true;
+      isStopped = true;
       cancelPause?.();
     },
   };
--- a/src/direct/config_proof.ts
+++ b/src/direct/config_proof.ts
@@ -19,24 +19,24 @@
  * longer than that on evidence from before the store went away, so that a
  * return by itself refuses nobody.
  */
-export const WRITTEN_AGAIN_MS = 2_000;
+export const REWRITE_GRACE_MS = 2_000;
 
 /** Another entry's word is there by then, also where the first that is asked is not. */
-export const FIRST_WORD_MS = 600;
+export const FIRST_PEER_ANSWER_MS = 600;
 /** A newer configuration that another entry tells of has been fetched by then. */
-const FETCHED_MS = 2_000;
+const CONFIG_FETCH_GRACE_MS = 2_000;
 
 export interface ConfigProof {
   /** The store has come back from an older copy. */
-  restored(): void;
+  storeRestored(): void;
   /** It has listed this version, or none. */
-  listed(version: number | undefined): void;
+  versionListed(version: number | undefined): void;
   /** Another entry knows this version, which is newer than the one here. */
-  heard(version: number): void;
+  peerHasVersion(version: number): void;
   /** It told that this version was written since. */
-  written(version: number): void;
+  versionWritten(version: number): void;
   /** Whether its answers prove that `version` is the newest. */
-  holds(version: number | undefined): boolean;
+  provesNewest(version: number | undefined): boolean;
 }
 
 /**
@@ -46,57 +46,60 @@
 export function createConfigProof(
   clock: Clock,
   log: Log,
-  tellsEra: () => boolean,
+  hasEra: () => boolean,
   isSettled: () => boolean = () => true,
 ): ConfigProof {
   const startedAt = clock.now();
   let restoredAt = Number.NEGATIVE_INFINITY;
-  let isWritten = false;
-  let heard = {version: Number.NEGATIVE_INFINITY, at: clock.now()};
-  let shown: number | undefined;
-  let isKept = false;
+  let isRewritten = false;
+  let peerVersion = {version: Number.NEGATIVE_INFINITY, at: clock.now()};
+  let storeVersion: number | undefined;
+  let wasKept = false;
 
-  const noteKept = (kept: boolean, version: number | undefined): void => {
-    if (kept === isKept) return;
-    isKept = kept;
+  const logKept = (isKept: boolean, version: number | undefined): void => {
+    if (isKept === wasKept) return;
+    wasKept = isKept;
     const {knowledgeKept, knowledgeSettled} = DIRECT_EVENTS;
-    const line = kept ? knowledgeKept : knowledgeSettled;
-    log(line, {version, storeVersion: shown});
+    const event = isKept ? knowledgeKept : knowledgeSettled;
+    log(event, {version, storeVersion});
   };
 
-  const mayHaveMissedReturn = (): boolean => {
-    if (!tellsEra()) return false;
+  const mayHaveMissedRestore = (): boolean => {
+    if (!hasEra()) return false;
     const sinceStartMs = clock.now() - startedAt;
-    const doubtMs = isSettled() ? FIRST_WORD_MS : WRITTEN_AGAIN_MS;
-    return sinceStartMs < doubtMs;
+    const graceMs = isSettled() ? FIRST_PEER_ANSWER_MS : REWRITE_GRACE_MS;
+    return sinceStartMs < graceMs;
   };
 
   return {
-    restored: () => {
+    storeRestored: () => {
       restoredAt = clock.now();
-      isWritten = false;
+      isRewritten = false;
     },
-    listed: version => {
-      shown = version;
+    versionListed: version => {
+      storeVersion = version;
     },
-    heard: version => {
-      if (version > heard.version) heard = {version, at: clock.now()};
+    peerHasVersion: version => {
+      if (version > peerVersion.version)
+        peerVersion = {version, at: clock.now()};
     },
-    written: version => {
-      shown = version;
-      isWritten = true;
+    versionWritten: version => {
+      storeVersion = version;
+      isRewritten = true;
     },
-    holds: version => {
+    provesNewest: version => {
       const isOlder =
-        shown !== undefined && version !== undefined && shown < version;
-      noteKept(isOlder, version);
+        storeVersion !== undefined &&
+        version !== undefined &&
+        storeVersion < version;
+      logKept(isOlder, version);
       const isFetching =
         version !== undefined &&
-        version < heard.version &&
-        clock.now() - heard.at < FETCHED_MS;
+        version < peerVersion.version &&
+        clock.now() - peerVersion.at < CONFIG_FETCH_GRACE_MS;
       const mayBeLost =
-        mayHaveMissedReturn() || clock.now() - restoredAt < WRITTEN_AGAIN_MS;
-      return !isOlder && !isFetching && (isWritten || !mayBeLost);
+        mayHaveMissedRestore() || clock.now() - restoredAt < REWRITE_GRACE_MS;
+      return !isOlder && !isFetching && (isRewritten || !mayBeLost);
     },
   };
 }
--- a/src/direct/datagrams.ts
+++ b/src/direct/datagrams.ts
@@ -87,7 +87,7 @@
 
 /** Nothing when the bytes are no datagram between entries. */
 export function decodeDatagram(bytes: Buffer): Maybe<Datagram> {
-  return parsed(bytes).chain((value): Maybe<Datagram> => {
+  return parseJsonObject(bytes).chain((value): Maybe<Datagram> => {
     const {kind} = value;
     if (kind === 'load') return decodeLoad(value);
     if (kind === 'ask') {
@@ -102,7 +102,7 @@
         .toMaybe()
         .filter(({reports}) => reports.every(isSoundReport));
     }
-    return answerCodec.decode(value).toMaybe().filter(isSoundAnswer);
+    return answerCodec.decode(value).toMaybe().filter(isValidAnswer);
   });
 }
 
@@ -117,7 +117,7 @@
 }
 
 /** Ages are never negative: evidence cannot come from the future. */
-function isSoundAnswer({knowledge: {evidenceAgeMs}}: AnswerDatagram): boolean {
+function isValidAnswer({knowledge: {evidenceAgeMs}}: AnswerDatagram): boolean {
   return evidenceAgeMs === undefined || evidenceAgeMs >= 0;
 }
 
@@ -127,7 +127,9 @@
   return node !== '' && isIPv4(ip) && isPort;
 }
 
-function parsed(bytes: Buffer): Maybe<Readonly<Record<string, unknown>>> {
+function parseJsonObject(
+  bytes: Buffer,
+): Maybe<Readonly<Record<string, unknown>>> {
   return Maybe.encase(
     () => JSON.parse(bytes.toString('utf8')) as unknown,
   ).chain(value =>
--- a/src/direct/decide/place_or_wait.ts
+++ b/src/direct/decide/place_or_wait.ts
@@ -16,7 +16,7 @@
  * refused the same way on their return. So it has none while there is room.
  */
 import type {EngineFigures} from '../types.js';
-import {noLoad} from '../replica_load.js';
+import {emptyLoad} from '../replica_load.js';
 import {LARGEST_GROUP, chooseEngines, leastLoss} from './choose_engines.js';
 import type {EnginePlan} from './choose_engines.js';
 import type {EngineCandidate, EngineRequest} from './judge_engine.js';
@@ -133,7 +133,7 @@
 function isLateAnyway(pool: EnginePool, req: PlacingRequest): boolean {
   const idle = pool.candidates.map(it => ({
     ...it,
-    load: noLoad(it.load.replicaId),
+    load: emptyLoad(it.load.replicaId),
   }));
   const plan = chooseEngines(pool.figures, req, idle);
   return plan !== undefined && req.elapsedMs + plan.firstEventMs > req.aimMs;
--- a/src/direct/evidence.ts
+++ b/src/direct/evidence.ts
@@ -11,21 +11,21 @@
 import type {Clock} from '../types/runtime.js';
 
 /** Time of day and monotonic clock drift apart by less than this. */
-const DRIFT_MS = 250;
+const MAX_CLOCK_DRIFT_MS = 250;
 /** Two readings of one clock with the other's between them, on a free core. */
-const READING_MS = 20;
+const MAX_READING_MS = 20;
 /** Readings of the clocks before one that was held up is taken as it is. */
-const READING_TRIES = 3;
+const MAX_READING_ATTEMPTS = 3;
 
 /** Ready means that the store was heard of within this share of the bound. */
-const READY_SHARE = 0.6;
+const READY_AGE_SHARE = 0.6;
 
 /** Older evidence makes an entry say that it is not ready. */
-export function readyAgeMs(revokeMs: number): number {
-  return revokeMs * READY_SHARE;
+export function maxReadyAgeMs(revokeMs: number): number {
+  return revokeMs * READY_AGE_SHARE;
 }
 
-export interface Evidence {
+export interface StoreEvidence {
   /**
    * All that was acknowledged before `asOf` is known, from an answer to a
    * question that was asked at `askedAt`. For an own call to the store both are
@@ -40,38 +40,38 @@
 }
 
 /** `wallMs` is the time of day in milliseconds. */
-export function createEvidence(
+export function createStoreEvidence(
   clock: Clock,
   wallMs: () => number,
-  limitMs: number,
-): Evidence {
+  maxAgeMs: number,
+): StoreEvidence {
   let confirmedAt = Number.NEGATIVE_INFINITY;
   /** Answers to what was asked before this time may look younger than they are. */
-  let doubtedAt = Number.NEGATIVE_INFINITY;
-  let ahead = leadOf(clock, wallMs);
+  let invalidatedAt = Number.NEGATIVE_INFINITY;
+  let clockOffset = readClockOffset(clock, wallMs);
 
-  const checkLead = () => {
-    const now = leadOf(clock, wallMs);
-    if (Math.abs(now - ahead) > DRIFT_MS) {
-      doubtedAt = clock.now();
+  const checkClockOffset = () => {
+    const offset = readClockOffset(clock, wallMs);
+    if (Math.abs(offset - clockOffset) > MAX_CLOCK_DRIFT_MS) {
+      invalidatedAt = clock.now();
       confirmedAt = Number.NEGATIVE_INFINITY;
     }
-    ahead = now;
+    clockOffset = offset;
   };
 
   const ageMs = () => {
-    checkLead();
+    checkClockOffset();
     return clock.now() - confirmedAt;
   };
 
   return {
     confirm: (asOf, askedAt) => {
-      checkLead();
-      if (askedAt <= doubtedAt) return;
+      checkClockOffset();
+      if (askedAt <= invalidatedAt) return;
       confirmedAt = Math.max(confirmedAt, asOf);
     },
     ageMs,
-    isFresh: () => ageMs() <= limitMs,
+    isFresh: () => ageMs() <= maxAgeMs,
   };
 }
 
@@ -80,36 +80,36 @@
  * put off between the two readings would see a step that is none, and take all
  * its evidence as void; such a reading is made anew.
  */
-function leadOf(clock: Clock, wallMs: () => number): number {
-  let lead = 0;
-  for (let tries = 0; tries < READING_TRIES; tries++) {
+function readClockOffset(clock: Clock, wallMs: () => number): number {
+  let offset = 0;
+  for (let attempt = 0; attempt < MAX_READING_ATTEMPTS; attempt++) {
     const before = clock.now();
-    lead = wallMs() - before;
-    if (clock.now() - before < READING_MS) break;
+    offset = wallMs() - before;
+    if (clock.now() - before < MAX_READING_MS) break;
   }
-  return lead;
+  return offset;
 }
 
 /** A request waits so long for the store to confirm its key. */
-const CONFIRM_WAIT_MS = 400;
-const CONFIRM_LOOK_MS = 20;
+const CONFIRM_TIMEOUT_MS = 400;
+const CONFIRM_POLL_MS = 20;
 
 /**
  * Whether keys may be taken as valid. Where the evidence has grown old, `ask`
  * asks the store, which answers in milliseconds; a freeze or a stepped clock
  * then costs callers that, and not a refusal.
  */
-export async function waitForEvidence(
+export async function waitForFreshEvidence(
   clock: Clock,
-  evidence: Evidence,
+  evidence: StoreEvidence,
   ask: () => void,
 ): Promise<boolean> {
   if (evidence.isFresh()) return true;
   ask();
-  const until = clock.now() + CONFIRM_WAIT_MS;
-  while (clock.now() < until) {
+  const deadline = clock.now() + CONFIRM_TIMEOUT_MS;
+  while (clock.now() < deadline) {
     await new Promise<void>(
-      resolve => void clock.after(CONFIRM_LOOK_MS, resolve),
+      resolve => void clock.after(CONFIRM_POLL_MS, resolve),
     );
     if (evidence.isFresh()) return true;
   }
--- a/src/direct/front.ts
+++ b/src/direct/front.ts
@@ -12,7 +12,11 @@
 import {openCallersServer} from './callers_server.js';
 import type {CallersServer} from './callers_server.js';
 import {openDispatch} from './dispatch.js';
-import {createEvidence, readyAgeMs, waitForEvidence} from './evidence.js';
+import {
+  createStoreEvidence,
+  maxReadyAgeMs,
+  waitForFreshEvidence,
+} from './evidence.js';
 import {reportState} from './gauges.js';
 import {sendOwnAnswer} from './own_answers.js';
 import type {DirectMessage} from './messages.js';
@@ -76,8 +80,8 @@
  * would have no configuration and no replicas, and refuse every caller.
  */
 function askAgain(ctx: ServiceContext<'direct'>): void {
-  ctx.send('followed', {kind: 'tell-again'});
-  ctx.send('sharing', {kind: 'tell-again'});
+  ctx.send('followed', {kind: 'resend-state'});
+  ctx.send('sharing', {kind: 'resend-state'});
 }
 
 function startFront(
@@ -96,7 +100,7 @@
   /** Requests that are read, or whose key waits for the store. */
   let admitting = 0;
 
-  const evidence = createEvidence(
+  const evidence = createStoreEvidence(
     clock,
     options.wallMs,
     revokeMs * EVIDENCE_SHARE,
@@ -119,7 +123,7 @@
     unusedMs: options.unusedMs,
     isDraining: () => draining,
     share: (loads, isLong) =>
-      ctx.send('sharing', {kind: 'load', loads, isLong}),
+      ctx.send('sharing', {kind: 'load', loads, hasLongRead: isLong}),
     tellCrashes: reports =>
       ctx.send('sharing', {kind: 'crash-reports', reports, toAll: true}),
     quarantine: {
@@ -141,7 +145,7 @@
   });
 
   const toldAgeMs = () => Math.round(Math.min(evidence.ageMs(), NEVER_TOLD_MS));
-  const {setOther} = serving.book;
+  const {setPeerLoad} = serving.book;
   const readState = () => ({
     evidenceAgeMs: toldAgeMs(),
     openRequests: serving.open(),
@@ -154,7 +158,7 @@
   // What is known to be in vain is not waited for.
   const keysAreFresh = async () =>
     doubtMs() === 0 &&
-    waitForEvidence(clock, evidence, () =>
+    waitForFreshEvidence(clock, evidence, () =>
       ctx.send('followed', {kind: 'confirm'}),
     );
 
@@ -252,7 +256,7 @@
         return serving.fleet.setAll(message.replicas);
       case 'replica-changes':
         return serving.fleet.change(message.replicas);
-      case 'keys-in-doubt':
+      case 'keys-unconfirmed':
         doubtedUntil = message.until;
         return;
       case 'store-failed':
@@ -261,11 +265,11 @@
         return serving.fleet.restored();
       case 'evidence-age':
         return message.reply(evidence.ageMs());
-      case 'other-load':
-        return setOther(message.node, message.loads, message.keepMs);
+      case 'peer-load':
+        return setPeerLoad(message.node, message.loads, message.keepMs);
       case 'crash-reports':
         return serving.crashes.merge(message.reports);
-      case 'crash-released':
+      case 'quarantine-released':
         return serving.crashes.release(message.digest);
       case 'entries':
         return serving.setEntries(message.count);
@@ -275,7 +279,7 @@
             server !== undefined &&
             serving.fleet.size() > 0 &&
             // In doubt are all entries at once, so no other one serves more.
-            (evidence.ageMs() < readyAgeMs(revokeMs) || doubtMs() > 0),
+            (evidence.ageMs() < maxReadyAgeMs(revokeMs) || doubtMs() > 0),
         );
       case 'count':
         return message.reply(serving.open());
--- a/src/direct/handover.ts
+++ b/src/direct/handover.ts
@@ -12,7 +12,7 @@
 import type {ServiceContext, ServiceSpec} from '../types/kernel.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
 import {
-  decodeHandedConfig,
+  decodeHandoverConfig,
   decodeReplicas,
   encodeConfig,
   encodeReplicas,
@@ -28,7 +28,7 @@
  * A configuration of a thousand routes has hundreds of KB, and the link may be
  * thin and shared with answers to callers.
  */
-const FETCH_MS = 2_000;
+const FETCH_TIMEOUT_MS = 2_000;
 
 export interface HandoverOptions {
   readonly self: EntryAddress;
@@ -44,33 +44,33 @@
   self: EntryAddress,
   ctx: ServiceContext<'handover'>,
 ): Promise<void> {
-  const state = () =>
+  const getState = () =>
     ctx.ask('followed', (reply: (state: StoreState) => void) => ({
       kind: 'state',
       reply,
     }));
   // A configuration holds the callers' keys.
-  const isEntry = (ip = '') =>
+  const isKnownEntry = (ip = '') =>
     ctx.ask('sharing', (reply: (is: boolean) => void) => ({
       kind: 'is-entry',
       ip,
       reply,
     }));
-  const encodedConfig = createConfigCache();
-  const textFor = async ({url, socket}: IncomingMessage) =>
-    (await isEntry(socket.remoteAddress))
-      ? textOf(url, await state(), encodedConfig)
+  const encodeCached = createConfigCache();
+  const loadBody = async ({url, socket}: IncomingMessage) =>
+    (await isKnownEntry(socket.remoteAddress))
+      ? selectBody(url, await getState(), encodeCached)
       : undefined;
   const server = createServer((req, res) => {
-    textFor(req)
-      .then(text => answer(res, text))
+    loadBody(req)
+      .then(text => sendBody(res, text))
       .catch(err => {
         const message = String(err);
         ctx.log(DIRECT_EVENTS.handoverFailed, {step: 'hand over', message});
         res.destroy();
       });
   });
-  ctx.own(() => closeNow(server));
+  ctx.own(() => closeServer(server));
   await listen(server, self);
 
   const fetch = async <T>(
@@ -80,10 +80,10 @@
   ): Promise<T | undefined> => {
     const url = `http://${from.ip}:${from.port}`;
     const {clock} = ctx;
-    const client = createHttpClient({url, clock, timeoutMs: FETCH_MS});
-    const answered = await client.call({method: 'GET', path});
+    const client = createHttpClient({url, clock, timeoutMs: FETCH_TIMEOUT_MS});
+    const response = await client.call({method: 'GET', path});
     void client.close();
-    return answered
+    return response
       .mapLeft(({message}) => message)
       .chain(({body}) => decode(body))
       .ifLeft(message =>
@@ -94,7 +94,7 @@
   };
   void ctx.mailbox.observe(message => {
     if (message.kind === 'fetch-config') {
-      void fetch(message.from, CONFIG_PATH, decodeHandedConfig).then(
+      void fetch(message.from, CONFIG_PATH, decodeHandoverConfig).then(
         message.reply,
       );
       return;
@@ -103,14 +103,14 @@
   });
 }
 
-function textOf(
+function selectBody(
   path: string | undefined,
   {config, replicas}: StoreState,
-  encoded: ReturnType<typeof createConfigCache>,
+  encodeCached: ReturnType<typeof createConfigCache>,
 ): string | undefined {
   if (path === REPLICAS_PATH) return encodeReplicas(replicas);
   return path === CONFIG_PATH && config !== undefined
-    ? encoded(config)
+    ? encodeCached(config)
     : undefined;
 }
 
@@ -125,7 +125,7 @@
   };
 }
 
-function answer(res: ServerResponse, text: string | undefined): void {
+function sendBody(res: ServerResponse, text: string | undefined): void {
   if (text === undefined) res.writeHead(NOT_FOUND).end();
   else res.end(text);
 }
@@ -137,7 +137,7 @@
   });
 }
 
-function closeNow(server: Server): void {
+function closeServer(server: Server): void {
   server.close();
   server.closeAllConnections();
 }
--- a/src/direct/handover_codec.ts
+++ b/src/direct/handover_codec.ts
@@ -97,8 +97,10 @@
   return JSON.stringify({...packed, keys: packed.keys ?? null});
 }
 
-export function decodeHandedConfig(text: string): Either<string, DirectConfig> {
-  return parsed(text)
+export function decodeHandoverConfig(
+  text: string,
+): Either<string, DirectConfig> {
+  return parseJson(text)
     .chain(value => configCodec.decode(value))
     .map(unpackConfig);
 }
@@ -113,7 +115,7 @@
 export function decodeReplicas(
   text: string,
 ): Either<string, ReadonlyMap<string, DirectReplica>> {
-  return parsed(text)
+  return parseJson(text)
     .chain(value => replicasCodec.decode(value))
     .map(
       replicas =>
@@ -161,6 +163,6 @@
   };
 }
 
-function parsed(text: string): Either<string, unknown> {
+function parseJson(text: string): Either<string, unknown> {
   return Either.encase(() => JSON.parse(text) as unknown).mapLeft(String);
 }
--- a/src/direct/known_replicas.ts
+++ b/src/direct/known_replicas.ts
@@ -7,8 +7,8 @@
 
 export interface KnownReplicas {
   /** By name; an undefined one was removed. */
-  change(items: ReadonlyMap<string, DirectReplica | undefined>): void;
-  setAll(items: ReadonlyMap<string, DirectReplica>): void;
+  applyChanges(items: ReadonlyMap<string, DirectReplica | undefined>): void;
+  replaceAll(items: ReadonlyMap<string, DirectReplica>): void;
   all(): ReadonlyMap<string, DirectReplica>;
   /** Equal for equal replicas. */
   digest(): string;
@@ -29,8 +29,8 @@
       .update(JSON.stringify([...replicas].sort(byName)))
       .digest('base64');
   return {
-    change,
-    setAll: (items: ReadonlyMap<string, DirectReplica>) => {
+    applyChanges: change,
+    replaceAll: (items: ReadonlyMap<string, DirectReplica>) => {
       replicas.clear();
       change(items);
     },
--- a/src/direct/load_broadcast.ts
+++ b/src/direct/load_broadcast.ts
@@ -11,83 +11,95 @@
 import type {Cancel, Clock} from '../types/runtime.js';
 
 /** An entry of the own failure domain without news hears so this often. */
-const NEAR_BEAT_MS = 300;
+const SAME_DOMAIN_HEARTBEAT_MS = 300;
 /** The same in another domain. */
-const FAR_BEAT_MS = 1_000;
+const OTHER_DOMAIN_HEARTBEAT_MS = 1_000;
 /**
  * Datagrams to other failure domains in a second. To read as many takes less
  * than a hundredth of a core. With far fewer, long prompts would go to engines
  * that others have filled since.
  */
-const FAR_PER_S = 200;
+const OTHER_DOMAIN_DATAGRAMS_PER_S = 200;
 
-export interface Telling {
+export interface LoadBroadcast {
   /** The load has changed; `isLong` where a long read was added. */
-  changed(isLong: boolean): void;
+  loadChanged(hasLongRead: boolean): void;
   /** Says that this entry is there where nothing else has said so. */
-  beat(): void;
+  heartbeat(): void;
   stop: Cancel;
 }
 
-export interface TellingOptions<Peer> {
+export interface LoadBroadcastOptions<Peer> {
   readonly clock: Clock;
   /** Entries of the own failure domain. */
-  near(): readonly Peer[];
-  far(): readonly Peer[];
+  sameDomainPeers(): readonly Peer[];
+  otherDomainPeers(): readonly Peer[];
   /** Sends the load as it is now. */
-  tell(peers: readonly Peer[]): void;
+  send(peers: readonly Peer[]): void;
 }
 
 /** How often `beat` is to be called, in milliseconds. */
-export const BEAT_MS = NEAR_BEAT_MS;
+export const HEARTBEAT_MS = SAME_DOMAIN_HEARTBEAT_MS;
 
-export function createTelling<Peer>(options: TellingOptions<Peer>): Telling {
-  const {clock, near, far, tell} = options;
-  let nearAt = Number.NEGATIVE_INFINITY;
-  let farAt = Number.NEGATIVE_INFINITY;
-  let allowance = FAR_PER_S;
-  let allowedAt = clock.now();
-  let cancelLater: Cancel | undefined;
+export function createLoadBroadcast<Peer>(
+  options: LoadBroadcastOptions<Peer>,
+): LoadBroadcast {
+  const {
+    clock,
+    sameDomainPeers: near,
+    otherDomainPeers: far,
+    send: tell,
+  } = options;
+  let sameDomainSentAt = Number.NEGATIVE_INFINITY;
+  let otherDomainsSentAt = Number.NEGATIVE_INFINITY;
+  let budget = OTHER_DOMAIN_DATAGRAMS_PER_S;
+  let accruedAt = clock.now();
+  let cancelScheduled: Cancel | undefined;
 
-  const accrue = (most: number): void => {
+  const accrue = (max: number): void => {
     const now = clock.now();
-    const more = ((now - allowedAt) / 1_000) * FAR_PER_S;
-    allowance = Math.min(most, allowance + more);
-    allowedAt = now;
+    const earned = ((now - accruedAt) / 1_000) * OTHER_DOMAIN_DATAGRAMS_PER_S;
+    budget = Math.min(max, budget + earned);
+    accruedAt = now;
   };
-  const tellFar = (peers: readonly Peer[]): void => {
-    cancelLater?.();
-    cancelLater = undefined;
-    allowance -= peers.length;
-    farAt = clock.now();
+  const sendToOtherDomains = (peers: readonly Peer[]): void => {
+    cancelScheduled?.();
+    cancelScheduled = undefined;
+    budget -= peers.length;
+    otherDomainsSentAt = clock.now();
     tell(peers);
   };
-  const tellFarLater = (delayMs: number): void => {
-    cancelLater ??= clock.after(delayMs, () => tellFar(far()));
+  const scheduleOtherDomains = (delayMs: number): void => {
+    cancelScheduled ??= clock.after(delayMs, () => sendToOtherDomains(far()));
   };
-  const tellFarInBudget = (isLong: boolean): void => {
+  const sendToOtherDomainsInBudget = (hasLongRead: boolean): void => {
     const peers = far();
-    accrue(Math.max(FAR_PER_S, peers.length));
+    accrue(Math.max(OTHER_DOMAIN_DATAGRAMS_PER_S, peers.length));
     // A debt of one round: a burst of long prompts must not lift the budget.
-    const least = isLong ? 0 : peers.length;
-    if (allowance >= least) tellFar(peers);
-    else tellFarLater(((least - allowance) / FAR_PER_S) * 1_000);
+    const requiredBudget = hasLongRead ? 0 : peers.length;
+    if (budget >= requiredBudget) sendToOtherDomains(peers);
+    else
+      scheduleOtherDomains(
+        ((requiredBudget - budget) / OTHER_DOMAIN_DATAGRAMS_PER_S) * 1_000,
+      );
   };
-  const tellNear = (): void => {
-    nearAt = clock.now();
+  const sendToSameDomain = (): void => {
+    sameDomainSentAt = clock.now();
     tell(near());
   };
 
   return {
-    changed: isLong => {
-      tellNear();
-      tellFarInBudget(isLong);
+    loadChanged: hasLongRead => {
+      sendToSameDomain();
+      sendToOtherDomainsInBudget(hasLongRead);
     },
-    beat: () => {
+    heartbeat: () => {
       const now = clock.now();
-      if (now - nearAt >= NEAR_BEAT_MS) tellNear();
-      if (now - farAt >= FAR_BEAT_MS) tellFar(far());
+      if (now - sameDomainSentAt >= SAME_DOMAIN_HEARTBEAT_MS)
+        sendToSameDomain();
+      if (now - otherDomainsSentAt >= OTHER_DOMAIN_HEARTBEAT_MS)
+        sendToOtherDomains(far());
     },
-    stop: () => cancelLater?.(),
+    stop: () => cancelScheduled?.(),
   };
 }
--- a/src/direct/load_codec.ts
+++ b/src/direct/load_codec.ts
@@ -77,18 +77,18 @@
     value as unknown[];
   return (
     typeof replicaId === 'string' &&
-    [running, tokens, readMs].every(isAmount) &&
-    isListOf(readers, 3) &&
-    isListOf(writers, 2)
+    [running, tokens, readMs].every(isNonNegative) &&
+    isListOfTuples(readers, 3) &&
+    isListOfTuples(writers, 2)
   );
 }
 
-function isAmount(value: unknown): boolean {
+function isNonNegative(value: unknown): boolean {
   return typeof value === 'number' && value >= 0;
 }
 
 /** A list of lists of so many numbers. */
-function isListOf(value: unknown, length: number): boolean {
+function isListOfTuples(value: unknown, length: number): boolean {
   return (
     Array.isArray(value) &&
     value.every(
--- a/src/direct/load_tracker.ts
+++ b/src/direct/load_tracker.ts
@@ -5,12 +5,12 @@
  * fall on one replica.
  */
 import type {Clock} from '../types/runtime.js';
-import {addWriters, noLoad} from './replica_load.js';
+import {addWriterGroup, emptyLoad} from './replica_load.js';
 import type {LoadSum, Reader, ReplicaLoad} from './replica_load.js';
-import {createOthersLoads} from './peer_loads.js';
+import {createPeerLoads} from './peer_loads.js';
 
 /** One request's part at one replica. */
-export interface Work {
+export interface Assignment {
   readonly replicaId: string;
   /** Places it takes: 0 for a member that only reads and holds memory. */
   readonly places: 0 | 1;
@@ -27,14 +27,17 @@
 }
 
 /** A work that was entered. */
-export interface EnteredWork {
+export interface OpenAssignment {
   /** The first token came: nothing is left to read. */
-  hasRead(): void;
+  markPromptRead(): void;
   end(): void;
 }
 
 /** A call at a plain service, or a stream without published figures. */
-export function callWork(replicaId: string, pauseAimMs: number): Work {
+export function plainCallAssignment(
+  replicaId: string,
+  pauseAimMs: number,
+): Assignment {
   return {
     replicaId,
     places: 1,
@@ -48,104 +51,114 @@
   };
 }
 
-export interface LoadBook {
-  enter(work: Work): EnteredWork;
+export interface LoadTracker {
+  assign(work: Assignment): OpenAssignment;
   /** What another entry told at this time. */
-  setOther(
+  setPeerLoad(
     node: string,
     loads: readonly ReplicaLoad[],
     /** How long it counts without a newer word, in milliseconds. */
     keepMs?: number,
   ): void;
   /** Load of all entries together. */
-  of(replicaId: string): ReplicaLoad;
+  totalLoad(replicaId: string): ReplicaLoad;
   /** Load of this entry alone, for the others. */
-  own(): readonly ReplicaLoad[];
+  ownLoads(): readonly ReplicaLoad[];
 }
 
 /** What changed in this entry's own load: a long read, other work, or less. */
-export type LoadChange = 'long' | 'more' | 'less';
+export type OwnLoadChange = 'long' | 'more' | 'less';
 
 /** Reads from here on hold up the streams beside them for a good part of a pause. */
-const LONG_READ_MS = 100;
+const LONG_READ_MIN_MS = 100;
 /** A read that is overdue still has this share of its time ahead. */
-const OVERDUE_SHARE = 0.2;
+const OVERDUE_READ_SHARE = 0.2;
 
-interface OpenWork {
-  readonly work: Work;
-  readonly since: number;
-  read: boolean;
+interface AssignmentState {
+  readonly assignment: Assignment;
+  readonly assignedAt: number;
+  isPromptRead: boolean;
 }
 
 /** `onChange` hears of each change of this entry's own load. */
-export function createLoadBook(
+export function createLoadTracker(
   clock: Clock,
-  onChange: (change: LoadChange) => void,
-): LoadBook {
-  const own = new Map<string, Set<OpenWork>>();
-  const others = createOthersLoads(clock);
+  onChange: (change: OwnLoadChange) => void,
+): LoadTracker {
+  const ownByReplica = new Map<string, Set<AssignmentState>>();
+  const peerLoads = createPeerLoads(clock);
 
-  const addOwn = (sum: LoadSum, replicaId: string): void => {
+  const addOwnLoad = (sum: LoadSum, replicaId: string): void => {
     const now = clock.now();
-    for (const open of own.get(replicaId) ?? []) {
-      const {work} = open;
-      sum.running += work.places;
-      sum.tokens += work.tokens;
-      if (!open.read) {
-        sum.readMs += readLeft(open, now);
-        sum.readers.push(readerOf(open, now));
+    for (const state of ownByReplica.get(replicaId) ?? []) {
+      const {assignment} = state;
+      sum.running += assignment.places;
+      sum.tokens += assignment.tokens;
+      if (!state.isPromptRead) {
+        sum.readMs += remainingReadMs(state, now);
+        sum.readers.push(toReader(state, now));
       }
-      if (work.places > 0) addWriters(sum, work);
+      if (assignment.places > 0) addWriterGroup(sum, assignment);
     }
   };
-  const ownOf = (replicaId: string): ReplicaLoad => {
-    const sum = noLoad(replicaId);
-    addOwn(sum, replicaId);
+  const ownLoad = (replicaId: string): ReplicaLoad => {
+    const sum = emptyLoad(replicaId);
+    addOwnLoad(sum, replicaId);
     return sum;
   };
 
   return {
-    enter: work => {
-      const open: OpenWork = {work, since: clock.now(), read: false};
-      const works = own.get(work.replicaId) ?? new Set();
-      works.add(open);
-      own.set(work.replicaId, works);
-      onChange(work.readMs >= LONG_READ_MS ? 'long' : 'more');
+    assign: assignment => {
+      const state: AssignmentState = {
+        assignment,
+        assignedAt: clock.now(),
+        isPromptRead: false,
+      };
+      const states = ownByReplica.get(assignment.replicaId) ?? new Set();
+      states.add(state);
+      ownByReplica.set(assignment.replicaId, states);
+      onChange(assignment.readMs >= LONG_READ_MIN_MS ? 'long' : 'more');
       return {
-        hasRead: () => {
-          if (open.read) return;
-          open.read = true;
+        markPromptRead: () => {
+          if (state.isPromptRead) return;
+          state.isPromptRead = true;
           onChange('less');
         },
         end: () => {
-          if (!works.delete(open)) return;
-          if (works.size === 0) own.delete(work.replicaId);
+          if (!states.delete(state)) return;
+          if (states.size === 0) ownByReplica.delete(assignment.replicaId);
           onChange('less');
         },
       };
     },
-    setOther: others.set,
-    of: replicaId => {
-      const sum = noLoad(replicaId);
-      addOwn(sum, replicaId);
-      others.addTo(sum);
+    setPeerLoad: peerLoads.set,
+    totalLoad: replicaId => {
+      const sum = emptyLoad(replicaId);
+      addOwnLoad(sum, replicaId);
+      peerLoads.addTo(sum);
       return sum;
     },
-    own: () => [...own.keys()].map(ownOf),
+    ownLoads: () => [...ownByReplica.keys()].map(ownLoad),
   };
 }
 
-function readLeft({work, since}: OpenWork, now: number): number {
-  const share = 1 - (now - since) / Math.max(1, work.expectedMs);
-  return work.readMs * Math.max(OVERDUE_SHARE, share);
+function remainingReadMs(
+  {assignment, assignedAt}: AssignmentState,
+  now: number,
+): number {
+  const share = 1 - (now - assignedAt) / Math.max(1, assignment.expectedMs);
+  return assignment.readMs * Math.max(OVERDUE_READ_SHARE, share);
 }
 
-function readerOf({work, since}: OpenWork, now: number): Reader {
-  const passedMs = now - since;
-  const expectedLeftMs = Math.max(0, work.expectedMs - passedMs);
+function toReader(
+  {assignment, assignedAt}: AssignmentState,
+  now: number,
+): Reader {
+  const elapsedMs = now - assignedAt;
+  const expectedLeftMs = Math.max(0, assignment.expectedMs - elapsedMs);
   return {
-    slackMs: Math.round(work.aimLeftMs - passedMs - expectedLeftMs),
-    marginMs: Math.round(work.aimMarginMs),
-    weight: Math.round(work.weight),
+    slackMs: Math.round(assignment.aimLeftMs - elapsedMs - expectedLeftMs),
+    marginMs: Math.round(assignment.aimMarginMs),
+    weight: Math.round(assignment.weight),
   };
 }
--- a/src/direct/messages.ts
+++ b/src/direct/messages.ts
@@ -5,7 +5,7 @@
   DirectConfig,
   DirectReplica,
   EntryAddress,
-  EntryAnswer,
+  PeerAnswer,
   StoreKnowledge,
 } from './types.js';
 
@@ -27,14 +27,14 @@
       readonly replicas: ReadonlyMap<string, DirectReplica | undefined>;
     }
   /** No key can be confirmed before this time, but by another entry. */
-  | {readonly kind: 'keys-in-doubt'; readonly until: number}
+  | {readonly kind: 'keys-unconfirmed'; readonly until: number}
   | {readonly kind: 'store-failed'}
   /** The store has come back from an older copy. */
   | {readonly kind: 'store-restored'}
   /** Age of the newest evidence for keys, in milliseconds. */
   | {readonly kind: 'evidence-age'; readonly reply: (ageMs: number) => void}
   | {
-      readonly kind: 'other-load';
+      readonly kind: 'peer-load';
       readonly node: string;
       readonly loads: readonly ReplicaLoad[];
       /** See `LoadBook.setOther`. */
@@ -45,7 +45,7 @@
       readonly kind: 'crash-reports';
       readonly reports: readonly CrashReport[];
     }
-  | {readonly kind: 'crash-released'; readonly digest: string}
+  | {readonly kind: 'quarantine-released'; readonly digest: string}
   /** Entries that are there, with this one. */
   | {readonly kind: 'entries'; readonly count: number}
   | {readonly kind: 'ready'; readonly reply: (ready: boolean) => void}
@@ -53,11 +53,11 @@
   | {readonly kind: 'drain'; readonly reply: () => void};
 
 /** To the follower of the store. */
-export type FollowedMessage =
+export type StoreFollowerMessage =
   /** Asks store and another entry at once whether the configuration holds. */
   | {readonly kind: 'confirm'}
   /** The front was started again and knows nothing. */
-  | {readonly kind: 'tell-again'}
+  | {readonly kind: 'resend-state'}
   /** Runs of it ended well; `isOwn` where the last one was here. */
   | {
       readonly kind: 'quarantine-cleared';
@@ -69,7 +69,7 @@
       readonly digest: string;
       readonly trial: number;
       /** Undefined when the store did not answer. */
-      readonly reply: (isGained: boolean | undefined) => void;
+      readonly reply: (isClaimed: boolean | undefined) => void;
     }
   /** Entries that are there, with this one. */
   | {readonly kind: 'entries'; readonly count: number}
@@ -114,7 +114,7 @@
       readonly kind: 'load';
       readonly loads: readonly ReplicaLoad[];
       /** A long read was added. */
-      readonly isLong: boolean;
+      readonly hasLongRead: boolean;
     }
   /** To all other entries, or to one of them in turn. */
   | {
@@ -125,7 +125,7 @@
   /** The store has come back from an older copy, without the own record. */
   | {readonly kind: 'store-restored'}
   /** The front was started again and knows nothing. */
-  | {readonly kind: 'tell-again'}
+  | {readonly kind: 'resend-state'}
   /** This entry takes no new work, and is not to be found any more. */
   | {readonly kind: 'draining'}
   /** Whether an entry is known to have this IP address. */
@@ -136,19 +136,19 @@
     }
   /** Asks another entry what it knows; undefined when none answers. */
   | {
-      readonly kind: 'ask-entry';
+      readonly kind: 'query-peer';
       /**
        * Also one that may lean on this entry: the store turns this one away, and
        * no other that it would ask may be there.
        */
-      readonly anyone: boolean;
-      readonly reply: (answer: EntryAnswer | undefined) => void;
+      readonly anyPeer: boolean;
+      readonly reply: (answer: PeerAnswer | undefined) => void;
     };
 
 declare module '../types/kernel.js' {
   interface ServiceMessages {
     direct: DirectMessage;
-    followed: FollowedMessage;
+    followed: StoreFollowerMessage;
     handover: HandoverMessage;
     sharing: SharingMessage;
   }
--- a/src/direct/open_place.ts
+++ b/src/direct/open_place.ts
@@ -45,7 +45,7 @@
 ): Promise<Opened> {
   const figures = exchange.config.services.get(exchange.service)?.engine;
   if (figures === undefined) return openPlainPlace(ctx, exchange, tried);
-  const leave = ctx.looks.enter();
+  const leave = ctx.looks.startWaiting();
   try {
     return await openEnginePlace(ctx, exchange, tried, figures);
   } finally {
@@ -119,7 +119,7 @@
     fullness: ctx.fullness,
   };
   const decision = placeOrWait(pool, req);
-  ctx.looks.took(ctx.clock.now() - startedAt);
+  ctx.looks.recordPoll(ctx.clock.now() - startedAt);
   return decision;
 }
 
--- a/src/direct/peer_confirmation.ts
+++ b/src/direct/peer_confirmation.ts
@@ -16,21 +16,21 @@
 import type {Cancel, Clock} from '../types/runtime.js';
 import {isOlderEra} from './store_position.js';
 import type {StoreEra} from './store_position.js';
-import type {EntryAnswer} from './types.js';
+import type {PeerAnswer} from './types.js';
 
 /** Between two questions; an answer a second old or less is wanted. */
-const ASK_MS = 500;
+const QUERY_INTERVAL_MS = 500;
 /** Older evidence of another entry is no cover, though keys may count on it. */
-const COVER_AGE_MS = 2_000;
+const MAX_EVIDENCE_AGE_MS = 2_000;
 /** From one question until the answer to the next, on a slow machine. */
-const NEXT_ANSWER_MS = ASK_MS + 200;
+const NEXT_ANSWER_MAX_MS = QUERY_INTERVAL_MS + 200;
 /** Cover lasts so long after the last good answer. */
-const COVER_MS = 1_200;
+const CONFIRMATION_LIFETIME_MS = 1_200;
 /**
  * Answers in a row that must tell of other replicas before they are read anew:
  * one may have been overtaken by a change that the own watch brings.
  */
-const DIFFERENT_TIMES = 2;
+const DIFFERENT_DIGESTS_BEFORE_REREAD = 2;
 
 /**
  * Oldest evidence of another entry that covers, where evidence older than
@@ -38,17 +38,17 @@
  * regard to that, an entry under a short bound would be ready and unready by
  * turns while all is well.
  */
-export function coverAgeMs(readyMs: number): number {
-  return Math.min(COVER_AGE_MS, readyMs - NEXT_ANSWER_MS);
+export function maxPeerEvidenceAgeMs(readyMs: number): number {
+  return Math.min(MAX_EVIDENCE_AGE_MS, readyMs - NEXT_ANSWER_MAX_MS);
 }
 
-export interface CoverOptions {
+export interface PeerConfirmationOptions {
   /** Oldest evidence of another entry that covers. */
   readonly maxAgeMs: number;
   readonly clock: Clock;
-  ask(): Promise<EntryAnswer | undefined>;
+  queryPeer(): Promise<PeerAnswer | undefined>;
   /** What this entry has from the store. */
-  own(): {
+  ownKnowledge(): {
     readonly era: StoreEra;
     readonly configVersion: number | undefined;
     readonly replicasDigest: string;
@@ -59,52 +59,57 @@
    */
   onConfirmed(asOf: number, askedAt: number): void;
   /** The other entry has another configuration, on young evidence. */
-  onOtherConfig(answer: EntryAnswer): void;
+  onDifferentConfig(answer: PeerAnswer): void;
   onSameConfig(): void;
-  onOtherReplicas(answer: EntryAnswer): void;
+  onDifferentReplicas(answer: PeerAnswer): void;
   /** It has heard of a return of the store from a copy that is unknown here. */
-  onNewerEra(answer: EntryAnswer): void;
+  onNewerEra(answer: PeerAnswer): void;
   /** Called at each question that left this entry without cover. */
-  onUncovered(): void;
+  onUnconfirmed(): void;
   /** Cover began or ended with this answer, or for want of one. */
-  onChange(isCovered: boolean, answer: EntryAnswer | undefined): void;
+  onChange(isActive: boolean, answer: PeerAnswer | undefined): void;
 }
 
-export interface Cover {
-  isCovered(): boolean;
+export interface PeerConfirmation {
+  isActive(): boolean;
   /** Another entry answers, whatever it knows. */
-  isAnswered(): boolean;
+  isPeerAnswering(): boolean;
   /**
    * Asks before the next turn. A request whose key waits for evidence would
    * otherwise be refused while another entry could vouch for it.
    */
-  askNow(): void;
+  queryNow(): void;
   stop: Cancel;
 }
 
-export function createCover(options: CoverOptions): Cover {
+export function createPeerConfirmation(
+  options: PeerConfirmationOptions,
+): PeerConfirmation {
   const {clock} = options;
-  let coveredAt = Number.NEGATIVE_INFINITY;
-  let answeredAt = Number.NEGATIVE_INFINITY;
-  let wasCovered = false;
-  let different = 0;
-  let asking = false;
-  let isWanted = false;
+  let lastConfirmedAt = Number.NEGATIVE_INFINITY;
+  let lastAnswerAt = Number.NEGATIVE_INFINITY;
+  let wasActive = false;
+  let differentDigests = 0;
+  let isQuerying = false;
+  let isQueryPending = false;
 
-  const isCovered = () => clock.now() - coveredAt < COVER_MS;
-  const isAnswered = () => clock.now() - answeredAt < COVER_MS;
+  const isActive = () =>
+    clock.now() - lastConfirmedAt < CONFIRMATION_LIFETIME_MS;
+  const isPeerAnswering = () =>
+    clock.now() - lastAnswerAt < CONFIRMATION_LIFETIME_MS;
 
-  const takeReplicas = (answer: EntryAnswer): void => {
-    const isSame = answer.replicasDigest === options.own().replicasDigest;
-    different = isSame ? 0 : different + 1;
-    if (different < DIFFERENT_TIMES) return;
-    different = 0;
-    options.onOtherReplicas(answer);
+  const compareReplicas = (answer: PeerAnswer): void => {
+    const isSame =
+      answer.replicasDigest === options.ownKnowledge().replicasDigest;
+    differentDigests = isSame ? 0 : differentDigests + 1;
+    if (differentDigests < DIFFERENT_DIGESTS_BEFORE_REREAD) return;
+    differentDigests = 0;
+    options.onDifferentReplicas(answer);
   };
 
-  const take = (answer: EntryAnswer): void => {
+  const handleAnswer = (answer: PeerAnswer): void => {
     const {evidenceAgeMs, askedAt} = answer;
-    const {configVersion, era} = options.own();
+    const {configVersion, era} = options.ownKnowledge();
     if (isOlderEra(era, answer.era)) options.onNewerEra(answer);
     if (evidenceAgeMs === undefined) return;
     const isSame = answer.configVersion === configVersion;
@@ -114,48 +119,48 @@
     // A version is the same in every era; of the present, the word of an entry
     // that has not heard of the store's return proves nothing.
     if (isOlderEra(answer.era, era)) {
-      if (isNewer) options.onOtherConfig(answer);
+      if (isNewer) options.onDifferentConfig(answer);
       return;
     }
     // Exact at any age: an entry that is cut off lives on what there is.
     if (isSame) options.onConfirmed(askedAt - evidenceAgeMs, askedAt);
-    const isYoung = evidenceAgeMs <= options.maxAgeMs;
-    if (!isSame && (isYoung || isNewer)) options.onOtherConfig(answer);
-    if (!isSame || !isYoung) return;
+    const isRecent = evidenceAgeMs <= options.maxAgeMs;
+    if (!isSame && (isRecent || isNewer)) options.onDifferentConfig(answer);
+    if (!isSame || !isRecent) return;
     options.onSameConfig();
-    coveredAt = clock.now();
-    takeReplicas(answer);
+    lastConfirmedAt = clock.now();
+    compareReplicas(answer);
   };
 
-  const noteChange = (answer: EntryAnswer | undefined): void => {
-    if (isCovered() === wasCovered) return;
-    wasCovered = isCovered();
-    options.onChange(wasCovered, answer);
+  const reportChange = (answer: PeerAnswer | undefined): void => {
+    if (isActive() === wasActive) return;
+    wasActive = isActive();
+    options.onChange(wasActive, answer);
   };
 
-  const askOnce = async (): Promise<void> => {
-    if (asking) return;
-    asking = true;
-    const answer = await options.ask();
-    asking = false;
+  const query = async (): Promise<void> => {
+    if (isQuerying) return;
+    isQuerying = true;
+    const answer = await options.queryPeer();
+    isQuerying = false;
     if (answer !== undefined) {
-      answeredAt = clock.now();
-      take(answer);
+      lastAnswerAt = clock.now();
+      handleAnswer(answer);
     }
-    noteChange(answer);
-    if (!isCovered()) options.onUncovered();
-    if (isWanted) askNow();
+    reportChange(answer);
+    if (!isActive()) options.onUnconfirmed();
+    if (isQueryPending) queryNow();
   };
-  const askNow = (): void => {
+  const queryNow = (): void => {
     // A question that is under way may have been asked before a doubt.
-    isWanted = asking;
-    void askOnce();
+    isQueryPending = isQuerying;
+    void query();
   };
 
   return {
-    isCovered,
-    isAnswered,
-    askNow,
-    stop: clock.every(ASK_MS, () => void askOnce()),
+    isActive,
+    isPeerAnswering,
+    queryNow,
+    stop: clock.every(QUERY_INTERVAL_MS, () => void query()),
   };
 }
--- a/src/direct/peer_loads.ts
+++ b/src/direct/peer_loads.ts
@@ -4,70 +4,71 @@
  * all of them.
  */
 import type {Clock} from '../types/runtime.js';
-import {addTold} from './replica_load.js';
+import {addPeerLoad} from './replica_load.js';
 import type {LoadSum, ReplicaLoad} from './replica_load.js';
 
 /** Another entry's word counts no longer than this without a newer one. */
-const OTHERS_AGE_MS = 1_500;
+const DEFAULT_KEEP_MS = 1_500;
 /** Between looks for entries that are gone; what they told holds memory. */
-const SWEEP_MS = 10_000;
+const SWEEP_INTERVAL_MS = 10_000;
 
 /** What one other entry told of one replica. */
-interface ToldLoad {
-  readonly at: number;
+interface ReportedLoad {
+  readonly receivedAt: number;
   readonly keepMs: number;
   readonly load: ReplicaLoad;
 }
 
 /** All that one other entry told last. */
-interface ToldByEntry {
-  readonly until: number;
+interface PeerReport {
+  readonly validUntil: number;
   readonly loads: readonly ReplicaLoad[];
 }
 
-export function createOthersLoads(clock: Clock) {
-  const byReplica = new Map<string, Map<string, ToldLoad>>();
-  const byEntry = new Map<string, ToldByEntry>();
-  let sweptAt = clock.now();
+export function createPeerLoads(clock: Clock) {
+  const byReplica = new Map<string, Map<string, ReportedLoad>>();
+  const byPeer = new Map<string, PeerReport>();
+  let lastSweepAt = clock.now();
 
-  const drop = (node: string, replicaId: string): void => {
-    const told = byReplica.get(replicaId);
-    told?.delete(node);
-    if (told?.size === 0) byReplica.delete(replicaId);
+  const removeLoad = (node: string, replicaId: string): void => {
+    const loads = byReplica.get(replicaId);
+    loads?.delete(node);
+    if (loads?.size === 0) byReplica.delete(replicaId);
   };
-  const forget = (node: string): void => {
-    const loads = byEntry.get(node)?.loads ?? [];
-    for (const {replicaId} of loads) drop(node, replicaId);
-    byEntry.delete(node);
+  const removePeer = (node: string): void => {
+    const loads = byPeer.get(node)?.loads ?? [];
+    for (const {replicaId} of loads) removeLoad(node, replicaId);
+    byPeer.delete(node);
   };
-  const sweep = (now: number): void => {
-    if (now - sweptAt < SWEEP_MS) return;
-    sweptAt = now;
-    for (const [node, {until}] of byEntry) if (until < now) forget(node);
+  const removeExpired = (now: number): void => {
+    if (now - lastSweepAt < SWEEP_INTERVAL_MS) return;
+    lastSweepAt = now;
+    for (const [node, {validUntil}] of byPeer)
+      if (validUntil < now) removePeer(node);
   };
   const set = (
     node: string,
     loads: readonly ReplicaLoad[],
-    keepMs = OTHERS_AGE_MS,
+    keepMs = DEFAULT_KEEP_MS,
   ): void => {
-    const at = clock.now();
-    forget(node);
-    sweep(at);
-    byEntry.set(node, {until: at + keepMs, loads});
+    const receivedAt = clock.now();
+    removePeer(node);
+    removeExpired(receivedAt);
+    byPeer.set(node, {validUntil: receivedAt + keepMs, loads});
     for (const load of loads) {
-      const told = byReplica.get(load.replicaId) ?? new Map();
-      told.set(node, {at, keepMs, load});
-      byReplica.set(load.replicaId, told);
+      const reported = byReplica.get(load.replicaId) ?? new Map();
+      reported.set(node, {receivedAt, keepMs, load});
+      byReplica.set(load.replicaId, reported);
     }
   };
   const addTo = (sum: LoadSum): void => {
-    const told = byReplica.get(sum.replicaId);
-    if (told === undefined) return;
+    const reported = byReplica.get(sum.replicaId);
+    if (reported === undefined) return;
     const now = clock.now();
-    for (const [node, {at, keepMs, load}] of told) {
-      const ageMs = now - at;
-      if (ageMs > keepMs) drop(node, sum.replicaId);
-      else addTold(sum, load, ageMs);
+    for (const [node, {receivedAt, keepMs, load}] of reported) {
+      const ageMs = now - receivedAt;
+      if (ageMs > keepMs) removeLoad(node, sum.replicaId);
+      else addPeerLoad(sum, load, ageMs);
     }
   };
   return {set, addTo};
--- a/src/direct/place.ts
+++ b/src/direct/place.ts
@@ -12,8 +12,8 @@
 import {answerTokens} from './exchange.js';
 import type {Exchange} from './exchange.js';
 import type {Group, GroupLoss} from './groups.js';
-import {callWork} from './load_tracker.js';
-import type {EnteredWork} from './load_tracker.js';
+import {plainCallAssignment} from './load_tracker.js';
+import type {OpenAssignment} from './load_tracker.js';
 import {callRequestOf} from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica, GroupMember} from './types.js';
@@ -79,7 +79,7 @@
       addresses.map(address => ({address, reservation: undefined})),
     firstEventMs: plan.firstEventMs,
     hasRead: tookMs => {
-      works.forEach(work => work.hasRead());
+      works.forEach(work => work.markPromptRead());
       if (helpers.length > 0) return;
       ctx.health.answered(first.replica.id, tookMs, plan.firstEventMs);
     },
@@ -109,7 +109,7 @@
   ctx: ServeContext,
   exchange: Exchange,
   plan: EnginePlan,
-): readonly EnteredWork[] {
+): readonly OpenAssignment[] {
   const {facts, route} = exchange;
   const {first, helpers, partReadMs, partTokens} = plan;
   const total = facts.promptTokens + answerTokens(facts);
@@ -120,7 +120,7 @@
     aimMarginMs: aimMarginMs(route.aimMs),
     pauseAimMs: route.pauseAimMs,
   };
-  const main = ctx.book.enter({
+  const main = ctx.book.assign({
     ...shared,
     replicaId: first.replica.id,
     places: 1,
@@ -128,7 +128,7 @@
     weight: exchange.weight,
   });
   const parts = helpers.map(({replica}) =>
-    ctx.book.enter({
+    ctx.book.assign({
       ...shared,
       replicaId: replica.id,
       places: 0,
@@ -172,7 +172,7 @@
   if (chosen === undefined) return undefined;
   const {replica} = chosen;
   const {pauseAimMs} = exchange.route;
-  const work = ctx.book.enter(callWork(replica.id, pauseAimMs));
+  const work = ctx.book.assign(plainCallAssignment(replica.id, pauseAimMs));
   return {
     replica,
     heard: () => undefined,
--- a/src/direct/placement_poll_pace.ts
+++ b/src/direct/placement_poll_pace.ts
@@ -10,41 +10,42 @@
  * Between looks of one request, on average. They are drawn apart: two entries
  * that look in the same instant would take the same engines.
  */
-const LOOK_MS = 25;
+const MIN_MEAN_PAUSE_MS = 25;
 /** Looks of all who wait take at most this share of the entry's time. */
-const LOOKS_SHARE = 0.1;
+const MAX_CPU_SHARE = 0.1;
 /**
  * Longer looks were held up by something else, a garbage collection say. Taken
  * as they are, one of 100 ms would keep a short prompt from looking again until
  * its aim has passed.
  */
-const LONGEST_LOOK_MS = 20;
+const MAX_COUNTED_POLL_MS = 20;
 /** Share of the newest look in the mean cost. */
-const NEWEST_SHARE = 0.2;
+const NEWEST_POLL_SHARE = 0.2;
 
-export interface LookPace {
+export interface PlacementPollPace {
   /** A request begins to wait; the call ends it. */
-  enter(): () => void;
+  startWaiting(): () => void;
   /** A look took so long, by the clock: a busy entry shows in it as well. */
-  took(ms: number): void;
+  recordPoll(ms: number): void;
   /** Until the next look of one request; `draw` is uniform in [0, 1). */
-  pauseMs(draw: number): number;
+  pauseMs(uniform: number): number;
 }
 
-export function createLookPace(): LookPace {
-  let waiting = 0;
-  let costMs = 0;
+export function createPlacementPollPace(): PlacementPollPace {
+  let waitingCount = 0;
+  let meanPollMs = 0;
   return {
-    enter: () => {
-      waiting++;
-      return () => waiting--;
+    startWaiting: () => {
+      waitingCount++;
+      return () => waitingCount--;
     },
-    took: ms => {
-      costMs += NEWEST_SHARE * (Math.min(ms, LONGEST_LOOK_MS) - costMs);
+    recordPoll: ms => {
+      meanPollMs +=
+        NEWEST_POLL_SHARE * (Math.min(ms, MAX_COUNTED_POLL_MS) - meanPollMs);
     },
-    pauseMs: draw => {
-      const affordableMs = (waiting * costMs) / LOOKS_SHARE;
-      return Math.max(LOOK_MS, affordableMs) * (0.5 + draw);
+    pauseMs: uniform => {
+      const affordableMs = (waitingCount * meanPollMs) / MAX_CPU_SHARE;
+      return Math.max(MIN_MEAN_PAUSE_MS, affordableMs) * (0.5 + uniform);
     },
   };
 }
--- a/src/direct/replica_load.ts
+++ b/src/direct/replica_load.ts
@@ -1,7 +1,7 @@
 /** Load of one replica, and how parts of it are added up. */
 
 /** Requests that write at a replica, by the longest pause they bear. */
-export interface Writers {
+export interface WriterGroup {
   readonly pauseAimMs: number;
   /** What their lateness would cost together; see `weightOf`. */
   readonly weight: number;
@@ -27,7 +27,7 @@
   readonly readMs: number;
   /** Requests that a group's reading would hold up. */
   readonly readers: readonly Reader[];
-  readonly writers: readonly Writers[];
+  readonly writers: readonly WriterGroup[];
 }
 
 /** A load while it is added up. */
@@ -36,10 +36,10 @@
   tokens: number;
   readMs: number;
   readonly readers: Reader[];
-  readonly writers: Writers[];
+  readonly writers: WriterGroup[];
 }
 
-export function noLoad(replicaId: string): LoadSum {
+export function emptyLoad(replicaId: string): LoadSum {
   return {
     replicaId,
     running: 0,
@@ -50,20 +50,24 @@
   };
 }
 
-export function addTold(sum: LoadSum, load: ReplicaLoad, ageMs: number): void {
+export function addPeerLoad(
+  sum: LoadSum,
+  load: ReplicaLoad,
+  ageMs: number,
+): void {
   sum.running += load.running;
   sum.tokens += load.tokens;
   sum.readMs += Math.max(0, load.readMs - ageMs);
   for (const reader of load.readers) sum.readers.push(reader);
-  for (const writers of load.writers) addWriters(sum, writers);
+  for (const writers of load.writers) addWriterGroup(sum, writers);
 }
 
 /** Those who bear equal pauses are one row. */
-export function addWriters(
+export function addWriterGroup(
   {writers}: LoadSum,
-  {pauseAimMs, weight}: Writers,
+  {pauseAimMs, weight}: WriterGroup,
 ): void {
-  const at = writers.findIndex(it => it.pauseAimMs === pauseAimMs);
-  if (at < 0) writers.push({pauseAimMs, weight});
-  else writers[at] = {pauseAimMs, weight: writers[at].weight + weight};
+  const index = writers.findIndex(it => it.pauseAimMs === pauseAimMs);
+  if (index < 0) writers.push({pauseAimMs, weight});
+  else writers[index] = {pauseAimMs, weight: writers[index].weight + weight};
 }
--- a/src/direct/serve_call.ts
+++ b/src/direct/serve_call.ts
@@ -94,7 +94,7 @@
   ctx.log(DIRECT_EVENTS.dispatched, {
     requestId: exchange.id,
     replica: id,
-    running: ctx.book.of(id).running,
+    running: ctx.book.totalLoad(id).running,
     slowness: ctx.health.slowness(id),
     config: exchange.config.version,
   });
--- a/src/direct/serve_context.ts
+++ b/src/direct/serve_context.ts
@@ -14,8 +14,8 @@
 import type {Exchange} from './exchange.js';
 import type {Fleet} from './fleet.js';
 import type {Groups} from './groups.js';
-import type {LoadBook} from './load_tracker.js';
-import type {LookPace} from './placement_poll_pace.js';
+import type {LoadTracker} from './load_tracker.js';
+import type {PlacementPollPace} from './placement_poll_pace.js';
 import {sendOwnAnswer} from './own_answers.js';
 import {shownDigest} from './request_digest.js';
 import type {ReplicaHealth} from './replica_health.js';
@@ -25,7 +25,7 @@
   DirectReplica,
   GroupMember,
   HeaderCodec,
-  HeadersOut,
+  HeaderList,
 } from './types.js';
 
 export interface ServeContext {
@@ -40,11 +40,11 @@
   readonly health: ReplicaHealth;
   readonly losses: ReplicaLosses;
   readonly crashes: CrashWatch;
-  readonly book: LoadBook;
+  readonly book: LoadTracker;
   readonly worth: RequestWorth;
   readonly fullness: Fullness | undefined;
   readonly callTimes: CallTimes;
-  readonly looks: LookPace;
+  readonly looks: PlacementPollPace;
   readonly groups: Groups;
   readonly budget: RetryBudget;
   /** Share of the budget that each request adds. */
@@ -73,7 +73,7 @@
 ): readonly (EngineCandidate & CallCandidate)[] {
   return replicas.map(replica => ({
     replica,
-    load: book.of(replica.id),
+    load: book.totalLoad(replica.id),
     slowness: health.slowness(replica.id),
     brokenShare: health.brokenShare(replica.id),
   }));
@@ -191,7 +191,7 @@
 }
 
 /** All but what concerns the replica's connection. */
-function keptHeaders({rawHeaders}: AnswerHead): HeadersOut {
+function keptHeaders({rawHeaders}: AnswerHead): HeaderList {
   const dropped = namedByConnection(rawHeaders);
   const kept: string[] = [];
   for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
--- a/src/direct/serving.ts
+++ b/src/direct/serving.ts
@@ -22,10 +22,10 @@
 import {createFleet} from './fleet.js';
 import type {Fleet} from './fleet.js';
 import {createGroups} from './groups.js';
-import {createLoadBook} from './load_tracker.js';
-import type {LoadBook} from './load_tracker.js';
+import {createLoadTracker} from './load_tracker.js';
+import type {LoadTracker} from './load_tracker.js';
 import type {ReplicaLoad} from './replica_load.js';
-import {createLookPace} from './placement_poll_pace.js';
+import {createPlacementPollPace} from './placement_poll_pace.js';
 import {createReplicaHealth} from './replica_health.js';
 import {createReplicaLosses} from './replica_losses.js';
 import {serveCall} from './serve_call.js';
@@ -81,7 +81,7 @@
 
 export interface Serving {
   readonly fleet: Fleet;
-  readonly book: LoadBook;
+  readonly book: LoadTracker;
   readonly crashes: Pick<CrashWatch, 'merge' | 'release' | 'next'>;
   /** Serves to the final answer. */
   serve(
@@ -142,10 +142,10 @@
   });
   let isLong = false;
   const shareLater = createBatcher(clock, () => {
-    options.share(book.own(), isLong);
+    options.share(book.ownLoads(), isLong);
     isLong = false;
   });
-  const book = createLoadBook(clock, change => {
+  const book = createLoadTracker(clock, change => {
     isLong ||= change === 'long';
     shareLater(change === 'less' ? SHARE_LESS_MS : SHARE_MORE_MS);
   });
@@ -165,7 +165,7 @@
     worth,
     fullness: options.fullness,
     callTimes: createCallTimes(),
-    looks: createLookPace(),
+    looks: createPlacementPollPace(),
     groups: createGroups({
       clock,
       log,
--- a/src/direct/settings.ts
+++ b/src/direct/settings.ts
@@ -16,7 +16,7 @@
 import {Left, Right} from 'purify-ts/Either';
 import type {Either} from 'purify-ts';
 
-const ADDRESS_FORM = 'IP:PORT';
+const ADDRESS_FORMAT = 'IP:PORT';
 
 /** The role that such a file names. */
 const ROLE = 'direct-entry';
@@ -79,11 +79,11 @@
 export function parseDirectSettings(
   text: string,
 ): Either<string, DirectSettings> {
-  const faults: ParseError[] = [];
-  const value: unknown = parse(text, faults, {allowTrailingComma: true});
-  const fault = faults[0];
-  if (fault !== undefined) {
-    return Left(`not JSON with comments, at offset ${fault.offset}`);
+  const errors: ParseError[] = [];
+  const value: unknown = parse(text, errors, {allowTrailingComma: true});
+  const firstError = errors[0];
+  if (firstError !== undefined) {
+    return Left(`not JSON with comments, at offset ${firstError.offset}`);
   }
   return directSettingsCodec.decode(value).chain(checkAddresses);
 }
@@ -92,20 +92,21 @@
   settings: DirectSettings,
 ): Either<string, DirectSettings> {
   const {callers, ready, metrics} = settings.listen;
-  const wrong = [callers, ready, metrics, settings.store.address].find(
+  const invalid = [callers, ready, metrics, settings.store.address].find(
     address => splitAddress(address) === undefined,
   );
-  return wrong === undefined
+  return invalid === undefined
     ? Right(settings)
-    : Left(`"${wrong}" is not of the form ${ADDRESS_FORM}`);
+    : Left(`"${invalid}" is not of the form ${ADDRESS_FORMAT}`);
 }
 
 /** Host and port of IP:PORT; undefined when it has another form. */
 export function splitAddress(
   address: string,
 ): {readonly ip: string; readonly port: number} | undefined {
-  const at = address.lastIndexOf(':');
-  const port = Number(address.slice(at + 1));
-  const valid = at > 0 && Number.isInteger(port) && port > 0 && port < 65_536;
-  return valid ? {ip: address.slice(0, at), port} : undefined;
+  const separator = address.lastIndexOf(':');
+  const port = Number(address.slice(separator + 1));
+  const isValid =
+    separator > 0 && Number.isInteger(port) && port > 0 && port < 65_536;
+  return isValid ? {ip: address.slice(0, separator), port} : undefined;
 }
--- a/src/direct/settled_era.ts
+++ b/src/direct/settled_era.ts
@@ -15,7 +15,7 @@
 import type {DirectStore, StoreFault} from './types.js';
 
 /** Between tries of a call that failed. */
-const AGAIN_MS = 300;
+const RETRY_MS = 300;
 /** Over which entries record an era: all see a return in the same instant. */
 const RECORD_SPREAD_MS = 2_000;
 
@@ -51,7 +51,7 @@
     recorded !== undefined && !isOlderEra(recorded, options.currentEra());
 
   /** Undefined when stopped meanwhile. */
-  const untilAnswered = async <T>(
+  const callUntilAnswered = async <T>(
     step: string,
     call: () => Promise<Either<StoreFault, T>>,
   ): Promise<T | undefined> => {
@@ -61,18 +61,18 @@
       answer.ifLeft(({message}) =>
         log(DIRECT_EVENTS.storeCallFailed, {step, message}),
       );
-      await new Promise<void>(resolve => void clock.after(AGAIN_MS, resolve));
+      await new Promise<void>(resolve => void clock.after(RETRY_MS, resolve));
     }
     return undefined;
   };
   const read = async (): Promise<void> => {
     const step = 'read settled era';
-    const found = await untilAnswered(step, store.settledEra);
-    recorded = found?.era;
+    const answer = await callUntilAnswered(step, store.settledEra);
+    recorded = answer?.era;
   };
   const record = async (era: number): Promise<void> => {
     const step = 'record settled era';
-    await untilAnswered(step, () => store.recordSettledEra(era));
+    await callUntilAnswered(step, () => store.recordSettledEra(era));
     recorded = era;
     log(DIRECT_EVENTS.eraSettled, {era});
   };
--- a/src/direct/sharing.ts
+++ b/src/direct/sharing.ts
@@ -11,31 +11,31 @@
 import type {CrashReport} from './crash_reports.js';
 import {decodeDatagram, encodeDatagram} from './datagrams.js';
 import type {AskDatagram, Datagram, LoadDatagram} from './datagrams.js';
-import {createEntryQuestions} from './peer_queries.js';
+import {createPeerQueries} from './peer_queries.js';
 import type {ReplicaLoad} from './replica_load.js';
 import './messages.js';
-import {BEAT_MS, createTelling} from './load_broadcast.js';
+import {HEARTBEAT_MS, createLoadBroadcast} from './load_broadcast.js';
 import type {DirectStore, EntryAddress, StoreKnowledge} from './types.js';
 
 /** An entry that was not heard of for this long is not counted. */
-const SILENT_MS = 1_500;
+const SAME_DOMAIN_SILENCE_MS = 1_500;
 /** The same in another failure domain, where beats are three times as far apart. */
-const FAR_SILENT_MS = 3_500;
+const OTHER_DOMAIN_SILENCE_MS = 3_500;
 /** A record in the store whose entry stays silent for this long is removed. */
-const REMOVE_MS = 15_000;
+const REMOVE_RECORD_AFTER_MS = 15_000;
 /**
  * Between reads of the entries' records. One that starts tells all that it
  * finds, so a read only finds those that started in the same instant.
  */
-const LIST_MS = 10_000;
+const LIST_INTERVAL_MS = 10_000;
 /** Until the own record stands in the store. */
-const ANNOUNCE_AGAIN_MS = 1_000;
+const ANNOUNCE_RETRY_MS = 1_000;
 /** Over which entries write their records again that a store has lost. */
-const ANNOUNCE_SPREAD_MS = 1_000;
+const REANNOUNCE_SPREAD_MS = 1_000;
 /** As many as one datagram holds. */
-const REPORTS_MOST = 4;
+const MAX_REPORTS_PER_DATAGRAM = 4;
 /** A report of several crashes is told again so much later: datagrams are lost. */
-const TELL_CRASHES_AGAIN_MS = [100, 400];
+const CRASH_REPORT_RESEND_DELAYS_MS = [100, 400];
 
 export interface SharingOptions {
   readonly self: EntryAddress;
@@ -60,7 +60,7 @@
   const peers = new Map<string, Peer>();
   let loads: readonly ReplicaLoad[] = [];
   let seq = 0;
-  let told = 1;
+  let reportedCount = 1;
   let isDraining = false;
   let isClosed = false;
 
@@ -75,15 +75,15 @@
     const total = bytes.length * to.length;
     metrics.count('onyxloft_sharing_bytes_total', {kind}, total);
   };
-  const isNear = ({failureDomain}: EntryAddress) =>
+  const isSameDomain = ({failureDomain}: EntryAddress) =>
     failureDomain === self.failureDomain;
-  const entriesThat = (holds: (entry: EntryAddress) => boolean) =>
-    [...peers.values()].map(({entry}) => entry).filter(holds);
-  const telling = createTelling<EntryAddress>({
+  const peersWhere = (matches: (entry: EntryAddress) => boolean) =>
+    [...peers.values()].map(({entry}) => entry).filter(matches);
+  const loadBroadcast = createLoadBroadcast<EntryAddress>({
     clock,
-    near: () => entriesThat(isNear),
-    far: () => entriesThat(entry => !isNear(entry)),
-    tell: to => {
+    sameDomainPeers: () => peersWhere(isSameDomain),
+    otherDomainPeers: () => peersWhere(entry => !isSameDomain(entry)),
+    send: to => {
       if (to.length === 0) return;
       const kind = 'load';
       const bytes = encodeDatagram({kind, from: self, seq: ++seq, loads});
@@ -91,7 +91,7 @@
     },
   });
 
-  const add = (entry: EntryAddress): Peer | undefined => {
+  const addPeer = (entry: EntryAddress): Peer | undefined => {
     if (entry.node === self.node) return undefined;
     const known = peers.get(entry.node);
     if (known?.entry.incarnation === entry.incarnation) return known;
@@ -101,26 +101,26 @@
     return peer;
   };
 
-  const silentMs = (entry: EntryAddress) =>
-    isNear(entry) ? SILENT_MS : FAR_SILENT_MS;
-  const isHeard = ({entry, heardAt}: Peer) =>
-    clock.now() - heardAt < silentMs(entry);
+  const silenceLimitMs = (entry: EntryAddress) =>
+    isSameDomain(entry) ? SAME_DOMAIN_SILENCE_MS : OTHER_DOMAIN_SILENCE_MS;
+  const isAlive = ({entry, heardAt}: Peer) =>
+    clock.now() - heardAt < silenceLimitMs(entry);
 
-  const sendOne = (datagram: Datagram, to: EntryAddress): void =>
+  const sendTo = (datagram: Datagram, to: EntryAddress): void =>
     sendBytes(encodeDatagram(datagram), [to], datagram.kind);
-  const questions = createEntryQuestions({
+  const queries = createPeerQueries({
     clock,
     self,
     // Those before this one by name, so that some entry asks the store itself.
-    candidates: anyone =>
+    candidates: anyPeer =>
       [...peers.values()]
-        .filter(isHeard)
-        .filter(({entry}) => anyone || entry.node < self.node)
+        .filter(isAlive)
+        .filter(({entry}) => anyPeer || entry.node < self.node)
         .map(({entry}) => entry)
         .sort((a, b) => (a.node < b.node ? -1 : 1)),
-    send: sendOne,
+    send: sendTo,
   });
-  const answer = async ({from, question}: AskDatagram): Promise<void> => {
+  const answerQuery = async ({from, question}: AskDatagram): Promise<void> => {
     const knowledge = await ctx.ask(
       'followed',
       (reply: (knowledge: StoreKnowledge) => void) => ({
@@ -128,34 +128,34 @@
         reply,
       }),
     );
-    sendOne({kind: 'answer', question, knowledge}, from);
+    sendTo({kind: 'answer', question, knowledge}, from);
   };
 
-  const tellCrashes = (reports: readonly CrashReport[]): void => {
-    const to = entriesThat(() => true);
-    for (let at = 0; at < reports.length; at += REPORTS_MOST) {
-      const some = reports.slice(at, at + REPORTS_MOST);
-      const bytes = encodeDatagram({kind: 'crashes', reports: some});
+  const sendCrashReports = (reports: readonly CrashReport[]): void => {
+    const to = peersWhere(() => true);
+    for (let at = 0; at < reports.length; at += MAX_REPORTS_PER_DATAGRAM) {
+      const batch = reports.slice(at, at + MAX_REPORTS_PER_DATAGRAM);
+      const bytes = encodeDatagram({kind: 'crashes', reports: batch});
       sendBytes(bytes, to, 'crashes');
     }
   };
-  const tellCrashesToAll = (reports: readonly CrashReport[]): void => {
-    tellCrashes(reports);
-    const several = reports.filter(({ended}) => ended.length > 1);
-    if (several.length === 0) return;
-    for (const delayMs of TELL_CRASHES_AGAIN_MS) {
-      clock.after(delayMs, () => isClosed || tellCrashes(several));
+  const sendCrashReportsToAll = (reports: readonly CrashReport[]): void => {
+    sendCrashReports(reports);
+    const repeatOffenders = reports.filter(({ended}) => ended.length > 1);
+    if (repeatOffenders.length === 0) return;
+    for (const delayMs of CRASH_REPORT_RESEND_DELAYS_MS) {
+      clock.after(delayMs, () => isClosed || sendCrashReports(repeatOffenders));
     }
   };
-  const tellCrashesToOne = (reports: readonly CrashReport[]): void => {
-    const heard = [...peers.values()].filter(isHeard);
-    if (heard.length === 0) return;
-    const {entry} = heard[Math.floor(random.next() * heard.length)];
-    sendOne({kind: 'crashes', reports}, entry);
+  const sendCrashReportsToOne = (reports: readonly CrashReport[]): void => {
+    const alivePeers = [...peers.values()].filter(isAlive);
+    if (alivePeers.length === 0) return;
+    const {entry} = alivePeers[Math.floor(random.next() * alivePeers.length)];
+    sendTo({kind: 'crashes', reports}, entry);
   };
 
   // Asked while this entry starts, the service that knows is not there yet.
-  const notAnswered = (err: unknown): void =>
+  const logUnanswered = (err: unknown): void =>
     log(DIRECT_EVENTS.handoverFailed, {
       step: 'answer an entry',
       message: String(err),
@@ -164,18 +164,18 @@
   const receive = (bytes: Buffer): void => {
     decodeDatagram(bytes).caseOf({
       Nothing: () => metrics.count('onyxloft_sharing_unreadable_total'),
-      Just: take,
+      Just: handleDatagram,
     });
   };
 
-  const take = (datagram: Datagram): void => {
+  const handleDatagram = (datagram: Datagram): void => {
     switch (datagram.kind) {
       case 'load':
-        return receiveLoad(datagram);
+        return handleLoad(datagram);
       case 'ask':
-        return void answer(datagram).catch(notAnswered);
+        return void answerQuery(datagram).catch(logUnanswered);
       case 'answer':
-        return questions.answered(datagram);
+        return queries.handleAnswer(datagram);
       case 'crashes':
         return ctx.send('direct', {
           kind: 'crash-reports',
@@ -184,38 +184,38 @@
     }
   };
 
-  const receiveLoad = (datagram: LoadDatagram): void => {
-    const peer = add(datagram.from);
+  const handleLoad = (datagram: LoadDatagram): void => {
+    const peer = addPeer(datagram.from);
     if (peer === undefined || datagram.seq <= peer.seq) return;
     peer.seq = datagram.seq;
     peer.heardAt = clock.now();
-    const {from, loads: told} = datagram;
+    const {from, loads: peerLoads} = datagram;
     ctx.send('direct', {
-      kind: 'other-load',
+      kind: 'peer-load',
       node: from.node,
-      loads: told,
-      keepMs: silentMs(from),
+      loads: peerLoads,
+      keepMs: silenceLimitMs(from),
     });
   };
 
-  const beat = (): void => {
-    telling.beat();
-    const count = [...peers.values()].filter(isHeard).length + 1;
-    if (count === told) return;
-    told = count;
+  const heartbeat = (): void => {
+    loadBroadcast.heartbeat();
+    const count = [...peers.values()].filter(isAlive).length + 1;
+    if (count === reportedCount) return;
+    reportedCount = count;
     log(DIRECT_EVENTS.entriesCounted, {count});
-    tellCount(count);
+    sendCount(count);
   };
-  const tellCount = (count: number): void => {
+  const sendCount = (count: number): void => {
     ctx.send('direct', {kind: 'entries', count});
     ctx.send('followed', {kind: 'entries', count});
   };
 
-  const list = async (): Promise<void> => {
+  const refreshPeers = async (): Promise<void> => {
     const entries = await store.listEntries();
-    entries.ifRight(found => found.forEach(add));
+    entries.ifRight(found => found.forEach(addPeer));
     for (const [node, peer] of peers) {
-      if (clock.now() - peer.heardAt < REMOVE_MS) continue;
+      if (clock.now() - peer.heardAt < REMOVE_RECORD_AFTER_MS) continue;
       peers.delete(node);
       log(DIRECT_EVENTS.entryRemoved, {entry: node});
       (await store.removeEntry(node)).ifLeft(({message}) =>
@@ -228,15 +228,15 @@
     const announced = await store.announceEntry(self);
     announced.ifLeft(({message}) => {
       log(DIRECT_EVENTS.storeCallFailed, {step: 'announce entry', message});
-      const cancel = clock.after(ANNOUNCE_AGAIN_MS, () => void announce());
+      const cancel = clock.after(ANNOUNCE_RETRY_MS, () => void announce());
       ctx.own(cancel);
     });
   };
 
   // All entries notice in the same instant; their records need not all be
   // written in it, as each knows the others.
-  const announceAgain = (): void => {
-    const cancel = clock.after(random.next() * ANNOUNCE_SPREAD_MS, () => {
+  const reannounce = (): void => {
+    const cancel = clock.after(random.next() * REANNOUNCE_SPREAD_MS, () => {
       if (isDraining) return;
       log(DIRECT_EVENTS.recordRewritten, {});
       void announce();
@@ -249,36 +249,34 @@
     isClosed = true;
     socket.close();
   });
-  ctx.own(telling.stop);
-  ctx.own(clock.every(BEAT_MS, beat));
-  ctx.own(clock.every(LIST_MS, () => void list()));
+  ctx.own(loadBroadcast.stop);
+  ctx.own(clock.every(HEARTBEAT_MS, heartbeat));
+  ctx.own(clock.every(LIST_INTERVAL_MS, () => void refreshPeers()));
   void ctx.mailbox.observe(message => {
     switch (message.kind) {
-      case 'ask-entry':
-        return questions.ask(message.anyone, message.reply);
+      case 'query-peer':
+        return queries.query(message.anyPeer, message.reply);
       case 'is-entry':
-        return message.reply(
-          entriesThat(it => it.ip === message.ip).length > 0,
-        );
+        return message.reply(peersWhere(it => it.ip === message.ip).length > 0);
       case 'crash-reports':
         return message.toAll
-          ? tellCrashesToAll(message.reports)
-          : tellCrashesToOne(message.reports);
+          ? sendCrashReportsToAll(message.reports)
+          : sendCrashReportsToOne(message.reports);
       case 'store-restored':
-        return announceAgain();
-      case 'tell-again':
-        return tellCount(told);
+        return reannounce();
+      case 'resend-state':
+        return sendCount(reportedCount);
       case 'draining':
         isDraining = true;
         return;
       case 'load':
         loads = message.loads;
-        return telling.changed(message.isLong);
+        return loadBroadcast.loadChanged(message.hasLongRead);
     }
   });
   // The first word of another entry is waited for, so it is asked for at once.
   void announce()
-    .then(list)
+    .then(refreshPeers)
     .then(() => ctx.send('followed', {kind: 'confirm'}));
 }
 
--- a/src/direct/store_connection.ts
+++ b/src/direct/store_connection.ts
@@ -7,32 +7,32 @@
 import type {StoreFault} from './types.js';
 
 /** Without cover nothing may stay unconfirmed for longer than its watch takes. */
-const READ_ANEW_FACTOR = 1.3;
+const OVERDUE_FACTOR = 1.3;
 
-export interface Confirmations {
-  confirmed(): void;
+export interface ConfirmationTimer {
+  markConfirmed(): void;
   /** An own call should have confirmed it by now. */
   isOverdue(): boolean;
 }
 
 /** When a collection was last confirmed by an own call. */
-export function createConfirmations(
+export function createConfirmationTimer(
   clock: Clock,
   waitMs: number,
-): Confirmations {
+): ConfirmationTimer {
   let confirmedAt = clock.now();
   return {
-    confirmed: () => {
+    markConfirmed: () => {
       confirmedAt = clock.now();
     },
-    isOverdue: () => clock.now() - confirmedAt > waitMs * READ_ANEW_FACTOR,
+    isOverdue: () => clock.now() - confirmedAt > waitMs * OVERDUE_FACTOR,
   };
 }
 
 export interface StoreConnection {
   isLost(): boolean;
-  failed(fault: StoreFault): void;
-  regained(): void;
+  callFailed(fault: StoreFault): void;
+  callSucceeded(): void;
 }
 
 /** One line when the store is lost and one when it is back. */
@@ -40,12 +40,12 @@
   let lostAt: number | undefined;
   return {
     isLost: () => lostAt !== undefined,
-    failed: ({step, message}) => {
+    callFailed: ({step, message}) => {
       if (lostAt !== undefined) return;
       lostAt = clock.now();
       log(DIRECT_EVENTS.storeLost, {step, message});
     },
-    regained: () => {
+    callSucceeded: () => {
       if (lostAt === undefined) return;
       const awayMs = Math.round(clock.now() - lostAt);
       lostAt = undefined;
--- a/src/direct/store_era_tracker.ts
+++ b/src/direct/store_era_tracker.ts
@@ -8,50 +8,52 @@
 import {isOlderEra} from './store_position.js';
 import type {StoreEra} from './store_position.js';
 
-export interface StoreErasOptions {
+export interface StoreEraTrackerOptions {
   readonly log: Log;
   readonly metrics: Metrics;
   /** The store has told an era for the first time. */
-  onFirst?(): void;
+  onFirstEra?(): void;
   /** The store has come back from a copy. */
-  onRisen(): void;
+  onRestored(): void;
 }
 
-export interface StoreEras {
+export interface StoreEraTracker {
   /** An answer of the store told this era. */
-  note(era: StoreEra): void;
+  observe(era: StoreEra): void;
   /** The highest that was seen. */
   current(): StoreEra;
 }
 
-export function createStoreEras(options: StoreErasOptions): StoreEras {
+export function createStoreEraTracker(
+  options: StoreEraTrackerOptions,
+): StoreEraTracker {
   const {log, metrics} = options;
   let current: StoreEra;
-  let isUntold = false;
-  let olderTold: StoreEra;
+  let hasLoggedMissingEra = false;
+  let loggedOlderEra: StoreEra;
 
-  const noteUntold = (): void => {
-    if (isUntold) return;
-    isUntold = true;
+  const logMissingEra = (): void => {
+    if (hasLoggedMissingEra) return;
+    hasLoggedMissingEra = true;
     log(DIRECT_EVENTS.eraUntold, {});
   };
-  const noteOlder = (era: StoreEra): void => {
-    if (olderTold === era) return;
-    olderTold = era;
+  const logOlderEra = (era: StoreEra): void => {
+    if (loggedOlderEra === era) return;
+    loggedOlderEra = era;
     log(DIRECT_EVENTS.eraOlder, {era, newest: current});
   };
 
   return {
-    note: era => {
-      if (era === undefined) return noteUntold();
+    observe: era => {
+      if (era === undefined) return logMissingEra();
       if (era === current) return;
-      if (isOlderEra(era, current)) return noteOlder(era);
+      if (isOlderEra(era, current)) return logOlderEra(era);
       const before = current;
       current = era;
       metrics.gauge('onyxloft_direct_store_era', {}, era);
-      if (before === undefined) return options.onFirst?.();
+      if (before === undefined) return options.onFirstEra?.();
       log(DIRECT_EVENTS.storeRestored, {era, before});
-      options.onRisen();
+      options.onRestored();
     },
     current: () => current,
   };
--- a/src/direct/store_follower.ts
+++ b/src/direct/store_follower.ts
@@ -6,27 +6,30 @@
 import {DIRECT_EVENTS} from '../utils/events.js';
 import {createCatchUp} from './catch_up.js';
 import {
-  FIRST_WORD_MS,
-  WRITTEN_AGAIN_MS,
+  FIRST_PEER_ANSWER_MS,
+  REWRITE_GRACE_MS,
   createConfigProof,
 } from './config_proof.js';
-import {coverAgeMs, createCover} from './peer_confirmation.js';
-import {follow} from './collection_follower.js';
+import {
+  maxPeerEvidenceAgeMs,
+  createPeerConfirmation,
+} from './peer_confirmation.js';
+import {followCollection} from './collection_follower.js';
 import {createKnownReplicas} from './known_replicas.js';
 import './messages.js';
 import {createQuarantineRecords} from './quarantine_records.js';
 import {
-  createConfirmations,
+  createConfirmationTimer,
   createStoreConnection,
 } from './store_connection.js';
 import {createSettledEra} from './settled_era.js';
-import {createStoreEras} from './store_era_tracker.js';
+import {createStoreEraTracker} from './store_era_tracker.js';
 import type {StoreEra} from './store_position.js';
 import type {
   DirectConfig,
   DirectReplica,
   DirectStore,
-  EntryAnswer,
+  PeerAnswer,
   StoreFault,
   StoreKnowledge,
 } from './types.js';
@@ -35,41 +38,41 @@
  * Each answer is evidence for callers' keys, which is wanted about once a
  * second.
  */
-const CONFIG_WAIT_MS = 1_000;
+const CONFIG_WATCH_MS = 1_000;
 /**
  * A watch whose connection fell silent is given up a little after its wait.
  * Replicas may leave meanwhile; the platform's bound on work for them starts
  * 3 s after such a fault, and by then the new watch has told of them.
  */
-const REPLICAS_WAIT_MS = 2_000;
+const REPLICAS_WATCH_MS = 2_000;
 /** Of both while another entry vouches for what is known; the store allows 30 s. */
-const COVERED_WAIT_MS = 20_000;
+const LONG_WATCH_MS = 20_000;
 /**
  * Pause after changes, as a share of the time for which a replica that leaves
  * serves on. The second of two changes is known later by that much. While fifty
  * replicas are replaced within 15 s each change costs every entry a call.
  */
-const REPLICAS_SETTLE_SHARE = 0.3;
+const REPLICAS_CHANGE_PAUSE_SHARE = 0.3;
 /**
  * Of the watch of requests that crash replicas, while other entries are heard:
  * they tell of those too, and a connection that fell silent does no harm.
  */
-const QUARANTINE_WAIT_MS = 25_000;
+const QUARANTINE_WATCH_MS = 25_000;
 /** Between tries while the store fails and no other entry answers. */
-const RETRY_ALONE_MS = 500;
+const MAX_RETRY_WITHOUT_PEER_MS = 500;
 /**
  * The same while another entry answers, of which the first by name tries often:
  * its word is there half a second after the store is back. With all entries
  * trying alone, the store would be met with several times the calls.
  */
-const RETRY_LED_MS = 2_000;
+const MAX_RETRY_WITH_PEER_MS = 2_000;
 /** After the own start, and after the store's return from a copy. */
-const ASK_ANYONE_MS = 3_000;
+const QUERY_ANY_PEER_MS = 3_000;
 
-export interface FollowedOptions {
+export interface StoreFollowerOptions {
   readonly store: DirectStore;
   /** Evidence older than this makes the entry unready. */
-  readonly readyMs: number;
+  readonly maxReadyAgeMs: number;
   /** A replica that leaves serves on for so long. */
   readonly leavingMs: number;
   /** The whole system starts for the first time. */
@@ -78,31 +81,31 @@
   readonly wallMs: () => number;
 }
 
-export function createFollowed(
-  options: FollowedOptions,
+export function createStoreFollower(
+  options: StoreFollowerOptions,
 ): ServiceSpec<'followed'> {
-  return {name: 'followed', start: ctx => startFollowed(options, ctx)};
+  return {name: 'followed', start: ctx => startStoreFollower(options, ctx)};
 }
 
-function startFollowed(
-  {store, readyMs, leavingMs, isBootstrap, wallMs}: FollowedOptions,
+function startStoreFollower(
+  {store, maxReadyAgeMs, leavingMs, isBootstrap, wallMs}: StoreFollowerOptions,
   ctx: ServiceContext<'followed'>,
 ): void {
   const {clock, random} = ctx;
-  const settleMs = leavingMs * REPLICAS_SETTLE_SHARE;
-  const connected = createStoreConnection(clock, ctx.log);
+  const changePauseMs = leavingMs * REPLICAS_CHANGE_PAUSE_SHARE;
+  const connection = createStoreConnection(clock, ctx.log);
   let newest: DirectConfig | undefined;
   /** That are heard, with this one. */
-  let entries = 1;
+  let entryCount = 1;
 
-  const eras = createStoreEras({
+  const eraTracker = createStoreEraTracker({
     log: ctx.log,
     metrics: ctx.metrics,
-    onFirst: () => settledEra.lookUp(),
-    onRisen: () => restored(),
+    onFirstEra: () => settledEra.lookUp(),
+    onRestored: () => handleRestore(),
   });
-  store.watchEra(eras.note);
-  const tellsEra = () => eras.current() !== undefined;
+  store.watchEra(eraTracker.observe);
+  const hasEra = () => eraTracker.current() !== undefined;
   const startedAt = clock.now();
   const settledEra = createSettledEra({
     store,
@@ -110,53 +113,53 @@
     random,
     log: ctx.log,
     isBootstrap,
-    currentEra: eras.current,
-    onSettled: () => configs.confirmNow(),
+    currentEra: eraTracker.current,
+    onSettled: () => configFollower.rereadNow(),
     onUnsettled: () => {
-      const until = startedAt + WRITTEN_AGAIN_MS;
-      ctx.send('direct', {kind: 'keys-in-doubt', until});
+      const until = startedAt + REWRITE_GRACE_MS;
+      ctx.send('direct', {kind: 'keys-unconfirmed', until});
       settledEra.settleAfter(until - clock.now());
     },
   });
-  const proof = createConfigProof(
+  const configProof = createConfigProof(
     clock,
     ctx.log,
-    tellsEra,
+    hasEra,
     settledEra.isSettled,
   );
-  let heardEra: StoreEra;
+  let reportedEra: StoreEra;
   // Which entry knows the newest configuration does not go by names then.
-  let anyoneUntil = clock.now() + ASK_ANYONE_MS;
-  const restored = () => {
-    anyoneUntil = clock.now() + ASK_ANYONE_MS;
-    proof.restored();
-    settledEra.settleAfter(WRITTEN_AGAIN_MS);
-    quarantine.restored();
-    tellRestored();
+  let queryAnyPeerUntil = clock.now() + QUERY_ANY_PEER_MS;
+  const handleRestore = () => {
+    queryAnyPeerUntil = clock.now() + QUERY_ANY_PEER_MS;
+    configProof.storeRestored();
+    settledEra.settleAfter(REWRITE_GRACE_MS);
+    quarantineRecords.storeRestored();
+    sendRestored();
     ctx.send('sharing', {kind: 'store-restored'});
     // After the answer that told of it has been taken.
-    clock.after(0, () => rereadFor(eras.current()));
+    clock.after(0, () => observeEra(eraTracker.current()));
   };
-  const tellRestored = () => ctx.send('direct', {kind: 'store-restored'});
-  const tellAgain = () => {
+  const sendRestored = () => ctx.send('direct', {kind: 'store-restored'});
+  const resendState = () => {
     if (newest !== undefined) {
       ctx.send('direct', {kind: 'config', config: newest});
     }
-    ctx.send('direct', {kind: 'replicas', replicas: known.all()});
-    quarantine.tellAgain();
-    configs.confirmNow();
+    ctx.send('direct', {kind: 'replicas', replicas: knownReplicas.all()});
+    quarantineRecords.reportAll();
+    configFollower.rereadNow();
   };
-  const rereadFor = (era: StoreEra) => {
-    configs.noteEra(era);
-    replicas.noteEra(era);
-    quarantine.noteEra(era);
+  const observeEra = (era: StoreEra) => {
+    configFollower.observeEra(era);
+    replicaFollower.observeEra(era);
+    quarantineRecords.observeEra(era);
   };
   // Where the era is told, any answer shows that it has risen.
   const onRestored = () => {
-    if (eras.current() === undefined) restored();
+    if (eraTracker.current() === undefined) handleRestore();
   };
 
-  const tellConfig = (config: DirectConfig | undefined) => {
+  const applyConfig = (config: DirectConfig | undefined) => {
     // Without a configuration the last one stays in force, as it does when an
     // older one is read.
     if (config === undefined) return;
@@ -164,86 +167,92 @@
     newest = config;
     ctx.send('direct', {kind: 'config', config});
   };
-  const tellReplicas = (items: ReadonlyMap<string, DirectReplica>) => {
-    known.setAll(items);
+  const applyReplicas = (items: ReadonlyMap<string, DirectReplica>) => {
+    knownReplicas.replaceAll(items);
     ctx.send('direct', {kind: 'replicas', replicas: items});
   };
-  const tellReplicaChanges = (
+  const applyReplicaChanges = (
     items: ReadonlyMap<string, DirectReplica | undefined>,
   ) => {
-    known.change(items);
+    knownReplicas.applyChanges(items);
     ctx.send('direct', {kind: 'replica-changes', replicas: items});
   };
-  const tellConfirmed = (asOf: number, askedAt: number) =>
+  const sendConfirmed = (asOf: number, askedAt: number) =>
     ctx.send('direct', {kind: 'confirmed', asOf, askedAt});
   // An outage that one watch outlives is seen by the other: either says that
   // replicas' records may have lapsed.
   const onFault = (fault: StoreFault) => {
-    connected.failed(fault);
+    connection.callFailed(fault);
     ctx.send('direct', {kind: 'store-failed'});
   };
-  const known = createKnownReplicas();
-  const retryMostMs = () =>
-    cover.isAnswered() ? RETRY_LED_MS : RETRY_ALONE_MS;
-  const configWatch = createConfirmations(clock, CONFIG_WAIT_MS);
-  const replicasWatch = createConfirmations(clock, REPLICAS_WAIT_MS);
-  const configs = follow({
+  const knownReplicas = createKnownReplicas();
+  const maxRetryMs = () =>
+    confirmation.isPeerAnswering()
+      ? MAX_RETRY_WITH_PEER_MS
+      : MAX_RETRY_WITHOUT_PEER_MS;
+  const configTimer = createConfirmationTimer(clock, CONFIG_WATCH_MS);
+  const replicasTimer = createConfirmationTimer(clock, REPLICAS_WATCH_MS);
+  const configFollower = followCollection({
     collection: store.configs,
     clock,
     random,
-    waitMs: () => (cover.isCovered() ? COVERED_WAIT_MS : CONFIG_WAIT_MS),
-    retryMostMs,
-    settleMs: 0,
+    waitMs: () => (confirmation.isActive() ? LONG_WATCH_MS : CONFIG_WATCH_MS),
+    maxRetryMs,
+    changePauseMs: 0,
     onList: items => {
       const [config] = items.values();
-      proof.listed(config?.version);
-      items.forEach(tellConfig);
+      configProof.versionListed(config?.version);
+      items.forEach(applyConfig);
     },
     onChanges: items => {
       for (const config of items.values()) {
-        if (config !== undefined) proof.written(config.version);
-        tellConfig(config);
+        if (config !== undefined) configProof.versionWritten(config.version);
+        applyConfig(config);
       }
     },
     onConfirmed: sentAt => {
-      connected.regained();
-      configWatch.confirmed();
-      if (proof.holds(newest?.version)) tellConfirmed(sentAt, sentAt);
+      connection.callSucceeded();
+      configTimer.markConfirmed();
+      if (configProof.provesNewest(newest?.version))
+        sendConfirmed(sentAt, sentAt);
     },
     onRestored,
     onFault,
   });
-  const replicas = follow({
+  const replicaFollower = followCollection({
     collection: store.replicas,
     clock,
     random,
-    waitMs: () => (cover.isCovered() ? COVERED_WAIT_MS : REPLICAS_WAIT_MS),
-    retryMostMs,
-    settleMs,
+    waitMs: () => (confirmation.isActive() ? LONG_WATCH_MS : REPLICAS_WATCH_MS),
+    maxRetryMs,
+    changePauseMs,
     onList: (items, isPartial) =>
-      isPartial ? tellReplicaChanges(items) : tellReplicas(items),
-    onChanges: tellReplicaChanges,
-    onConfirmed: replicasWatch.confirmed,
+      isPartial ? applyReplicaChanges(items) : applyReplicas(items),
+    onChanges: applyReplicaChanges,
+    onConfirmed: replicasTimer.markConfirmed,
     onRestored,
     onFault,
   });
-  const quarantine = createQuarantineRecords({
+  const quarantineRecords = createQuarantineRecords({
     store,
     clock,
     wallMs,
     random,
     log: ctx.log,
-    waitMs: () => (entries > 1 ? QUARANTINE_WAIT_MS : REPLICAS_WAIT_MS),
-    retryMostMs,
+    waitMs: () => (entryCount > 1 ? QUARANTINE_WATCH_MS : REPLICAS_WATCH_MS),
+    maxRetryMs,
     onReports: reports => ctx.send('direct', {kind: 'crash-reports', reports}),
-    onReleased: digest => ctx.send('direct', {kind: 'crash-released', digest}),
-    onFault: connected.failed,
+    onReleased: digest =>
+      ctx.send('direct', {kind: 'quarantine-released', digest}),
+    onFault: connection.callFailed,
   });
-  const logTaken = (what: string, {by, configVersion: version}: EntryAnswer) =>
-    ctx.log(DIRECT_EVENTS.knowledgeTaken, {what, entry: by, version});
+  const logFetched = (
+    what: string,
+    {node, configVersion: version}: PeerAnswer,
+  ) => ctx.log(DIRECT_EVENTS.knowledgeTaken, {what, entry: node, version});
   const catchUp = createCatchUp({
     ownVersion: () => newest?.version,
-    isStoreLost: connected.isLost,
+    isStoreLost: connection.isLost,
     fetchConfig: from =>
       ctx.ask(
         'handover',
@@ -263,72 +272,74 @@
         ) => ({kind: 'fetch-replicas', from, reply}),
       ),
     onConfig: (config, from) => {
-      logTaken('configuration', from);
-      tellConfig(config);
-      cover.askNow();
+      logFetched('configuration', from);
+      applyConfig(config);
+      confirmation.queryNow();
     },
     onReplicas: (items, from) => {
-      logTaken('replicas', from);
-      tellReplicas(items);
+      logFetched('replicas', from);
+      applyReplicas(items);
     },
-    onFailed: cause => {
+    onFetchFailed: cause => {
       const message = String(cause);
       ctx.log(DIRECT_EVENTS.handoverFailed, {step: 'ask for it', message});
     },
   });
-  const askEntry = () =>
-    ctx.ask('sharing', (reply: (answer: EntryAnswer | undefined) => void) => ({
-      kind: 'ask-entry',
-      anyone: connected.isLost() || clock.now() < anyoneUntil,
+  const queryPeer = () =>
+    ctx.ask('sharing', (reply: (answer: PeerAnswer | undefined) => void) => ({
+      kind: 'query-peer',
+      anyPeer: connection.isLost() || clock.now() < queryAnyPeerUntil,
       reply,
     }));
-  const cover = createCover({
+  const confirmation = createPeerConfirmation({
     clock,
-    maxAgeMs: coverAgeMs(readyMs),
+    maxAgeMs: maxPeerEvidenceAgeMs(maxReadyAgeMs),
     // The service that talks with entries may end with the question.
-    ask: () =>
-      askEntry().catch(err => {
+    queryPeer: () =>
+      queryPeer().catch(err => {
         const message = String(err);
         ctx.log(DIRECT_EVENTS.handoverFailed, {step: 'ask an entry', message});
         return undefined;
       }),
-    own: () => ({
-      era: eras.current(),
+    ownKnowledge: () => ({
+      era: eraTracker.current(),
       configVersion: newest?.version,
-      replicasDigest: known.digest(),
+      replicasDigest: knownReplicas.digest(),
     }),
-    onConfirmed: tellConfirmed,
-    onOtherConfig: answer => {
-      proof.heard(answer.configVersion ?? Number.NEGATIVE_INFINITY);
-      if (!catchUp.otherConfig(answer)) configs.confirmNow();
+    onConfirmed: sendConfirmed,
+    onDifferentConfig: answer => {
+      configProof.peerHasVersion(
+        answer.configVersion ?? Number.NEGATIVE_INFINITY,
+      );
+      if (!catchUp.handleDifferentConfig(answer)) configFollower.rereadNow();
     },
-    onSameConfig: catchUp.sameConfig,
-    onOtherReplicas: answer => {
-      replicas.confirmNow();
-      catchUp.otherReplicas(answer);
+    onSameConfig: catchUp.handleSameConfig,
+    onDifferentReplicas: answer => {
+      replicaFollower.rereadNow();
+      catchUp.handleDifferentReplicas(answer);
     },
     onNewerEra: ({era}) => {
-      if (heardEra === era) return;
-      heardEra = era;
+      if (reportedEra === era) return;
+      reportedEra = era;
       // Replicas may come from there before the own calls show the return.
-      tellRestored();
-      rereadFor(era);
+      sendRestored();
+      observeEra(era);
     },
-    onUncovered: () => {
-      if (configWatch.isOverdue()) configs.confirmNow();
-      if (replicasWatch.isOverdue()) replicas.confirmNow();
+    onUnconfirmed: () => {
+      if (configTimer.isOverdue()) configFollower.rereadNow();
+      if (replicasTimer.isOverdue()) replicaFollower.rereadNow();
     },
-    onChange: (isCovered, answer) => {
+    onChange: (isActive, answer) => {
       const {coverBegan, coverEnded} = DIRECT_EVENTS;
-      ctx.metrics.gauge('onyxloft_direct_covered', {}, isCovered ? 1 : 0);
-      ctx.log(isCovered ? coverBegan : coverEnded, {
-        entry: answer?.by,
+      ctx.metrics.gauge('onyxloft_direct_covered', {}, isActive ? 1 : 0);
+      ctx.log(isActive ? coverBegan : coverEnded, {
+        entry: answer?.node,
         evidenceAgeMs: answer?.evidenceAgeMs,
         version: answer?.configVersion,
       });
     },
   });
-  const tell = async (reply: (knowledge: StoreKnowledge) => void) => {
+  const replyKnowledge = async (reply: (knowledge: StoreKnowledge) => void) => {
     const ageMs = await ctx.ask(
       'direct',
       (answer: (ageMs: number) => void) => ({
@@ -339,47 +350,48 @@
     // No number of JSON stands for an infinite age.
     const evidenceAgeMs = Number.isFinite(ageMs) ? ageMs : undefined;
     reply({
-      era: eras.current(),
+      era: eraTracker.current(),
       evidenceAgeMs,
       configVersion: newest?.version,
-      replicasDigest: known.digest(),
+      replicasDigest: knownReplicas.digest(),
     });
   };
   // What the store showed before that time proved nothing then.
-  const confirmTold = () => {
-    if (tellsEra()) configs.confirmNow();
+  const rereadConfig = () => {
+    if (hasEra()) configFollower.rereadNow();
   };
-  ctx.own(clock.after(FIRST_WORD_MS, confirmTold));
-  ctx.own(clock.after(WRITTEN_AGAIN_MS, confirmTold));
+  ctx.own(clock.after(FIRST_PEER_ANSWER_MS, rereadConfig));
+  ctx.own(clock.after(REWRITE_GRACE_MS, rereadConfig));
   ctx.own(settledEra.stop);
-  ctx.own(cover.stop);
-  ctx.own(configs.stop);
-  ctx.own(replicas.stop);
-  ctx.own(quarantine.stop);
+  ctx.own(confirmation.stop);
+  ctx.own(configFollower.stop);
+  ctx.own(replicaFollower.stop);
+  ctx.own(quarantineRecords.stop);
   void ctx.mailbox.observe(message => {
     switch (message.kind) {
       case 'knowledge':
-        return void tell(message.reply);
+        return void replyKnowledge(message.reply);
       case 'state':
-        return message.reply({config: newest, replicas: known.all()});
+        return message.reply({config: newest, replicas: knownReplicas.all()});
       case 'entries':
-        entries = message.count;
+        entryCount = message.count;
         return;
       case 'quarantined':
-        return quarantine.keep(message.report, message.isOwn);
+        return quarantineRecords.ensureStored(message.report, message.isOwn);
       case 'quarantine-cleared':
-        return quarantine.clear(message.digest, message.isOwn);
+        return quarantineRecords.clear(message.digest, message.isOwn);
       case 'claim-trial':
-        return void quarantine
+        return void quarantineRecords
           .claimTrial(message.digest, message.trial)
           .then(message.reply);
       case 'confirm':
         // Asked for each request, a store that proves nothing would be asked
         // in vain; its watch tells at once when it does.
-        if (proof.holds(newest?.version)) configs.confirmNow();
-        return cover.askNow();
-      case 'tell-again':
-        return tellAgain();
+        if (configProof.provesNewest(newest?.version))
+          configFollower.rereadNow();
+        return confirmation.queryNow();
+      case 'resend-state':
+        return resendState();
     }
   });
 }
--- a/src/direct/store_position.ts
+++ b/src/direct/store_position.ts
@@ -13,12 +13,12 @@
 }
 
 /** Two eras of which one is not told count as the same. */
-export function isOlderEra(era: StoreEra, than: StoreEra): boolean {
-  return era !== undefined && than !== undefined && era < than;
+export function isOlderEra(era: StoreEra, other: StoreEra): boolean {
+  return era !== undefined && other !== undefined && era < other;
 }
 
 /** Where `position` lies, seen from one of its own era or an earlier one. */
-export function orderOf(
+export function comparePositions(
   position: StorePosition,
   from: StorePosition,
 ): 'newer era' | 'older' | 'same or newer' {
--- a/src/direct/stream_silence.ts
+++ b/src/direct/stream_silence.ts
@@ -47,7 +47,10 @@
   let stop = () => {};
 
   const allowedMs = (limitMs: number): number =>
-    Math.max(limitMs, Math.min(limitMs + book.of(replicaId).readMs, mostMs));
+    Math.max(
+      limitMs,
+      Math.min(limitMs + book.totalLoad(replicaId).readMs, mostMs),
+    );
   const wait = (limitMs: number, since: number): void => {
     stop();
     if (!canGoOn) return;
--- a/src/direct/types.ts
+++ b/src/direct/types.ts
@@ -138,9 +138,9 @@
 }
 
 /** Another entry's answer to a question that was sent at `askedAt`. */
-export interface EntryAnswer extends StoreKnowledge {
+export interface PeerAnswer extends StoreKnowledge {
   /** Node that answered, and where it hands over what it knows. */
-  readonly by: string;
+  readonly node: string;
   readonly ip: string;
   readonly port: number;
   /** On this process's clock. */
@@ -250,7 +250,7 @@
 }
 
 /** Flat list of header names and values. */
-export type HeadersOut = readonly string[];
+export type HeaderList = readonly string[];
 
 /** Header names and forms between callers, entries and replicas. */
 export interface HeaderCodec {
--- a/src/direct_wiring.ts
+++ b/src/direct_wiring.ts
@@ -3,8 +3,8 @@
  * platform's protocol comes in as functions.
  */
 import {createDirectFront} from './direct/front.js';
-import {readyAgeMs} from './direct/evidence.js';
-import {createFollowed} from './direct/store_follower.js';
+import {maxReadyAgeMs} from './direct/evidence.js';
+import {createStoreFollower} from './direct/store_follower.js';
 import {createHandover} from './direct/handover.js';
 import {createReadyServer} from './direct/ready_server.js';
 import type {DirectSettings} from './direct/settings.js';
@@ -83,9 +83,9 @@
   await kernel.start(createSharing({self, store}));
   await kernel.start(createHandover({self}));
   await kernel.start(
-    createFollowed({
+    createStoreFollower({
       store,
-      readyMs: readyAgeMs(settings.timing.revokeMs),
+      maxReadyAgeMs: maxReadyAgeMs(settings.timing.revokeMs),
       leavingMs: settings.timing.leavingMs ?? LEAVING_MS,
       isBootstrap: settings.bootstrap ?? false,
       wallMs: parts.wallMs,
--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -3,7 +3,7 @@
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
 import {createCallTimes} from '../../src/direct/call_times.js';
 import {chooseForCall} from '../../src/direct/decide/choose_call.js';
-import {noLoad} from '../../src/direct/replica_load.js';
+import {emptyLoad} from '../../src/direct/replica_load.js';
 import type {DirectReplica} from '../../src/direct/types.js';
 import {createSeededRandom} from '../../standins/seeded_random.js';
 import {
@@ -81,7 +81,7 @@
       const chosen = chooseForCall(
         well.map(replica => ({
           replica,
-          load: noLoad(replica.id),
+          load: emptyLoad(replica.id),
           slowness: 1,
           brokenShare: sees(health.brokenShare(replica.id)),
         })),
--- a/test/direct/collection_follower.test.ts
+++ b/test/direct/collection_follower.test.ts
@@ -2,7 +2,7 @@
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
 import {describe, expect, test} from 'vitest';
-import {follow} from '../../src/direct/collection_follower.js';
+import {followCollection} from '../../src/direct/collection_follower.js';
 import type {StorePosition} from '../../src/direct/store_position.js';
 import type {Changes, StoreFault} from '../../src/direct/types.js';
 import {createSeededRandom} from '../../standins/seeded_random.js';
@@ -35,7 +35,7 @@
       const position = {era: 1, revision: changesMade};
       return Right<Changes<string>>({position, items});
     };
-    const follower = follow<string>({
+    const follower = followCollection<string>({
       collection: {
         list: async () =>
           Right({
@@ -48,8 +48,8 @@
       clock,
       random: createSeededRandom(1),
       waitMs: () => 2_000,
-      retryMostMs: () => 500,
-      settleMs: SETTLE_MS,
+      maxRetryMs: () => 500,
+      changePauseMs: SETTLE_MS,
       onList: () => undefined,
       onChanges: items => [...items.keys()].forEach(name => seen.add(name)),
       onConfirmed: () => undefined,
@@ -80,7 +80,7 @@
       message: 'status 410',
     };
     const position = {era: 1, revision: 7};
-    const follower = follow<string>({
+    const follower = followCollection<string>({
       collection: {
         list: () =>
           answer(Right({position, items: new Map(), isPartial: false})),
@@ -89,8 +89,8 @@
       clock,
       random: createSeededRandom(1),
       waitMs: () => 1_000,
-      retryMostMs: () => 500,
-      settleMs: SETTLE_MS,
+      maxRetryMs: () => 500,
+      changePauseMs: SETTLE_MS,
       onList: () => undefined,
       onChanges: () => undefined,
       onConfirmed: () => undefined,
@@ -130,7 +130,7 @@
       calls += 1;
       return new Promise(resolve => void clock.after(1, () => resolve(value)));
     };
-    const follower = follow<string>({
+    const follower = followCollection<string>({
       collection: {
         list: () =>
           soon(
@@ -145,8 +145,8 @@
       clock,
       random: createSeededRandom(1),
       waitMs: () => 1_000,
-      retryMostMs: () => 500,
-      settleMs: 0,
+      maxRetryMs: () => 500,
+      changePauseMs: 0,
       onList: () => undefined,
       onChanges: () => undefined,
       onConfirmed: () => undefined,
@@ -185,20 +185,20 @@
       const fault = {historyGone: false, unreadable: false, message: 'away'};
       return Left({step: 'list', ...fault});
     };
-    const follower = follow<string>({
+    const follower = followCollection<string>({
       collection: {list: refused, watch: refused},
       clock,
       random: createSeededRandom(1),
       waitMs: () => 1_000,
-      retryMostMs: () => retryMostMs,
-      settleMs: SETTLE_MS,
+      maxRetryMs: () => retryMostMs,
+      changePauseMs: SETTLE_MS,
       onList: () => undefined,
       onChanges: () => undefined,
       onConfirmed: () => undefined,
       onRestored: () => undefined,
       onFault: () => undefined,
     });
-    clock.every(500, () => follower.confirmNow());
+    clock.every(500, () => follower.rereadNow());
     await clock.runFor(8_000);
     follower.stop();
     return calls;
--- a/test/direct/collection_follower_restored.test.ts
+++ b/test/direct/collection_follower_restored.test.ts
@@ -2,7 +2,7 @@
 import * as fc from 'fast-check';
 import {Right} from 'purify-ts';
 import {describe, expect, test} from 'vitest';
-import {follow} from '../../src/direct/collection_follower.js';
+import {followCollection} from '../../src/direct/collection_follower.js';
 import type {StorePosition} from '../../src/direct/store_position.js';
 import {createSeededRandom} from '../../standins/seeded_random.js';
 import {createVirtualClock} from '../../standins/virtual_clock.js';
@@ -18,13 +18,13 @@
   const store = createRestorableCollection(clock, tellsEra);
   const known = new Map<string, string>();
   let restored = 0;
-  const follower = follow<string>({
+  const follower = followCollection<string>({
     collection: store,
     clock,
     random: createSeededRandom(1),
     waitMs: () => WAIT_MS,
-    retryMostMs: () => RETRY_MOST_MS,
-    settleMs: 0,
+    maxRetryMs: () => RETRY_MOST_MS,
+    changePauseMs: 0,
     onList: items => {
       known.clear();
       for (const [name, value] of items) known.set(name, value);
@@ -72,7 +72,7 @@
     store.put('gone', 'old');
     await clock.runFor(100);
     store.delay(700);
-    follower.confirmNow();
+    follower.rereadNow();
     await clock.runFor(10);
     store.delay(2);
     store.restore();
@@ -107,7 +107,7 @@
     await clock.runFor(50);
     store.restore();
     store.setAway(false);
-    follower.confirmNow();
+    follower.rereadNow();
     await clock.runFor(20);
     expect(known).toEqual(new Map());
     expect(restored()).toBe(1);
@@ -123,7 +123,7 @@
     let listed: StorePosition = {era: 1, revision: 900};
     const take = (items: ReadonlyMap<string, unknown>) =>
       [...items.keys()].forEach(name => known.add(name));
-    const follower = follow<string>({
+    const follower = followCollection<string>({
       collection: {
         list: async () =>
           Right({position: listed, items: new Map(), isPartial: false}),
@@ -144,8 +144,8 @@
       clock,
       random: createSeededRandom(1),
       waitMs: () => WAIT_MS,
-      retryMostMs: () => RETRY_MOST_MS,
-      settleMs: 0,
+      maxRetryMs: () => RETRY_MOST_MS,
+      changePauseMs: 0,
       onList: take,
       onChanges: take,
       onConfirmed: () => undefined,
@@ -154,7 +154,7 @@
     });
     await clock.runFor(10);
     listed = {era: 2, revision: 895};
-    follower.confirmNow();
+    follower.rereadNow();
     await clock.runFor(10);
     answers[0](905, 'after-900');
     await clock.runFor(10);
@@ -212,7 +212,7 @@
           if (it.kind === 'restore') store.restore();
           if (it.kind === 'delay') store.delay(it.ms);
           if (it.kind === 'away') store.setAway(it.is);
-          if (it.kind === 'confirm') follower.confirmNow();
+          if (it.kind === 'confirm') follower.rereadNow();
           if (it.kind === 'wait') await clock.runFor(it.ms);
         }
         store.setAway(false);
--- a/test/direct/evidence.test.ts
+++ b/test/direct/evidence.test.ts
@@ -1,9 +1,15 @@
 /** Until when a key may be taken as valid. */
 import {describe, expect, test} from 'vitest';
-import {coverAgeMs, createCover} from '../../src/direct/peer_confirmation.js';
-import {createEvidence, waitForEvidence} from '../../src/direct/evidence.js';
+import {
+  maxPeerEvidenceAgeMs,
+  createPeerConfirmation,
+} from '../../src/direct/peer_confirmation.js';
+import {
+  createStoreEvidence,
+  waitForFreshEvidence,
+} from '../../src/direct/evidence.js';
 import {createVirtualClock} from '../../standins/virtual_clock.js';
-import {DEAF} from '../support/peer_confirmation.js';
+import {IGNORED_CALLBACKS} from '../support/peer_confirmation.js';
 
 const LIMIT_MS = 4_500;
 
@@ -13,7 +19,7 @@
   const wallMs = () => clock.now() + steppedMs;
   return {
     clock,
-    evidence: createEvidence(clock, wallMs, LIMIT_MS),
+    evidence: createStoreEvidence(clock, wallMs, LIMIT_MS),
     step: (ms: number) => {
       steppedMs += ms;
     },
@@ -57,7 +63,7 @@
         pausesMs = 0;
         return at === 'after' ? before : clock.now();
       };
-      const evidence = createEvidence(clock, wallMs, LIMIT_MS);
+      const evidence = createStoreEvidence(clock, wallMs, LIMIT_MS);
       await clock.runFor(100);
       evidence.confirm(clock.now(), clock.now());
       pausesMs = 300;
@@ -75,12 +81,12 @@
   // the next turn came too late, and the caller got 503.
   test('refuses no key between two of its questions', async () => {
     const clock = createVirtualClock();
-    const evidence = createEvidence(clock, () => clock.now(), 2_250);
+    const evidence = createStoreEvidence(clock, () => clock.now(), 2_250);
     const otherAgeMs = () => 1_000 + ((clock.now() + 390) % 1_000);
-    const cover = createCover({
+    const cover = createPeerConfirmation({
       clock,
-      maxAgeMs: coverAgeMs(1_500),
-      ask: async () => {
+      maxAgeMs: maxPeerEvidenceAgeMs(1_500),
+      queryPeer: async () => {
         const askedAt = clock.now();
         await new Promise<void>(resolve => void clock.after(100, resolve));
         const evidenceAgeMs = otherAgeMs();
@@ -92,19 +98,19 @@
           replicasDigest: '',
           askedAt,
           evidenceAgeMs,
-          by,
+          node: by,
           ip: '127.0.0.1',
           port: 1,
         };
       },
-      own: () => ({era: 1, configVersion: 1, replicasDigest: ''}),
-      ...DEAF,
+      ownKnowledge: () => ({era: 1, configVersion: 1, replicasDigest: ''}),
+      ...IGNORED_CALLBACKS,
       onConfirmed: evidence.confirm,
     });
     await clock.runFor(2_000);
     const answers: boolean[] = [];
     const cancel = clock.every(50, () => {
-      void waitForEvidence(clock, evidence, cover.askNow).then(isFresh =>
+      void waitForFreshEvidence(clock, evidence, cover.queryNow).then(isFresh =>
         answers.push(isFresh),
       );
     });
--- a/test/direct/handover.test.ts
+++ b/test/direct/handover.test.ts
@@ -2,7 +2,7 @@
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createCatchUp} from '../../src/direct/catch_up.js';
 import {
-  decodeHandedConfig,
+  decodeHandoverConfig,
   decodeReplicas,
   encodeConfig,
   encodeReplicas,
@@ -10,7 +10,7 @@
 import type {
   DirectConfig,
   DirectReplica,
-  EntryAnswer,
+  PeerAnswer,
 } from '../../src/direct/types.js';
 import {DIRECT_EVENTS} from '../../src/utils/events.js';
 import {configOf} from '../../standins/users_platform/deployment.js';
@@ -84,8 +84,8 @@
 });
 
 describe('what another entry knows', () => {
-  const answer: EntryAnswer = {
-    by: 'entry-1',
+  const answer: PeerAnswer = {
+    node: 'entry-1',
     ip: '127.0.0.1',
     port: 1,
     askedAt: 0,
@@ -107,7 +107,7 @@
       fetchReplicas: async () => new Map(),
       onConfig: ({version}) => taken.push(`config ${version}`),
       onReplicas: () => taken.push('replicas'),
-      onFailed: () => taken.push('failed'),
+      onFetchFailed: () => taken.push('failed'),
     });
     return {catchUp, taken, fetched: () => fetched};
   }
@@ -116,12 +116,12 @@
   // A change is on its way to all entries; the own watch brings it as well.
   test('is fetched when a newer version is told twice in a row', async () => {
     const {catchUp, taken, fetched} = catchUpOf(false);
-    expect(catchUp.otherConfig(answer)).toBe(false);
-    catchUp.sameConfig();
-    expect(catchUp.otherConfig(answer)).toBe(false);
+    expect(catchUp.handleDifferentConfig(answer)).toBe(false);
+    catchUp.handleSameConfig();
+    expect(catchUp.handleDifferentConfig(answer)).toBe(false);
     await settled();
     expect(fetched()).toBe(0);
-    expect(catchUp.otherConfig(answer)).toBe(true);
+    expect(catchUp.handleDifferentConfig(answer)).toBe(true);
     await settled();
     expect(taken).toEqual(['config 4']);
   });
@@ -129,7 +129,7 @@
   test('is not fetched when it is older', async () => {
     const {catchUp, fetched} = catchUpOf(true);
     const older = {...answer, configVersion: 2};
-    for (let at = 0; at < 4; at++) catchUp.otherConfig(older);
+    for (let at = 0; at < 4; at++) catchUp.handleDifferentConfig(older);
     await settled();
     expect(fetched()).toBe(0);
   });
@@ -149,10 +149,10 @@
       fetchReplicas: async () => undefined,
       onConfig: ({version}) => taken.push(`config ${version}`),
       onReplicas: () => undefined,
-      onFailed: cause => taken.push(String(cause)),
+      onFetchFailed: cause => taken.push(String(cause)),
     });
     for (let at = 0; at < 4; at++) {
-      catchUp.otherConfig(answer);
+      catchUp.handleDifferentConfig(answer);
       await settled();
     }
     expect(taken.slice(0, 2)).toEqual(['Error: not running', 'config 4']);
@@ -161,9 +161,9 @@
   // The other entry may lag: while the store answers here, its word is newer.
   test('of replicas counts only while the store is lost', async () => {
     const well = catchUpOf(false);
-    well.catchUp.otherReplicas(answer);
+    well.catchUp.handleDifferentReplicas(answer);
     const lost = catchUpOf(true);
-    lost.catchUp.otherReplicas(answer);
+    lost.catchUp.handleDifferentReplicas(answer);
     await settled();
     expect([well.taken, lost.taken]).toEqual([[], ['replicas']]);
   });
@@ -183,7 +183,9 @@
   };
 
   test('reads as what was handed over', () => {
-    expect(decodeHandedConfig(encodeConfig(config)).extract()).toEqual(config);
+    expect(decodeHandoverConfig(encodeConfig(config)).extract()).toEqual(
+      config,
+    );
     const replicas = new Map([['a', replica]]);
     const read = decodeReplicas(encodeReplicas(replicas)).extract();
     expect(read).toEqual(replicas);
@@ -192,7 +194,7 @@
   test.each(['', '{}', '[{}]', '{"version":"5"}', 'null'])(
     'is not taken when it is %j',
     text => {
-      expect(decodeHandedConfig(text).isLeft()).toBe(true);
+      expect(decodeHandoverConfig(text).isLeft()).toBe(true);
       expect(decodeReplicas(text).isLeft()).toBe(true);
     },
   );
--- a/test/direct/load_broadcast.test.ts
+++ b/test/direct/load_broadcast.test.ts
@@ -1,6 +1,9 @@
 /** When an entry tells the others of its load. */
 import {describe, expect, test} from 'vitest';
-import {BEAT_MS, createTelling} from '../../src/direct/load_broadcast.js';
+import {
+  HEARTBEAT_MS,
+  createLoadBroadcast,
+} from '../../src/direct/load_broadcast.js';
 import {createVirtualClock} from '../../standins/virtual_clock.js';
 
 const SECONDS = 20;
@@ -16,18 +19,18 @@
     Array.from({length: count}, (_, at) => `${kind}-${at}`);
   const farTimes: number[] = [];
   let sent = 0;
-  const telling = createTelling<string>({
+  const telling = createLoadBroadcast<string>({
     clock,
-    near: () => peers(near, 'near'),
-    far: () => peers(far, 'far'),
-    tell: to => {
+    sameDomainPeers: () => peers(near, 'near'),
+    otherDomainPeers: () => peers(far, 'far'),
+    send: to => {
       sent += to.length;
       if (to[0]?.startsWith('far')) farTimes.push(clock.now());
     },
   });
-  clock.every(BEAT_MS, telling.beat);
+  clock.every(HEARTBEAT_MS, telling.heartbeat);
   if (changesPerS > 0) {
-    clock.every(1_000 / changesPerS, () => telling.changed(isLong));
+    clock.every(1_000 / changesPerS, () => telling.loadChanged(isLong));
   }
   await clock.runFor(SECONDS * 1_000);
   telling.stop();
@@ -74,15 +77,15 @@
   test('is told to other domains at once, also beyond the budget', () => {
     const clock = createVirtualClock();
     const told: string[] = [];
-    const telling = createTelling<string>({
+    const telling = createLoadBroadcast<string>({
       clock,
-      near: () => [],
-      far: () => Array.from({length: 54}, (_, at) => `far-${at}`),
-      tell: to => void told.push(...to.slice(0, 1)),
+      sameDomainPeers: () => [],
+      otherDomainPeers: () => Array.from({length: 54}, (_, at) => `far-${at}`),
+      send: to => void told.push(...to.slice(0, 1)),
     });
-    for (let change = 0; change < 9; change++) telling.changed(false);
+    for (let change = 0; change < 9; change++) telling.loadChanged(false);
     const inBudget = told.length;
-    telling.changed(true);
+    telling.loadChanged(true);
     expect(inBudget).toBeLessThan(9);
     expect(told).toHaveLength(inBudget + 1);
     telling.stop();
--- a/test/direct/parts.test.ts
+++ b/test/direct/parts.test.ts
@@ -1,9 +1,12 @@
 /** The small parts of the direct path, each by itself. */
 import {describe, expect, test} from 'vitest';
 import {createEventSplitter} from '../../src/direct/event_splitter.js';
-import {createEvidence} from '../../src/direct/evidence.js';
+import {createStoreEvidence} from '../../src/direct/evidence.js';
 import {createFleet} from '../../src/direct/fleet.js';
-import {callWork, createLoadBook} from '../../src/direct/load_tracker.js';
+import {
+  plainCallAssignment,
+  createLoadTracker,
+} from '../../src/direct/load_tracker.js';
 import {packLoads, unpackLoads} from '../../src/direct/load_codec.js';
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
 import {drawService} from '../../src/direct/route_table.js';
@@ -31,7 +34,7 @@
   test('grows old on the monotonic clock, and falls with a suspension', async () => {
     const clock = createVirtualClock();
     let wallAhead = 0;
-    const evidence = createEvidence(
+    const evidence = createStoreEvidence(
       clock,
       () => clock.now() + wallAhead,
       1_000,
@@ -57,15 +60,15 @@
   test('is that of all entries, as long as they are heard of', async () => {
     const clock = createVirtualClock();
     const changes: string[] = [];
-    const book = createLoadBook(clock, change => changes.push(change));
-    const work = book.enter(callWork('r', 100));
-    book.setOther('entry-2', [{...book.of('r'), running: 4}]);
-    expect(book.of('r').running).toBe(5);
+    const book = createLoadTracker(clock, change => changes.push(change));
+    const work = book.assign(plainCallAssignment('r', 100));
+    book.setPeerLoad('entry-2', [{...book.totalLoad('r'), running: 4}]);
+    expect(book.totalLoad('r').running).toBe(5);
     await clock.advance(2_000);
-    expect(book.of('r').running).toBe(1);
+    expect(book.totalLoad('r').running).toBe(1);
     work.end();
     work.end();
-    expect(book.of('r').running).toBe(0);
+    expect(book.totalLoad('r').running).toBe(0);
     expect(changes).toEqual(['more', 'less']);
   });
 });
--- a/test/direct/peer_confirmation.test.ts
+++ b/test/direct/peer_confirmation.test.ts
@@ -1,12 +1,15 @@
 /** Another entry's word in place of own calls to the store. */
 import {describe, expect, test} from 'vitest';
-import {coverAgeMs, createCover} from '../../src/direct/peer_confirmation.js';
-import {createEntryQuestions} from '../../src/direct/peer_queries.js';
+import {
+  maxPeerEvidenceAgeMs,
+  createPeerConfirmation,
+} from '../../src/direct/peer_confirmation.js';
+import {createPeerQueries} from '../../src/direct/peer_queries.js';
 import type {AskDatagram} from '../../src/direct/datagrams.js';
-import type {EntryAnswer, StoreKnowledge} from '../../src/direct/types.js';
+import type {PeerAnswer, StoreKnowledge} from '../../src/direct/types.js';
 import {createVirtualClock} from '../../standins/virtual_clock.js';
 import type {VirtualClock} from '../../standins/virtual_clock.js';
-import {DEAF} from '../support/peer_confirmation.js';
+import {IGNORED_CALLBACKS} from '../support/peer_confirmation.js';
 
 /** As with a bound of five seconds. */
 const READY_MS = 3_000;
@@ -18,28 +21,28 @@
 ) {
   const confirmed: number[] = [];
   const seen: string[] = [];
-  const cover = createCover({
+  const cover = createPeerConfirmation({
     clock,
-    maxAgeMs: coverAgeMs(READY_MS),
-    ask: () => {
+    maxAgeMs: maxPeerEvidenceAgeMs(READY_MS),
+    queryPeer: () => {
       const askedAt = clock.now();
       const knowledge = answer();
-      const told: EntryAnswer | undefined = knowledge && {
+      const told: PeerAnswer | undefined = knowledge && {
         ...knowledge,
         askedAt,
-        by: 'entry-0',
+        node: 'entry-0',
         ip: '127.0.0.1',
         port: 1,
       };
       return Promise.resolve(told);
     },
-    own: () => SAME,
+    ownKnowledge: () => SAME,
     onConfirmed: asOf => confirmed.push(asOf),
-    onOtherConfig: () => seen.push('config'),
+    onDifferentConfig: () => seen.push('config'),
     onSameConfig: () => undefined,
-    onOtherReplicas: () => seen.push('replicas'),
+    onDifferentReplicas: () => seen.push('replicas'),
     onNewerEra: () => seen.push('newer era'),
-    onUncovered: () => seen.push('uncovered'),
+    onUnconfirmed: () => seen.push('uncovered'),
     onChange: is => seen.push(is ? 'began' : 'ended'),
   });
   return {cover, confirmed, seen};
@@ -51,7 +54,7 @@
     const word = coverOf(clock, () => ({...SAME, evidenceAgeMs: 300}));
     await clock.runFor(500);
     expect(word.confirmed).toEqual([clock.now() - 300]);
-    expect(word.cover.isCovered()).toBe(true);
+    expect(word.cover.isActive()).toBe(true);
     expect(word.seen).toEqual(['began']);
   });
 
@@ -62,7 +65,7 @@
     const word = coverOf(clock, () => ({...SAME, evidenceAgeMs: undefined}));
     await clock.runFor(500);
     expect(word.confirmed).toEqual([]);
-    expect(word.cover.isCovered()).toBe(false);
+    expect(word.cover.isActive()).toBe(false);
   });
 
   // Too old to lean on, but as true as ever: where the own calls fail, keys
@@ -72,14 +75,14 @@
     const word = coverOf(clock, () => ({...SAME, evidenceAgeMs: 2_001}));
     await clock.runFor(500);
     expect(word.confirmed).toEqual([clock.now() - 2_001]);
-    expect(word.cover.isCovered()).toBe(false);
+    expect(word.cover.isActive()).toBe(false);
   });
 
   // With a bound of 2.5 s an entry is unready from 1.5 s on. A word that is a
   // second old would be older than that before the next one comes.
   test('counts only if it keeps the entry ready until the next one', () => {
-    expect(coverAgeMs(READY_MS)).toBe(2_000);
-    expect(coverAgeMs(1_500)).toBe(800);
+    expect(maxPeerEvidenceAgeMs(READY_MS)).toBe(2_000);
+    expect(maxPeerEvidenceAgeMs(1_500)).toBe(800);
   });
 
   // A key was taken away in version 4. The other entry knows, this one does
@@ -126,7 +129,7 @@
     await clock.runFor(1_000);
     expect(word.seen).toEqual(['began']);
     await clock.runFor(500);
-    expect(word.cover.isCovered()).toBe(false);
+    expect(word.cover.isActive()).toBe(false);
     expect(word.seen).toEqual(['began', 'ended', 'uncovered']);
   });
 
@@ -136,23 +139,23 @@
     const clock = createVirtualClock();
     const confirmedAt = [clock.now(), clock.now()];
     const leanOn = (own: number, other: number) =>
-      createCover({
+      createPeerConfirmation({
         clock,
-        maxAgeMs: coverAgeMs(READY_MS),
-        ask: () => {
+        maxAgeMs: maxPeerEvidenceAgeMs(READY_MS),
+        queryPeer: () => {
           const askedAt = clock.now();
           const evidenceAgeMs = askedAt - confirmedAt[other];
           return Promise.resolve({
             ...SAME,
             askedAt,
             evidenceAgeMs,
-            by: 'the other',
+            node: 'the other',
             ip: '127.0.0.1',
             port: 1,
           });
         },
-        own: () => SAME,
-        ...DEAF,
+        ownKnowledge: () => SAME,
+        ...IGNORED_CALLBACKS,
         onConfirmed: sentAt => {
           confirmedAt[own] = Math.max(confirmedAt[own], sentAt);
         },
@@ -160,7 +163,7 @@
     const covers = [leanOn(0, 1), leanOn(1, 0)];
     await clock.runFor(5_000);
     expect(confirmedAt).toEqual([0, 0]);
-    expect(covers.map(cover => cover.isCovered())).toEqual([false, false]);
+    expect(covers.map(cover => cover.isActive())).toEqual([false, false]);
   });
 });
 
@@ -170,7 +173,7 @@
   test('is asked for before its turn', async () => {
     const clock = createVirtualClock();
     const word = coverOf(clock, () => ({...SAME, evidenceAgeMs: 0}));
-    word.cover.askNow();
+    word.cover.queryNow();
     await clock.settle();
     expect(word.confirmed).toEqual([0]);
   });
@@ -180,20 +183,20 @@
   test('is asked for after the question that is under way', async () => {
     const clock = createVirtualClock();
     let asked = 0;
-    const cover = createCover({
+    const cover = createPeerConfirmation({
       clock,
-      maxAgeMs: coverAgeMs(READY_MS),
-      ask: () => {
+      maxAgeMs: maxPeerEvidenceAgeMs(READY_MS),
+      queryPeer: () => {
         asked += 1;
         return new Promise(resolve => {
           clock.after(100, () => resolve(undefined));
         });
       },
-      own: () => SAME,
-      ...DEAF,
+      ownKnowledge: () => SAME,
+      ...IGNORED_CALLBACKS,
     });
     await clock.runFor(500);
-    cover.askNow();
+    cover.queryNow();
     expect(asked).toBe(1);
     await clock.runFor(100);
     expect(asked).toBe(2);
@@ -215,23 +218,23 @@
   test('that is not answered goes to the next entry afterwards', async () => {
     const clock = createVirtualClock();
     const sent: Array<{datagram: AskDatagram; to: string}> = [];
-    const answers: Array<EntryAnswer | undefined> = [];
-    const questions = createEntryQuestions({
+    const answers: Array<PeerAnswer | undefined> = [];
+    const questions = createPeerQueries({
       clock,
       self: entry('c'),
       candidates: () => [entry('a'), entry('b')],
       send: (datagram, to) => sent.push({datagram, to: to.node}),
     });
-    questions.ask(false, answer => answers.push(answer));
+    questions.query(false, answer => answers.push(answer));
     await clock.runFor(400);
     expect(answers).toEqual([undefined]);
-    questions.ask(false, answer => answers.push(answer));
+    questions.query(false, answer => answers.push(answer));
     expect(sent.map(({to}) => to)).toEqual(['a', 'b']);
     const knowledge = {...SAME, evidenceAgeMs: 5};
     const {question} = sent[1].datagram;
-    questions.answered({kind: 'answer', question, knowledge});
-    questions.answered({kind: 'answer', question, knowledge});
-    const from = {by: 'b', ip: '127.0.0.1', port: 1};
+    questions.handleAnswer({kind: 'answer', question, knowledge});
+    questions.handleAnswer({kind: 'answer', question, knowledge});
+    const from = {node: 'b', ip: '127.0.0.1', port: 1};
     expect(answers).toEqual([undefined, {...knowledge, askedAt: 400, ...from}]);
   });
 });
--- a/test/direct/peer_queries.test.ts
+++ b/test/direct/peer_queries.test.ts
@@ -1,6 +1,6 @@
 /** Which other entry is asked what it knows of the store. */
 import {describe, expect, test} from 'vitest';
-import {createEntryQuestions} from '../../src/direct/peer_queries.js';
+import {createPeerQueries} from '../../src/direct/peer_queries.js';
 import type {EntryAddress} from '../../src/direct/types.js';
 import {createVirtualClock} from '../../standins/virtual_clock.js';
 
@@ -14,7 +14,7 @@
 function asked(ages: Readonly<Record<string, number | undefined>>) {
   const clock = createVirtualClock();
   const nodes: string[] = [];
-  const questions = createEntryQuestions({
+  const questions = createPeerQueries({
     clock,
     self: entry('d'),
     candidates: () => NODES.map(entry),
@@ -26,10 +26,10 @@
         configVersion: 1,
         replicasDigest: '',
       };
-      questions.answered({kind: 'answer', question, knowledge});
+      questions.handleAnswer({kind: 'answer', question, knowledge});
     },
   });
-  for (let turn = 0; turn < 4; turn++) questions.ask(false, () => undefined);
+  for (let turn = 0; turn < 4; turn++) questions.query(false, () => undefined);
   return nodes;
 }
 
--- a/test/direct/placement_poll_pace.test.ts
+++ b/test/direct/placement_poll_pace.test.ts
@@ -1,14 +1,14 @@
 /** How soon requests that wait look again. */
 import {describe, expect, test} from 'vitest';
-import {createLookPace} from '../../src/direct/placement_poll_pace.js';
+import {createPlacementPollPace} from '../../src/direct/placement_poll_pace.js';
 
 const MIDDLE_DRAW = 0.5;
 
 describe('requests that wait', () => {
   test('look again within a pass where a look costs little', () => {
-    const pace = createLookPace();
-    pace.enter();
-    pace.took(0.1);
+    const pace = createPlacementPollPace();
+    pace.startWaiting();
+    pace.recordPoll(0.1);
     expect(pace.pauseMs(MIDDLE_DRAW)).toBe(25);
   });
 
@@ -16,10 +16,10 @@
   // takes 8 ms there. Each looking every 25 ms, they would need three times the
   // entry, and short prompts that it could serve would wait for it.
   test('take a tenth of the entry together', () => {
-    const pace = createLookPace();
+    const pace = createPlacementPollPace();
     const costMs = 8;
-    const leaves = Array.from({length: 10}, () => pace.enter());
-    for (let look = 0; look < 50; look++) pace.took(costMs);
+    const leaves = Array.from({length: 10}, () => pace.startWaiting());
+    for (let look = 0; look < 50; look++) pace.recordPoll(costMs);
     const looksPerMs = leaves.length / pace.pauseMs(MIDDLE_DRAW);
     expect(looksPerMs * costMs).toBeLessThanOrEqual(0.101);
     leaves.forEach(leave => leave());
@@ -29,9 +29,9 @@
   // A garbage collection falls into the only look of a short prompt. Its aim is
   // 300 ms, so it has to look again well before.
   test('look again soon after one look that was held up', () => {
-    const pace = createLookPace();
-    pace.enter();
-    pace.took(400);
+    const pace = createPlacementPollPace();
+    pace.startWaiting();
+    pace.recordPoll(400);
     expect(pace.pauseMs(MIDDLE_DRAW)).toBeLessThan(75);
   });
 });
--- a/test/direct/restored_store.test.ts
+++ b/test/direct/restored_store.test.ts
@@ -2,10 +2,10 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createConfigProof} from '../../src/direct/config_proof.js';
-import {createCover} from '../../src/direct/peer_confirmation.js';
+import {createPeerConfirmation} from '../../src/direct/peer_confirmation.js';
 import {createFleet} from '../../src/direct/fleet.js';
-import {createStoreEras} from '../../src/direct/store_era_tracker.js';
-import type {DirectReplica, EntryAnswer} from '../../src/direct/types.js';
+import {createStoreEraTracker} from '../../src/direct/store_era_tracker.js';
+import type {DirectReplica, PeerAnswer} from '../../src/direct/types.js';
 import {DIRECT_EVENTS} from '../../src/utils/events.js';
 import {createRecordingRuntime} from '../../standins/recording_runtime.js';
 import {announce, configOf} from '../../standins/users_platform/deployment.js';
@@ -106,7 +106,7 @@
   const proofOf = (tellsEra = true) => {
     const {runtime, clock, eventsOf} = createRecordingRuntime();
     const proof = createConfigProof(clock, runtime.log, () => tellsEra);
-    proof.listed(12);
+    proof.versionListed(12);
     return {clock, proof, eventsOf};
   };
   const runningProofOf = async () => {
@@ -116,59 +116,59 @@
   };
 
   test('is each answer that shows it', async () => {
-    expect((await runningProofOf()).proof.holds(12)).toBe(true);
+    expect((await runningProofOf()).proof.provesNewest(12)).toBe(true);
   });
 
   // An entry that starts may do so just after a return, of which it cannot know.
   test('is none at the start, until another entry had time to tell', async () => {
     const {clock, proof} = proofOf();
-    expect(proof.holds(12)).toBe(false);
+    expect(proof.provesNewest(12)).toBe(false);
     await clock.runFor(FIRST_WORD_MS);
-    expect(proof.holds(12)).toBe(true);
+    expect(proof.provesNewest(12)).toBe(true);
   });
 
   // Such a store cannot be known to come back from a copy.
   test('is each answer at the start where the store tells no era', () => {
-    expect(proofOf(false).proof.holds(12)).toBe(true);
+    expect(proofOf(false).proof.provesNewest(12)).toBe(true);
   });
 
   test('is none while a newer configuration is fetched from another entry', async () => {
     const {clock, proof} = await runningProofOf();
-    proof.heard(13);
-    expect(proof.holds(12)).toBe(false);
+    proof.peerHasVersion(13);
+    expect(proof.provesNewest(12)).toBe(false);
     await clock.runFor(LATER_MS);
-    expect(proof.holds(12)).toBe(true);
+    expect(proof.provesNewest(12)).toBe(true);
   });
 
   // Version 13 takes a key away and is acknowledged; the store comes back
   // without it. Answers that show 12 must not keep that key in use.
   test('is none right after a return, until something is written', async () => {
     const {clock, proof} = await runningProofOf();
-    proof.restored();
-    proof.listed(12);
+    proof.storeRestored();
+    proof.versionListed(12);
     await clock.runFor(SOON_MS);
-    expect(proof.holds(12)).toBe(false);
-    proof.written(13);
-    expect(proof.holds(13)).toBe(true);
+    expect(proof.provesNewest(12)).toBe(false);
+    proof.versionWritten(13);
+    expect(proof.provesNewest(13)).toBe(true);
   });
 
   test('is an answer again when nothing was written for long', async () => {
     const {clock, proof} = await runningProofOf();
-    proof.restored();
-    proof.listed(12);
+    proof.storeRestored();
+    proof.versionListed(12);
     await clock.runFor(LATER_MS);
-    expect(proof.holds(12)).toBe(true);
+    expect(proof.provesNewest(12)).toBe(true);
   });
 
   test('is never an older configuration', async () => {
     const {clock, proof, eventsOf} = await runningProofOf();
-    proof.restored();
-    proof.listed(10);
+    proof.storeRestored();
+    proof.versionListed(10);
     await clock.runFor(LATER_MS);
-    expect(proof.holds(12)).toBe(false);
-    expect(proof.holds(12)).toBe(false);
-    proof.written(12);
-    expect(proof.holds(12)).toBe(true);
+    expect(proof.provesNewest(12)).toBe(false);
+    expect(proof.provesNewest(12)).toBe(false);
+    proof.versionWritten(12);
+    expect(proof.provesNewest(12)).toBe(true);
     expect(eventsOf(DIRECT_EVENTS.knowledgeKept)).toHaveLength(1);
     expect(eventsOf(DIRECT_EVENTS.knowledgeSettled)).toHaveLength(1);
   });
@@ -179,8 +179,12 @@
     const {runtime, eventsOf} = createRecordingRuntime();
     let risen = 0;
     const {log, metrics} = runtime;
-    const eras = createStoreEras({log, metrics, onRisen: () => risen++});
-    for (const era of [3, 3, 4, 3, 3, 4]) eras.note(era);
+    const eras = createStoreEraTracker({
+      log,
+      metrics,
+      onRestored: () => risen++,
+    });
+    for (const era of [3, 3, 4, 3, 3, 4]) eras.observe(era);
     expect(eras.current()).toBe(4);
     expect(risen).toBe(1);
     expect(eventsOf(DIRECT_EVENTS.eraOlder)).toHaveLength(1);
@@ -189,9 +193,13 @@
   test('is missed once where it is not told', () => {
     const {runtime, eventsOf} = createRecordingRuntime();
     const {log, metrics} = runtime;
-    const eras = createStoreEras({log, metrics, onRisen: () => undefined});
-    eras.note(undefined);
-    eras.note(undefined);
+    const eras = createStoreEraTracker({
+      log,
+      metrics,
+      onRestored: () => undefined,
+    });
+    eras.observe(undefined);
+    eras.observe(undefined);
     expect(eras.current()).toBeUndefined();
     expect(eventsOf(DIRECT_EVENTS.eraUntold)).toHaveLength(1);
   });
@@ -201,26 +209,26 @@
   async function hear(era: number, configVersion = 3): Promise<string[]> {
     const clock = createVirtualClock();
     const seen: string[] = [];
-    const cover = createCover({
+    const cover = createPeerConfirmation({
       clock,
       maxAgeMs: 2_000,
-      ask: async (): Promise<EntryAnswer> => ({
+      queryPeer: async (): Promise<PeerAnswer> => ({
         era,
         configVersion,
         replicasDigest: 'other',
         evidenceAgeMs: 10,
         askedAt: clock.now(),
-        by: 'entry-0',
+        node: 'entry-0',
         ip: '127.0.0.1',
         port: 1,
       }),
-      own: () => ({era: 2, configVersion: 3, replicasDigest: 'own'}),
+      ownKnowledge: () => ({era: 2, configVersion: 3, replicasDigest: 'own'}),
       onConfirmed: () => seen.push('confirmed'),
-      onOtherConfig: () => seen.push('config'),
+      onDifferentConfig: () => seen.push('config'),
       onSameConfig: () => undefined,
-      onOtherReplicas: () => seen.push('replicas'),
+      onDifferentReplicas: () => seen.push('replicas'),
       onNewerEra: () => seen.push('newer era'),
-      onUncovered: () => undefined,
+      onUnconfirmed: () => undefined,
       onChange: isCovered => seen.push(isCovered ? 'covered' : 'uncovered'),
     });
     await clock.runFor(1_100);
--- a/test/support/peer_confirmation.ts
+++ b/test/support/peer_confirmation.ts
@@ -1,12 +1,12 @@
 /** What an entry is told of another one's word, passed over. */
-import type {CoverOptions} from '../../src/direct/peer_confirmation.js';
+import type {PeerConfirmationOptions} from '../../src/direct/peer_confirmation.js';
 
-export const DEAF = {
+export const IGNORED_CALLBACKS = {
   onConfirmed: () => undefined,
-  onOtherConfig: () => undefined,
+  onDifferentConfig: () => undefined,
   onSameConfig: () => undefined,
-  onOtherReplicas: () => undefined,
+  onDifferentReplicas: () => undefined,
   onNewerEra: () => undefined,
-  onUncovered: () => undefined,
+  onUnconfirmed: () => undefined,
   onChange: () => undefined,
-} as const satisfies Partial<CoverOptions>;
+} as const satisfies Partial<PeerConfirmationOptions>;
