--- a/src/direct/decide/choose_call_replica.ts
+++ b/src/direct/decide/choose_call_replica.ts
@@ -7,7 +7,7 @@
  * that may. Broken answers therefore count as time, in multiples of the route's
  * latency objective.
  */
-import type {ReplicaLoad} from '../load_sum.js';
+import type {ReplicaLoad} from '../replica_load.js';
 import type {DirectReplica} from '../types.js';
 
 /** Cost of a replica in another failure domain, in milliseconds. */
--- a/src/direct/front.ts
+++ b/src/direct/front.ts
@@ -13,7 +13,11 @@
 import {openCallersServer} from './callers_server.js';
 import type {CallersServer} from './callers_server.js';
 import {openDispatch} from './dispatch.js';
-import {createEvidence, readyAgeMs, waitForEvidence} from './evidence.js';
+import {
+  createStoreEvidence,
+  maxReadyAgeMs,
+  waitForFreshEvidence,
+} from './evidence.js';
 import {reportGauges} from './gauges.js';
 import {sendLocalAnswer} from './local_answers.js';
 import type {DirectMessage} from './messages.js';
@@ -88,8 +92,8 @@
  * and would refuse every request.
  */
 function requestState(ctx: ServiceContext<'direct'>): void {
-  ctx.send('followed', {kind: 'tell-again'});
-  ctx.send('sharing', {kind: 'tell-again'});
+  ctx.send('followed', {kind: 'resend-state'});
+  ctx.send('sharing', {kind: 'resend-state'});
 }
 
 function startFront(
@@ -108,7 +112,7 @@
   /** Requests whose body is being read or whose key waits for the store. */
   let admittingCount = 0;
 
-  const evidence = createEvidence(
+  const evidence = createStoreEvidence(
     clock,
     options.wallMs,
     revokeMs * EVIDENCE_SHARE,
@@ -131,7 +135,7 @@
     unusedMs: options.unusedMs,
     isDraining: () => isDraining,
     shareLoads: (loads, isLong) =>
-      ctx.send('sharing', {kind: 'load', loads, isLong}),
+      ctx.send('sharing', {kind: 'load', loads, hasLongRead: isLong}),
     shareCrashReports: reports =>
       ctx.send('sharing', {kind: 'crash-reports', reports, toAll: true}),
     quarantine: {
@@ -154,7 +158,7 @@
 
   const shownEvidenceAgeMs = () =>
     Math.round(Math.min(evidence.ageMs(), NO_EVIDENCE_AGE_MS));
-  const {setOther} = serving.book;
+  const {setPeerLoad} = serving.book;
   const readGauges = () => ({
     evidenceAgeMs: shownEvidenceAgeMs(),
     openRequests: serving.openRequests(),
@@ -167,7 +171,7 @@
   // There is no wait when it is known that keys cannot be confirmed yet.
   const keysAreFresh = async () =>
     keysUnconfirmedMs() === 0 &&
-    waitForEvidence(clock, evidence, () =>
+    waitForFreshEvidence(clock, evidence, () =>
       ctx.send('followed', {kind: 'confirm'}),
     );
 
@@ -267,7 +271,7 @@
         return serving.replicas.setAll(message.replicas);
       case 'replica-changes':
         return serving.replicas.applyChanges(message.replicas);
-      case 'keys-in-doubt':
+      case 'keys-unconfirmed':
         keysUnconfirmedUntil = message.until;
         return;
       case 'store-failed':
@@ -276,11 +280,11 @@
         return serving.replicas.storeRestored();
       case 'evidence-age':
         return message.reply(evidence.ageMs());
-      case 'other-load':
-        return setOther(message.node, message.loads, message.keepMs);
+      case 'peer-load':
+        return setPeerLoad(message.node, message.loads, message.keepMs);
       case 'crash-reports':
         return serving.crashes.merge(message.reports);
-      case 'crash-released':
+      case 'quarantine-released':
         return serving.crashes.release(message.digest);
       case 'entries':
         return serving.setEntryCount(message.count);
@@ -291,7 +295,7 @@
             serving.replicas.size() > 0 &&
             // When keys cannot be confirmed, the other entries cannot confirm
             // them either, so this one stays in the load balancer's rotation.
-            (evidence.ageMs() < readyAgeMs(revokeMs) ||
+            (evidence.ageMs() < maxReadyAgeMs(revokeMs) ||
               keysUnconfirmedMs() > 0),
         );
       case 'count':
--- a/src/direct/place_request.ts
+++ b/src/direct/place_request.ts
@@ -46,7 +46,7 @@
 ): Promise<PlacementResult> {
   const figures = exchange.config.services.get(exchange.service)?.engine;
   if (figures === undefined) return openPlainPlace(ctx, exchange, tried);
-  const leave = ctx.pollPace.enter();
+  const leave = ctx.pollPace.startWaiting();
   try {
     return await openEnginePlace(ctx, exchange, tried, figures);
   } finally {
@@ -124,7 +124,7 @@
     fullness: ctx.fullness,
   };
   const decision = placeOrWait(pool, req);
-  ctx.pollPace.took(ctx.clock.now() - startedAt);
+  ctx.pollPace.recordPoll(ctx.clock.now() - startedAt);
   return decision;
 }
 
--- /dev/null
+++ b/test/support/peer_confirmation.ts
@@ -0,0 +1,12 @@
+/** What an entry is told of another one's word, passed over. */
+import type {PeerConfirmationOptions} from '../../src/direct/peer_confirmation.js';
+
+export const IGNORED_CALLBACKS = {
+  onConfirmed: () => undefined,
+  onDifferentConfig: () => undefined,
+  onSameConfig: () => undefined,
+  onDifferentReplicas: () => undefined,
+  onNewerEra: () => undefined,
+  onUnconfirmed: () => undefined,
+  onChange: () => undefined,
+} as const satisfies Partial<PeerConfirmationOptions>;
