--- a/test/authenticator.test.ts
+++ b/test/authenticator.test.ts
@@ -4,7 +4,7 @@
 
 const {declarations: base} = declarations();
 const [first, second] = base.organisations;
-const rules = (...hashes: ReadonlyArray<readonly string[]>) => ({
+const withKeyHashes = (...hashes: ReadonlyArray<readonly string[]>) => ({
   ...base,
   organisations: [first, second].flatMap((organisation, at) =>
     organisation === undefined
@@ -13,55 +13,63 @@
   ),
 });
 
-/** A hash here is `#KEY`; each verification is counted. */
-function open() {
-  const tried: string[] = [];
+/** The hash of a key is `#KEY` here. `verified` records each verification. */
+function createFixture() {
+  const verified: string[] = [];
   const {authenticate} = createAuthenticator(
     (key, hash) => {
-      tried.push(`${key}${hash}`);
+      verified.push(`${key}${hash}`);
       return Promise.resolve(hash === `#${key}`);
     },
     () => Promise.resolve(),
   );
   return {
-    tried,
-    ask: (key: string, by = rules(['#a'], ['#b'])) =>
-      authenticate(`Bearer ${key}`, by).then(({id}) => id),
+    verified,
+    authenticate: (key: string, current = withKeyHashes(['#a'], ['#b'])) =>
+      authenticate(`Bearer ${key}`, current).then(({id}) => id),
   };
 }
 
 describe('organisation keys', () => {
-  test('a key is verified once, also when many requests bear it at once', async () => {
-    const {tried, ask} = open();
-    const ids = await Promise.all([ask('b'), ask('b'), ask('b')]);
-    expect([...ids, await ask('b')]).toEqual(Array(4).fill('ingufu-hamwe'));
-    expect(tried).toEqual(['b#a', 'b#b']);
+  test('a key is verified once, even for concurrent requests', async () => {
+    const {verified, authenticate} = createFixture();
+    const ids = await Promise.all([
+      authenticate('b'),
+      authenticate('b'),
+      authenticate('b'),
+    ]);
+    expect([...ids, await authenticate('b')]).toEqual(
+      Array(4).fill('ingufu-hamwe'),
+    );
+    expect(verified).toEqual(['b#a', 'b#b']);
   });
 
-  /*
-   * A key leaks and operators take it out. Whoever has it has been using it,
-   * so it is in the cache; with the new declarations it must be refused.
-   */
-  test('a key that was taken out is refused though it was verified before', async () => {
-    const {ask} = open();
-    await ask('a');
-    await expect(ask('a', rules([], ['#b']))).rejects.toThrow('not known');
+  // A leaked key that operators remove is in the cache, because it was in use.
+  // It must be refused as soon as the new declarations are known.
+  test('a removed key is refused even if it was verified before', async () => {
+    const {authenticate} = createFixture();
+    await authenticate('a');
+    await expect(authenticate('a', withKeyHashes([], ['#b']))).rejects.toThrow(
+      'not known',
+    );
   });
 
-  test('a key added later is let in though it was refused before', async () => {
-    const {tried, ask} = open();
-    const before = rules([], ['#b']);
-    await expect(ask('a', before)).rejects.toThrow('not known');
-    await expect(ask('a', before)).rejects.toThrow('not known');
-    expect(tried).toHaveLength(1);
-    expect(await ask('a', rules(['#a']))).toBe('prairie-sky');
+  test('a key that is declared later is accepted even if it was refused before', async () => {
+    const {verified, authenticate} = createFixture();
+    const before = withKeyHashes([], ['#b']);
+    await expect(authenticate('a', before)).rejects.toThrow('not known');
+    await expect(authenticate('a', before)).rejects.toThrow('not known');
+    expect(verified).toHaveLength(1);
+    expect(await authenticate('a', withKeyHashes(['#a']))).toBe('prairie-sky');
   });
 
-  test('a flood of new keys is told to come back', async () => {
-    const {ask} = open();
-    const asked = Array.from({length: 40}, (_, at) => ask(`wrong${at}`));
-    const ends = await Promise.allSettled(asked);
-    const busy = ends.filter(
+  test('too many new keys at once are refused as overloaded', async () => {
+    const {authenticate} = createFixture();
+    const asked = Array.from({length: 40}, (_, at) =>
+      authenticate(`wrong${at}`),
+    );
+    const results = await Promise.allSettled(asked);
+    const busy = results.filter(
       end => end.status === 'rejected' && /verified/.test(String(end.reason)),
     );
     expect(busy).toHaveLength(8);
--- a/test/entry_callers.test.ts
+++ b/test/entry_callers.test.ts
@@ -1,4 +1,7 @@
-/** What a caller may ask of a request besides its answer. */
+/**
+ * Tests what the `requests` service does for callers besides answering:
+ * resuming, idempotency keys, cancelling, explaining decisions, and draining.
+ */
 import {Right} from 'purify-ts';
 import {describe, expect, it} from 'vitest';
 import {createRoundRobin} from '../src/policy/routing_policies.js';
@@ -21,8 +24,8 @@
 } from './support/scripted_side.js';
 import type {SideScript} from './support/scripted_side.js';
 
-/** Answers the first chunk at once, the rest after a second. */
-function slowly(entry: () => EntryFixture): SideScript {
+/** A side that sends the first chunk at once and the rest after a second. */
+function answerSlowly(entry: () => EntryFixture): SideScript {
   return {
     run: (_side, run) => {
       makeThree(run);
@@ -36,24 +39,23 @@
 }
 
 describe('a caller that resumes', () => {
-  it('gets the rest of an open answer at the same entry', async () => {
-    const entry = await startEntry({sides: [slowly(() => entry)]});
+  it('gets the rest of an unfinished answer at the same entry', async () => {
+    const entry = await startEntry({sides: [answerSlowly(() => entry)]});
     entry.submit({id: 'q1'});
     await entry.clock.runFor(100);
-    const again = entry.caller();
-    resume(entry, 'q1', 'prairie-sky', 1, again.listener);
+    const resumed = entry.caller();
+    resume(entry, 'q1', 'prairie-sky', 1, resumed.listener);
     await entry.clock.runFor(2_000);
-    expect(again.text()).toBe('two three');
-    expect(again.final()).toMatchObject({kind: 'end', count: 3});
+    expect(resumed.text()).toBe('two three');
+    expect(resumed.final()).toMatchObject({kind: 'end', count: 3});
     expect(entry.sides[0].gos).toHaveLength(1);
   });
 
-  // Its entry is gone, with the connection. This entry knows nothing of the
-  // request and finds the run by asking the sides; the chunks before those
-  // wanted are fetched for the digest and not told again.
+  // The caller's entry is gone, so this entry asks the sides for the run. It
+  // fetches the earlier chunks only for the digest and does not send them.
   it('gets the rest at an entry that did not start the run', async () => {
     const entry = await startEntry({sides: [{}, {}]});
-    holdRun(entry, 'q2.1');
+    addRunToSecondSide(entry, 'q2.1');
     const caller = entry.caller();
     resume(entry, 'q2', 'prairie-sky', 2, caller.listener);
     await entry.clock.runFor(1_000);
@@ -62,10 +64,9 @@
     expect(entry.toMembership.map(({kind}) => kind)).toEqual(['own', 'disown']);
   });
 
-  // The first attach takes the run from its owner; the channel then breaks.
-  // The second one must not take it over again: were the caller elsewhere by
-  // then, the two entries would take the run from each other for ever.
-  it('takes the run over once, and not when it renews a channel', async () => {
+  // Only the first attach takes the run over. If a renewed channel did so too,
+  // two entries could take the run from each other forever.
+  it('takes the run over once, and not again when its channel is renewed', async () => {
     const entry = await startEntry({
       sides: [
         {},
@@ -81,7 +82,7 @@
         },
       ],
     });
-    holdRun(entry, 'q13.1');
+    addRunToSecondSide(entry, 'q13.1');
     const caller = entry.caller();
     resume(entry, 'q13', 'prairie-sky', 0, caller.listener);
     await entry.clock.runFor(2_000);
@@ -90,9 +91,9 @@
     expect(entry.sides[1].takeOvers).toEqual([true, false]);
   });
 
-  // The caller resumed elsewhere, and that entry took the run. Running it
-  // again here would do the work twice for nobody.
-  it('elsewhere ends the request here without another run', async () => {
+  // Another entry took the run over for the caller. Another run here would
+  // repeat the work without a caller to receive it.
+  it('at another entry ends the request here without another run', async () => {
     const entry = await startEntry({
       sides: [
         {run: (_side, run) => run.send(superseded(run.dispatchId))},
@@ -105,10 +106,9 @@
     expect(entry.sides.flatMap(side => side.gos)).toHaveLength(1);
   });
 
-  // Another entry took the run over and it goes on there. This entry's own end
-  // of the request is not the request's: the state told is the side's, and a
-  // caller that comes back gets the answer.
-  it('after its run was taken over is told of the run that goes on', async () => {
+  // Another entry took the run over. The request ended only at this entry, so
+  // the state comes from the side, and a caller that returns gets the answer.
+  it('after its run was taken over gets the state and answer of that run', async () => {
     const entry = await startEntry({
       sides: [
         {offer: () => refused('full')},
@@ -117,39 +117,38 @@
     });
     entry.submit({id: 'q30'});
     await entry.clock.runFor(1_000);
-    holdRun(entry, 'q30.2');
+    addRunToSecondSide(entry, 'q30.2');
     const state = entry.kernel.ask<'requests', RequestState>(
       'requests',
       reply => ({kind: 'state', id: 'q30', organisation: 'prairie-sky', reply}),
     );
     await entry.clock.runFor(1_000);
     expect(await state).toMatchObject({state: 'running', dispatchId: 'q30.2'});
-    const again = entry.caller();
-    resume(entry, 'q30', 'prairie-sky', 0, again.listener);
+    const resumed = entry.caller();
+    resume(entry, 'q30', 'prairie-sky', 0, resumed.listener);
     await entry.clock.runFor(1_000);
-    expect(again.text()).toBe('one two three');
+    expect(resumed.text()).toBe('one two three');
   });
 
-  // Its first attempt lapsed on one side, its second ran on another. The trace
-  // of the first must not be taken for the request: it would be told 'not run'
-  // of a request that ran, or get another run's chunks.
+  // One side lists an attempt that lapsed. If that counted as the request, the
+  // caller would get `ran: no` or chunks of another run for a request that ran.
   it('gets the newest attempt that has an answer', async () => {
     const entry = await startEntry({sides: [{}, {}, {}]});
     const [lapsed, newest, older] = entry.sides;
-    const late = {minMs: 5, maxMs: 5};
-    entry.network.faults.setDelay(late, ENTRY, newest.address);
-    holdRun(entry, 'q11.2');
-    const trace = (state: 'failed' | 'ended', dispatchId: string) => () =>
+    const slow = {minMs: 5, maxMs: 5};
+    entry.network.faults.setDelay(slow, ENTRY, newest.address);
+    addRunToSecondSide(entry, 'q11.2');
+    const located = (state: 'failed' | 'ended', dispatchId: string) => () =>
       ({state, dispatchId, nextSeq: 0, kind: 'completion'}) as const;
-    lapsed.locate = trace('failed', 'q11.3');
-    older.locate = trace('ended', 'q11.1');
+    lapsed.locate = located('failed', 'q11.3');
+    older.locate = located('ended', 'q11.1');
     const caller = entry.caller();
     resume(entry, 'q11', 'prairie-sky', 1, caller.listener, lapsed.address);
     await entry.clock.runFor(1_000);
     expect(caller.text()).toBe('two three');
   });
 
-  it('is not told that nothing ran by a trace that did not', async () => {
+  it('gets ran: unknown when the only attempt found did not run', async () => {
     const entry = await startEntry({
       sides: [{attach: (_side, run) => run.send(failed(run.dispatchId, 'no'))}],
     });
@@ -166,7 +165,7 @@
     expect(caller.final()).toMatchObject({error: {ran: 'unknown'}});
   });
 
-  it('is told at once when nobody knows the request', async () => {
+  it('gets not-found at once when no side knows the request', async () => {
     const entry = await startEntry({sides: [{}]});
     const caller = entry.caller();
     resume(entry, 'q3', 'prairie-sky', 0, caller.listener);
@@ -176,14 +175,14 @@
     });
   });
 
-  // One organisation guesses another's request id. It must learn nothing: not
-  // the answer, not the state, not that there is such a request.
-  it('gets nothing of another organisation', async () => {
-    const entry = await startEntry({sides: [slowly(() => entry)]});
+  // An organisation that guesses the request id of another one must not get
+  // the answer or the state, nor learn that the request exists.
+  it('gets nothing of a request of another organisation', async () => {
+    const entry = await startEntry({sides: [answerSlowly(() => entry)]});
     const owner = entry.submit({id: 'q4'});
     await entry.clock.runFor(100);
-    const stranger = entry.caller();
-    resume(entry, 'q4', 'ingufu', 0, stranger.listener);
+    const otherCaller = entry.caller();
+    resume(entry, 'q4', 'ingufu', 0, otherCaller.listener);
     const state = entry.kernel.ask('requests', reply => ({
       kind: 'state',
       id: 'q4',
@@ -195,7 +194,7 @@
       reply => ({kind: 'cancel', id: 'q4', organisation: 'ingufu', reply}),
     );
     await entry.clock.runFor(2_000);
-    expect(stranger.final()).toMatchObject({error: {code: 'not-found'}});
+    expect(otherCaller.final()).toMatchObject({error: {code: 'not-found'}});
     expect(await state).toMatchObject({state: 'none', side: ''});
     expect(await cancelled).toBe(false);
     expect(owner.final()).toMatchObject({kind: 'end'});
@@ -203,7 +202,7 @@
 });
 
 describe('a caller that repeats its idempotency key', () => {
-  it('gets the earlier answer, and nothing runs again', async () => {
+  it('gets the earlier answer without another run', async () => {
     let taken = false;
     const entry = await startEntry({
       sides: [{}],
@@ -215,17 +214,17 @@
         return Right(outcome);
       },
     });
-    const permit = {repeatable: false, idempotencyKey: 'permit-7'};
-    entry.submit({id: 'q5', ...permit});
+    const options = {repeatable: false, idempotencyKey: 'permit-7'};
+    entry.submit({id: 'q5', ...options});
     await entry.clock.runFor(100);
-    const second = entry.submit({id: 'q6', ...permit});
+    const second = entry.submit({id: 'q6', ...options});
     await entry.clock.runFor(100);
     expect(second.text()).toBe('one two three');
     expect(entry.sides[0].gos).toEqual(['q5.1']);
     expect(entry.places()).toBe(0);
   });
 
-  it('is told that it was claimed when the earlier one is lost', async () => {
+  it('gets already-claimed when the earlier request can not be found', async () => {
     const entry = await startEntry({
       sides: [{}],
       claim: () => Right({kind: 'taken', requestId: 'q-gone'}),
@@ -241,7 +240,7 @@
 
 describe('a caller that cancels', () => {
   it('ends the request and its run', async () => {
-    const entry = await startEntry({sides: [slowly(() => entry)]});
+    const entry = await startEntry({sides: [answerSlowly(() => entry)]});
     const caller = entry.submit({id: 'q7'});
     await entry.clock.runFor(100);
     entry.kernel.send('requests', {
@@ -259,28 +258,27 @@
 });
 
 describe('a caller that cancels at an entry that does not own the request', () => {
-  // The run goes on at a side for another entry. The caller is told that it was
-  // cancelled, and the side is asked in its organisation's name, since the run
-  // is not this entry's own.
+  // This entry does not own the run, so it asks the side to abandon the run on
+  // behalf of the caller's organisation.
   it('has the run ended at its side', async () => {
     const entry = await startEntry({sides: [{}, {}]});
-    holdRun(entry, 'q20.1');
-    expect(await cancelled(entry, 'q20', 'prairie-sky')).toBe(true);
+    addRunToSecondSide(entry, 'q20.1');
+    expect(await cancel(entry, 'q20', 'prairie-sky')).toBe(true);
     expect(entry.sides.map(side => side.abandons)).toEqual([[], ['q20.1']]);
     expect(entry.sides[1].abandonedFor).toEqual(['prairie-sky']);
   });
 
-  it('gets nothing done for another organisation', async () => {
+  it('can not end a run of another organisation', async () => {
     const entry = await startEntry({sides: [{}, {}]});
-    holdRun(entry, 'q21.1');
-    expect(await cancelled(entry, 'q21', 'other')).toBe(false);
+    addRunToSecondSide(entry, 'q21.1');
+    expect(await cancel(entry, 'q21', 'other')).toBe(false);
     expect(entry.sides.flatMap(side => side.abandons)).toEqual([]);
   });
 });
 
-describe('a caller that leaves before its offer is answered', () => {
-  // The side takes the offer after the request is over. Nobody will send its
-  // go; the side is told, or it would hold the place until the offer lapses.
+describe('a caller that cancels before its offer is answered', () => {
+  // The side accepts the offer after the request has ended. The side must be
+  // told, or it would keep the reservation until the offer lapses.
   it('leaves no reservation and no run behind', async () => {
     const entry = await startEntry({
       sides: [
@@ -307,13 +305,13 @@
 });
 
 describe('a caller that names a side', () => {
-  // The hint is the caller's word. An address that the host list does not show
-  // is not one of ours; connecting to it would let a caller aim this process.
-  it('has it asked only when it is one of ours', async () => {
+  // A caller can name any address. The entry must connect only to addresses in
+  // the host list, or a caller could make it connect to any other host.
+  it('has that side asked only when it is in the host list', async () => {
     const entry = await startEntry({sides: [{}]});
     const asked: string[] = [];
-    const stranger = entry.network.transport('10.0.0.9:22');
-    await stranger.listen('10.0.0.9:22', {
+    const unlisted = entry.network.transport('10.0.0.9:22');
+    await unlisted.listen('10.0.0.9:22', {
       locate: async req => {
         asked.push(req.requestId);
         throw new Error('not ours');
@@ -327,8 +325,8 @@
   });
 });
 
-describe('an operator that asks why', () => {
-  it('gets the decisions with candidates, figures and reason', async () => {
+describe('an operator that asks for an explanation', () => {
+  it('gets the routing decisions with their candidates and reason', async () => {
     const entry = await startEntry({
       sides: [{offer: () => refused('full', 100)}, {}],
       requests: {routingPolicy: () => createRoundRobin()},
@@ -350,9 +348,9 @@
 });
 
 describe('an entry that drains', () => {
-  it('waits for a resume whose run it still looks for', async () => {
-    // The caller's own entry died; it asks here for its answer just as this
-    // entry drains. The run is not found yet, so no request is open here.
+  it('waits for a resume while it is still looking for the run', async () => {
+    // The caller's entry crashed, and the caller resumes here as this entry
+    // drains. The run is not found yet, so no request is open here.
     const entry = await startEntry({sides: [{}]});
     const caller = entry.caller();
     resume(entry, 'q11', 'prairie-sky', 0, caller.listener, 's1');
@@ -368,11 +366,11 @@
     expect(drained).toBe(true);
   });
 
-  // The process is to stop. Requests in progress must end whole, and a new one
-  // must be told to go elsewhere rather than be cut later.
-  it('ends its open requests and takes no new ones', async () => {
-    const entry = await startEntry({sides: [slowly(() => entry)]});
-    const open = entry.submit();
+  // The process is about to stop. A new request must be refused at once, so
+  // that the caller can retry elsewhere, rather than be interrupted later.
+  it('completes its open requests and refuses new ones', async () => {
+    const entry = await startEntry({sides: [answerSlowly(() => entry)]});
+    const openCaller = entry.submit();
     await entry.clock.runFor(100);
     let drained = false;
     void entry.kernel
@@ -383,12 +381,14 @@
       .then(() => {
         drained = true;
       });
-    const late = entry.submit();
+    const refusedCaller = entry.submit();
     await entry.clock.runFor(100);
-    expect(late.final()).toMatchObject({error: {code: 'draining', ran: 'no'}});
+    expect(refusedCaller.final()).toMatchObject({
+      error: {code: 'draining', ran: 'no'},
+    });
     expect(drained).toBe(false);
     await entry.clock.runFor(2_000);
-    expect(open.text()).toBe('one two three');
+    expect(openCaller.text()).toBe('one two three');
     expect(drained).toBe(true);
   });
 });
@@ -415,8 +415,8 @@
   });
 }
 
-/** The second side holds a run of three chunks that another entry started. */
-async function cancelled(
+/** Cancels a request and resolves to whether it was found within a second. */
+async function cancel(
   entry: EntryFixture,
   id: string,
   organisation: string,
@@ -426,15 +426,16 @@
     kind: 'cancel',
     id,
     organisation,
-    reply: told => {
-      found = told;
+    reply: result => {
+      found = result;
     },
   });
   await entry.clock.runFor(1_000);
   return found;
 }
 
-function holdRun(entry: EntryFixture, dispatchId: string): void {
+/** Gives the second side a run of three chunks that another entry started. */
+function addRunToSecondSide(entry: EntryFixture, dispatchId: string): void {
   const [, side] = entry.sides;
   const run = createRun(dispatchId);
   makeThree(run);
--- a/test/http_callers.test.ts
+++ b/test/http_callers.test.ts
@@ -1,4 +1,7 @@
-/** What callers get, whole: streamed, in one piece, from a plain service. */
+/**
+ * Tests the responses of the callers' service: streamed and whole completions,
+ * calls to a plain service, readiness and drain.
+ */
 import {afterEach, describe, expect, test} from 'vitest';
 import {OnyxError} from '../src/types/errors.js';
 import type {RequestListener, RequestSpec} from '../src/types/services.js';
@@ -11,22 +14,22 @@
 } from './support/front_fixture.js';
 import type {FrontFixture, RequestsScript} from './support/front_fixture.js';
 
-let bench: FrontFixture;
+let front: FrontFixture;
 
-afterEach(() => bench.kernel.stop());
+afterEach(() => front.kernel.stop());
 
-async function open(script: RequestsScript = {}): Promise<void> {
-  bench = await startFront(script);
+async function start(script: RequestsScript = {}): Promise<void> {
+  front = await startFront(script);
 }
 
-const call: FrontFixture['call'] = (...args) => bench.call(...args);
+const call: FrontFixture['call'] = (...args) => front.call(...args);
 
 function complete(fields: object, headers = {}): Promise<Response> {
   return call('POST', '/v1/completions', JSON.stringify(fields), headers);
 }
 
-function submitted(): RequestSpec {
-  const message = bench.received.find(each => each.kind === 'submit');
+function submittedSpec(): RequestSpec {
+  const message = front.received.find(each => each.kind === 'submit');
   if (message?.kind !== 'submit') throw new Error('nothing was submitted');
   return message.spec;
 }
@@ -35,12 +38,15 @@
   return Buffer.concat(spec.body.pieces).toString('utf8');
 }
 
-const answers =
+const answerWith =
   (...chunks: readonly string[]) =>
   (spec: RequestSpec, listener: RequestListener) =>
     sendAnswer(listener, spec.id, chunks);
 
-function lost(ran: 'no' | 'unknown', retryAfterMs?: number): OnyxError {
+function upstreamError(
+  ran: 'no' | 'unknown',
+  retryAfterMs?: number,
+): OnyxError {
   return new OnyxError({
     code: ran === 'no' ? 'no-upstream' : 'upstream-lost',
     step: ran === 'no' ? 'route' : 'run',
@@ -52,8 +58,8 @@
 }
 
 describe('completions', () => {
-  test('a streamed answer has numbered chunks, usage, and its end', async () => {
-    await open({submit: answers('late ', 'frost ❄')});
+  test('a streamed answer has numbered chunks, usage and an end mark', async () => {
+    await start({submit: answerWith('late ', 'frost ❄')});
     const res = await complete({
       model: 'onyx-1',
       prompt: 'summary?',
@@ -63,27 +69,30 @@
       user: 'volunteer',
     });
     expect(res.headers.get('content-type')).toBe('text/event-stream');
-    expect(res.headers.get('x-request-id')).toBe(submitted().id);
+    expect(res.headers.get('x-request-id')).toBe(submittedSpec().id);
     await expect(maskIds(await res.text())).toMatchFileSnapshot(
       'golden/front_stream.txt',
     );
   });
 
   test('a whole answer is one JSON object', async () => {
-    await open({submit: answers('late ', 'frost')});
+    await start({submit: answerWith('late ', 'frost')});
     const res = await complete({prompt: ['summary?']});
     expect(res.status).toBe(200);
     const text = maskIds(await res.text());
     await expect(text).toMatchFileSnapshot('golden/front_whole.json');
   });
 
-  // The first run dies amid a character. The caller, who has seen nothing yet,
-  // gets the second run's text, with no byte of the first before it.
-  test('a whole answer holds nothing of a run that was given up', async () => {
-    await open({
+  // The first run fails inside a character. The caller has received nothing,
+  // so it gets the text of the second run without any byte of the first.
+  test('a whole answer contains nothing of a run that was replaced', async () => {
+    await start({
       submit: (spec, listener) => {
-        const cut = Buffer.from('up ❄').subarray(0, -1);
-        for (const [seq, data] of [Buffer.from('given '), cut].entries()) {
+        const incomplete = Buffer.from('up ❄').subarray(0, -1);
+        for (const [seq, data] of [
+          Buffer.from('given '),
+          incomplete,
+        ].entries()) {
           listener({kind: 'chunk', seq, data, tokens: 1, callHead: undefined});
         }
         listener({kind: 'restarted'});
@@ -93,11 +102,11 @@
     const res = await complete({model: 'onyx-1', prompt: 'summary?'});
     const body = (await res.json()) as {choices: {text: string}[]};
     expect(body.choices[0].text).toBe('late frost');
-    expect(submitted().streamed).toBe(false);
+    expect(submittedSpec().streamed).toBe(false);
   });
 
-  test('a character cut by a chunk border arrives whole, under the later chunk', async () => {
-    await open({
+  test('a character split between two chunks is sent whole with the later chunk', async () => {
+    await start({
       submit: (spec, listener) => {
         const bytes = new TextEncoder().encode('a❄b');
         listener({kind: 'placed', dispatchId: `${spec.id}.0`, side: ''});
@@ -114,8 +123,8 @@
     expect(first).toContain('"text":"a❄b"');
   });
 
-  test('the spec carries classes, limits and marks from headers', async () => {
-    await open({submit: answers('x')});
+  test('the submitted request has the classes, limits and flags of the headers', async () => {
+    await start({submit: answerWith('x')});
     await complete(
       {
         model: 'onyx-1:frost',
@@ -128,7 +137,7 @@
         'Idempotency-Key': 'alert-17',
       },
     );
-    expect(submitted()).toMatchObject({
+    expect(submittedSpec()).toMatchObject({
       organisation: 'prairie-sky',
       model: 'onyx-1',
       adapter: 'frost',
@@ -141,23 +150,23 @@
       idempotencyKey: 'alert-17',
       maxTokens: 16,
     });
-    expect(submitted().prefixHashes).toHaveLength(19);
+    expect(submittedSpec().prefixHashes).toHaveLength(19);
   });
 
-  test('five megabytes of prompt reach the upstream unchanged', async () => {
-    await open({submit: answers('x')});
+  test('a prompt of five megabytes is submitted unchanged', async () => {
+    await start({submit: answerWith('x')});
     const line = 'Ünit 4: "isolated"\n\\ at 🌨 \u0001 ';
     const prompt = line.repeat(Math.ceil((5 * 1024 * 1024) / line.length));
     const res = await complete({prompt, max_tokens: 1});
     expect(res.status).toBe(200);
-    expect(promptOf(submitted()) === prompt).toBe(true);
-    expect(submitted().prefixHashes).toHaveLength(64);
+    expect(promptOf(submittedSpec()) === prompt).toBe(true);
+    expect(submittedSpec().prefixHashes).toHaveLength(64);
   });
 
-  test('a refusal has its own status, and when to come back', async () => {
-    await open({
+  test('a refusal has its own status and a retry-after header', async () => {
+    await start({
       submit: (_, listener) =>
-        listener({kind: 'failed', error: lost('no', 1_200)}),
+        listener({kind: 'failed', error: upstreamError('no', 1_200)}),
     });
     const res = await complete({prompt: 'x', stream: true});
     expect(res.status).toBe(503);
@@ -166,13 +175,13 @@
     await expect(text).toMatchFileSnapshot('golden/front_refusal.json');
   });
 
-  test('a stream that fails midway ends with an error and never with its end mark', async () => {
-    await open({
+  test('a stream that fails midway ends with an error and without the end mark', async () => {
+    await start({
       submit: (spec, listener) => {
         sendAnswer(event => event.kind !== 'end' && listener(event), spec.id, [
           'half',
         ]);
-        listener({kind: 'failed', error: lost('unknown')});
+        listener({kind: 'failed', error: upstreamError('unknown')});
       },
     });
     const text = await (await complete({prompt: 'x', stream: true})).text();
@@ -181,18 +190,15 @@
     expect(text).not.toContain('[DONE]');
   });
 
-  /*
-   * The caller must not see a text with a hole that looks whole. A chunk is
-   * lost on its way to the front; the one after it arrives; the front ends the
-   * answer with an error and cancels the run rather than go on.
-   */
+  // A lost chunk must not result in a text that has a gap and looks complete.
+  // The stream ends with an error, and the run is cancelled.
   test.each([
     ['between two others', [0, 2], 2],
     ['at the end', [0], 2],
   ])(
-    'a chunk missing %s ends the stream with an error',
+    'a missing chunk %s ends the stream with an error',
     async (_, seqs, count) => {
-      await open({
+      await start({
         submit: (_spec, listener) => {
           const data = new TextEncoder().encode('x');
           const chunk = {
@@ -214,30 +220,27 @@
       const text = await (await complete({prompt: 'x', stream: true})).text();
       expect(text).toContain('"code":"answer-incomplete"');
       expect(text).not.toContain('[DONE]');
-      await bench.waitForMessage('cancel');
+      await front.waitForMessage('cancel');
     },
   );
 
-  /*
-   * The caller waits for an answer that the owner of the request has lost. Its
-   * time limit ends; nothing comes; the front itself gives the final answer,
-   * which says that nobody knows whether it ran.
-   */
-  test('a request that nobody ends is ended by the front after its deadline', async () => {
-    await open();
+  // The requests service has lost the request and never ends it. The callers'
+  // service must end it, and must report as unknown whether it ran.
+  test('a request that is not ended by its deadline is ended with an error', async () => {
+    await start();
     const pending = complete({prompt: 'x', onyxloft: {time_limit_ms: 100}});
-    await bench.waitForMessage('submit');
-    await bench.clock.runFor(700);
+    await front.waitForMessage('submit');
+    await front.clock.runFor(700);
     const res = await pending;
     expect(res.status).toBe(504);
     expect(await res.json()).toMatchObject({
       error: {code: 'deadline-exceeded', ran: 'unknown'},
     });
-    await bench.waitForMessage('cancel');
+    await front.waitForMessage('cancel');
   });
 
-  test('a caller that leaves and stays away has its run cancelled', async () => {
-    await open({
+  test('a run is cancelled when its caller disconnects and does not reconnect', async () => {
+    await start({
       submit: (spec, listener) =>
         sendAnswer(event => event.kind !== 'end' && listener(event), spec.id, [
           'half',
@@ -246,24 +249,24 @@
     const res = await complete({prompt: 'x', stream: true});
     await res.body?.cancel();
     await expect
-      .poll(() => bench.logged.some(line => line.name === 'caller-left'))
+      .poll(() => front.logged.some(line => line.name === 'caller-left'))
       .toBe(true);
-    await bench.clock.runFor(2_001);
-    expect(await bench.waitForMessage('cancel')).toMatchObject({
-      id: submitted().id,
+    await front.clock.runFor(2_001);
+    expect(await front.waitForMessage('cancel')).toMatchObject({
+      id: submittedSpec().id,
     });
   });
 
-  test('time to first token and slowdown are measured by class', async () => {
-    await open({
+  test('time to first token and slowdown are measured by length class', async () => {
+    await start({
       submit: (spec, listener) => {
-        bench.clock.advance(spec.promptTokens);
+        front.clock.advance(spec.promptTokens);
         sendAnswer(listener, spec.id, ['x']);
       },
     });
     await (await complete({prompt: 'p'.repeat(400)})).text();
     await (await complete({prompt: 'p'.repeat(800)})).text();
-    const metrics = bench.runtime.metrics.render();
+    const metrics = front.runtime.metrics.render();
     expect(metrics).toContain(
       'onyxloft_first_token_ms_sum{length_class="short"} 300',
     );
@@ -273,8 +276,8 @@
 });
 
 describe('calls to a plain service', () => {
-  test('method, path, headers, body and the whole answer are passed on', async () => {
-    await open({
+  test('method, path, headers, body and the whole response are forwarded', async () => {
+    await start({
       submit: (spec, listener) => {
         const head = {
           status: 207,
@@ -305,35 +308,33 @@
     expect(res.headers.get('x-station')).toBe('12');
     expect(res.headers.get('x-hop')).toBeNull();
     expect([...new Uint8Array(await res.arrayBuffer())]).toEqual([0, 255, 1]);
-    const {call: head, repeatable, priority} = submitted();
+    const {call: head, repeatable, priority} = submittedSpec();
     expect({method: head?.method, path: head?.path}).toEqual({
       method: 'PUT',
       path: '/readings/12?unit=c&x=%2F',
     });
     expect({repeatable, priority}).toEqual({repeatable: false, priority: 0});
-    const names = head?.headers.map(({name}) => name.toLowerCase());
-    expect(names).toContain('x-volunteer');
-    expect(names).not.toContain('authorization');
-    expect(names).not.toContain('x-onyxloft-priority');
+    const headerNames = head?.headers.map(({name}) => name.toLowerCase());
+    expect(headerNames).toContain('x-volunteer');
+    expect(headerNames).not.toContain('authorization');
+    expect(headerNames).not.toContain('x-onyxloft-priority');
   });
 
-  /*
-   * The caller reads a body that stops. Ended in good order it would look like
-   * a whole one, so the connection is cut and the client reports an error.
-   */
-  test('an answer cut midway cuts the connection', async () => {
-    await open({
+  // A response that ends regularly would look complete. The connection is
+  // closed instead, so that the client reports an error.
+  test('a response that fails midway closes the connection', async () => {
+    await start({
       submit: (_, listener) => {
         const callHead = {status: 200, headers: []};
         const data = Buffer.from('half');
         listener({kind: 'chunk', seq: 0, data, tokens: 0, callHead});
-        listener({kind: 'failed', error: lost('unknown')});
+        listener({kind: 'failed', error: upstreamError('unknown')});
       },
     });
     await expect(
       call('GET', '/v1/services/station-app').then(res => res.text()),
     ).rejects.toThrow();
-    expect(submitted()).toMatchObject({
+    expect(submittedSpec()).toMatchObject({
       repeatable: true,
       call: {method: 'GET', path: '/'},
     });
@@ -341,49 +342,46 @@
 });
 
 describe('readiness and drain', () => {
-  test('ready only with a configuration and a live replica', async () => {
-    await open();
+  test('the entry is ready only with a configuration and a live replica', async () => {
+    await start();
     const ready = async () => (await call('GET', '/readyz')).status;
     expect(await ready()).toBe(200);
-    bench.setMembership(membershipViewOf('suspect', 'leaving'));
+    front.setMembership(membershipViewOf('suspect', 'leaving'));
     expect(await ready()).toBe(503);
     expect((await call('GET', '/healthz')).status).toBe(200);
   });
 
-  /*
-   * The membership service fails and is restarted, and no longer knows whom to
-   * tell. The last replica goes; the balancer must hear that this entry is of
-   * no use, rather than send callers to it for good.
-   */
-  test('readiness follows a membership that was restarted', async () => {
-    await open();
-    bench.dropMembershipSubscribers();
-    await bench.clock.runFor(5_000);
-    // An answered call: by now the subscription has been delivered.
+  // A restarted membership service has lost its subscribers. The load balancer
+  // must still learn when the last replica is gone.
+  test('readiness follows a restarted membership service', async () => {
+    await start();
+    front.dropMembershipSubscribers();
+    await front.clock.runFor(5_000);
+    // The subscription is delivered by the time this call is answered.
     expect((await call('GET', '/readyz')).status).toBe(200);
-    bench.setMembership(membershipViewOf('gone'));
+    front.setMembership(membershipViewOf('gone'));
     expect((await call('GET', '/readyz')).status).toBe(503);
   });
 
-  test('an older configuration does not come back into force', async () => {
-    await open({submit: answers('x')});
-    bench.setConfig(declarations({}, 8));
-    bench.setConfig(declarations({models: []}, 7));
+  test('an older configuration does not replace a newer one', async () => {
+    await start({submit: answerWith('x')});
+    front.setConfig(declarations({}, 8));
+    front.setConfig(declarations({models: []}, 7));
     expect((await complete({prompt: 'x'})).status).toBe(200);
-    expect(submitted().config.number).toBe(8);
+    expect(submittedSpec().config.number).toBe(8);
   });
 
   test('a drain refuses new requests and waits for the open ones', async () => {
     let finish = () => undefined as void;
-    await open({
+    await start({
       submit: (spec, listener) => {
         finish = () => sendAnswer(listener, spec.id, ['whole']);
       },
     });
-    const open1 = complete({prompt: 'x'});
-    await bench.waitForMessage('submit');
+    const openRequest = complete({prompt: 'x'});
+    await front.waitForMessage('submit');
     let drained = false;
-    const drain = bench.kernel
+    const drain = front.kernel
       .ask('callers', (reply: (value: void) => void) => ({
         kind: 'drain',
         reply: () => reply(),
@@ -397,7 +395,7 @@
     expect(await refused.text()).toContain('"code":"draining"');
     expect(drained).toBe(false);
     finish();
-    expect(await (await open1).json()).toMatchObject({
+    expect(await (await openRequest).json()).toMatchObject({
       choices: [{text: 'whole'}],
     });
     await drain;
--- a/test/http_operators.test.ts
+++ b/test/http_operators.test.ts
@@ -11,17 +11,17 @@
 import type {FrontFixture} from './support/front_fixture.js';
 
 const TOKEN = 'onyx_operator';
-let bench: FrontFixture;
+let front: FrontFixture;
 let url: string;
 
-afterEach(() => bench.kernel.stop());
+afterEach(() => front.kernel.stop());
 
-async function open(change: Partial<OperatorHandlers> = {}, token = true) {
-  bench = await startFront();
-  await bench.kernel.start(
+async function start(change: Partial<OperatorHandlers> = {}, hasToken = true) {
+  front = await startFront();
+  await front.kernel.start(
     createOperatorsService({
       listen: '127.0.0.1:0',
-      operatorTokenHash: token
+      operatorTokenHash: hasToken
         ? hashGeneratedKey(TOKEN, 'aa'.repeat(16))
         : undefined,
       verifyKey: verifyKeyAsync,
@@ -37,7 +37,7 @@
       }),
     }),
   );
-  const address = await bench.kernel.ask(
+  const address = await front.kernel.ask(
     'operators',
     (reply: (address: string) => void) => ({kind: 'address', reply}),
   );
@@ -67,7 +67,7 @@
   operator: 'ann',
 };
 
-function rejecting(
+function rejectingConfig(
   code: 'conflict' | 'invalid-config',
 ): OperatorHandlers['config'] {
   const error = new OnyxError({code, step: 'config', message: 'no'});
@@ -87,8 +87,8 @@
 }
 
 describe('operators', () => {
-  test('without the token only probes and metrics are served', async () => {
-    await open();
+  test('only probes and metrics are served without the token', async () => {
+    await start();
     for (const path of ['config', 'status', 'hosts', 'requests/x/explain']) {
       const {status} = await ask(
         'GET',
@@ -106,13 +106,13 @@
     expect(metrics.headers.get('content-type')).toContain('text/plain');
   });
 
-  test('a process without a token hash lets nobody in', async () => {
-    await open({}, false);
+  test('a process without a token hash refuses every operator', async () => {
+    await start({}, false);
     expect((await ask('GET', '/operator/v1/status')).status).toBe(403);
   });
 
-  test('status tells what is known, and placement as absent when it is', async () => {
-    await open();
+  test('the status has null for a placement service that is not running', async () => {
+    await start();
     expect((await ask('GET', '/operator/v1/status')).value).toMatchObject({
       node: 'entry-1',
       incarnation: 'i1',
@@ -123,10 +123,10 @@
     });
   });
 
-  test('an unknown request is told from one without decisions', async () => {
+  test('a request without known decisions is answered 404', async () => {
     const decision = {requestId: 'q1', attempt: 1, chosen: 's1', reason: 'r'};
     const known = [{...decision, candidates: []}];
-    await open({
+    await start({
       explain: id => Promise.resolve(id === 'q1' ? known : []),
     });
     const path = (id: string) => `/operator/v1/requests/${id}/explain`;
@@ -137,14 +137,14 @@
     });
   });
 
-  test('an accepted patch is told with its number', async () => {
-    let seen: ConfigPatch | undefined;
+  test('an accepted patch is answered with its number', async () => {
+    let received: ConfigPatch | undefined;
     const accepted = {number: 8, changedPaths: ['/models'], dryRun: false};
-    await open({
+    await start({
       config: {
-        ...rejecting('conflict'),
+        ...rejectingConfig('conflict'),
         apply: patch => {
-          seen = patch;
+          received = patch;
           return Promise.resolve(Right(accepted));
         },
       } as OperatorHandlers['config'],
@@ -155,22 +155,22 @@
       PATCH,
     );
     expect({status, value}).toEqual({status: 200, value: accepted});
-    expect(seen).toEqual(PATCH);
+    expect(received).toEqual(PATCH);
   });
 
   test.each([
     ['conflict', 409],
     ['invalid-config', 422],
   ] as const)(
-    'a patch rejected as %s tells the head and the faults',
-    async (code, wanted) => {
-      await open({config: rejecting(code)});
+    'a patch rejected as %s is answered with the head and the faults',
+    async (code, expectedStatus) => {
+      await start({config: rejectingConfig(code)});
       const {status, value} = await ask(
         'POST',
         '/operator/v1/config/patches',
         PATCH,
       );
-      expect(status).toBe(wanted);
+      expect(status).toBe(expectedStatus);
       expect(value).toMatchObject({
         error: {code},
         head: 9,
@@ -179,8 +179,8 @@
     },
   );
 
-  test('a malformed patch is refused with the field at fault', async () => {
-    await open({config: rejecting('conflict')});
+  test('a malformed patch is refused with the name of the invalid field', async () => {
+    await start({config: rejectingConfig('conflict')});
     const {status, value} = await ask('POST', '/operator/v1/config/patches', {
       ...PATCH,
       base: 'seven',
@@ -189,8 +189,8 @@
     expect(JSON.stringify(value)).toContain('base');
   });
 
-  test('versions and history are shown by number', async () => {
-    await open({config: rejecting('conflict')});
+  test('configuration versions are shown by number, and history by limit', async () => {
+    await start({config: rejectingConfig('conflict')});
     const newest = await ask('GET', '/operator/v1/config');
     const third = await ask('GET', '/operator/v1/config/3');
     const history = await ask('GET', '/operator/v1/config/history?limit=5');
@@ -200,9 +200,9 @@
     expect((await ask('GET', '/operator/v1/config/x')).status).toBe(400);
   });
 
-  test('a drain is taken, and what is not offered is not found', async () => {
+  test('a drain is accepted, and a missing handler is answered 404', async () => {
     let drains = 0;
-    await open({drain: () => void (drains += 1), hosts: undefined});
+    await start({drain: () => void (drains += 1), hosts: undefined});
     expect((await ask('POST', '/operator/v1/drain')).status).toBe(202);
     expect(drains).toBe(1);
     expect((await ask('GET', '/operator/v1/hosts')).status).toBe(404);
--- a/test/http_requests.test.ts
+++ b/test/http_requests.test.ts
@@ -1,4 +1,7 @@
-/** Requests started before: state, resume, end, and whose they are. */
+/**
+ * Tests the routes for requests that were started earlier: state, resume,
+ * cancel, and access by organisation.
+ */
 import {afterEach, describe, expect, test} from 'vitest';
 import type {RequestListener} from '../src/types/services.js';
 import {
@@ -9,23 +12,23 @@
 } from './support/front_fixture.js';
 import type {FrontFixture, RequestsScript} from './support/front_fixture.js';
 
-let bench: FrontFixture;
+let front: FrontFixture;
 
-afterEach(() => bench.kernel.stop());
+afterEach(() => front.kernel.stop());
 
-async function open(script: RequestsScript = {}): Promise<void> {
-  bench = await startFront(script);
+async function start(script: RequestsScript = {}): Promise<void> {
+  front = await startFront(script);
 }
 
-const call: FrontFixture['call'] = (...args) => bench.call(...args);
+const call: FrontFixture['call'] = (...args) => front.call(...args);
 
-describe('a request started before', () => {
+describe('a request started earlier', () => {
   const ID = 'ab'.repeat(16);
-  const owned: RequestsScript['state'] = (id, organisation) =>
+  const stateForOwner: RequestsScript['state'] = (id, organisation) =>
     id === ID && organisation === 'prairie-sky' ? {nextSeq: 4} : undefined;
 
-  test('its state is told', async () => {
-    await open({state: owned});
+  test('its state is shown', async () => {
+    await start({state: stateForOwner});
     const res = await call('GET', `/v1/requests/${ID}`);
     expect(await res.json()).toEqual({
       id: ID,
@@ -38,8 +41,8 @@
   });
 
   test('a stream resumes after the last chunk that the caller has', async () => {
-    await open({
-      state: owned,
+    await start({
+      state: stateForOwner,
       resume: ({listener, fromSeq}) =>
         sendAnswer(listener, ID, ['c', 'd'], fromSeq),
     });
@@ -54,14 +57,11 @@
     expect(text).toContain('[DONE]');
   });
 
-  /*
-   * The caller has chunks 0 and 1 of one run. That run is lost and another one
-   * takes its place, with other words. Joined, they would read as one answer
-   * that no model gave; so the caller is told to start at 0.
-   */
+  // The caller has chunks of a run that another run has replaced. Joined chunks
+  // would be a text that no model generated, so it must resume from chunk 0.
   test('a resume does not join chunks of two runs', async () => {
-    await open({
-      state: owned,
+    await start({
+      state: stateForOwner,
       resume: ({listener, fromSeq}) => sendAnswer(listener, ID, ['c'], fromSeq),
     });
     const res = await call('GET', `/v1/requests/${ID}?stream=true`, undefined, {
@@ -71,53 +71,50 @@
     expect(await res.text()).toContain('"code":"answer-incomplete"');
   });
 
-  test('the whole answer is waited for when asked', async () => {
-    await open({
-      state: owned,
+  test('the whole answer is sent when the caller waits for it', async () => {
+    await start({
+      state: stateForOwner,
       resume: ({listener}) => sendAnswer(listener, ID, ['a', 'b']),
     });
     const res = await call('GET', `/v1/requests/${ID}?wait=true`);
     expect(await res.json()).toMatchObject({choices: [{text: 'ab'}]});
   });
 
-  /*
-   * The caller's first connection went silent, and it has come back on a
-   * second one. When the first is seen to close at last, the run must go on:
-   * it now belongs to the second.
-   */
-  test('a second connection takes over, and the end of the first cancels nothing', async () => {
-    let second: RequestListener | undefined;
-    await open({
+  // The caller has reconnected because its first connection was silent. The
+  // close of the first connection must not cancel the run.
+  test('a second connection takes over, and the close of the first does not cancel the run', async () => {
+    let secondListener: RequestListener | undefined;
+    await start({
       submit: (spec, listener) =>
         sendAnswer(event => event.kind !== 'end' && listener(event), spec.id, [
           'a',
         ]),
       state: () => ({}),
       resume: ({listener}) => {
-        second = listener;
+        secondListener = listener;
       },
     });
     const body = JSON.stringify({prompt: 'x', stream: true});
     const first = await call('POST', '/v1/completions', body);
     const id = first.headers.get('x-request-id') ?? '';
     const resumed = call('GET', `/v1/requests/${id}?stream=true&from=1`);
-    await bench.waitForMessage('resume');
+    await front.waitForMessage('resume');
     await expect(first.text()).rejects.toThrow();
-    await bench.clock.runFor(10_000);
-    if (second !== undefined) sendAnswer(second, id, ['b'], 1);
+    await front.clock.runFor(10_000);
+    if (secondListener !== undefined) sendAnswer(secondListener, id, ['b'], 1);
     expect(await (await resumed).text()).toContain('[DONE]');
-    expect(bench.received.map(({kind}) => kind)).not.toContain('cancel');
+    expect(front.received.map(({kind}) => kind)).not.toContain('cancel');
   });
 
-  test('its own organisation ends it', async () => {
-    await open({state: owned});
+  test('its own organisation can cancel it', async () => {
+    await start({state: stateForOwner});
     const res = await call('DELETE', `/v1/requests/${ID}`);
     expect(await res.json()).toEqual({id: ID, cancelled: true});
   });
 
-  test('another organisation gets what it would get for an unknown id', async () => {
-    await open({state: owned});
-    const other = 'cd'.repeat(16);
+  test('another organisation gets the same answer as for an unknown id', async () => {
+    await start({state: stateForOwner});
+    const unknownId = 'cd'.repeat(16);
     const headers = {Authorization: `Bearer ${INGUFU_KEY}`};
     const ask = async (method: string, path: string) => {
       const res = await call(method, path, undefined, headers);
@@ -129,12 +126,12 @@
       ['GET', '?wait=true'],
       ['DELETE', ''],
     ] as const) {
-      const theirs = await ask(method, `/v1/requests/${ID}${query}`);
-      expect(theirs.status).toBe(404);
-      expect(theirs).toEqual(
-        await ask(method, `/v1/requests/${other}${query}`),
+      const existing = await ask(method, `/v1/requests/${ID}${query}`);
+      expect(existing.status).toBe(404);
+      expect(existing).toEqual(
+        await ask(method, `/v1/requests/${unknownId}${query}`),
       );
     }
-    expect(bench.received.map(({kind}) => kind)).not.toContain('resume');
+    expect(front.received.map(({kind}) => kind)).not.toContain('resume');
   });
 });
--- a/test/support/front_fixture.ts
+++ b/test/support/front_fixture.ts
@@ -1,7 +1,7 @@
 /**
- * The callers' front in a real kernel on a real port, with fakes for the
- * services behind it: a test scripts how `requests` answers, and looks at what
- * reached it.
+ * Starts the callers' service in a real kernel on a real port, with fakes of
+ * the services it uses. A test scripts the replies of the fake `requests`
+ * service and inspects the messages it received.
  */
 import {createVirtualClock} from '../../standins/virtual_clock.js';
 import type {VirtualClock} from '../../standins/virtual_clock.js';
@@ -30,17 +30,17 @@
 
 export const PRAIRIE_KEY = 'onyx_prairie';
 export const INGUFU_KEY = 'onyx_ingufu';
-/** Unix time in these tests: 2026-01-01. */
+/** The Unix time in these tests, in milliseconds: 2026-01-01. */
 export const WALL_MS = Date.UTC(2026, 0, 1);
 const SALT = '00112233445566778899aabbccddeeff';
 
 export type Resume = Extract<RequestsMessage, {kind: 'resume'}>;
 
-/** How the fake `requests` service answers. */
+/** The replies of the fake `requests` service. */
 export interface RequestsScript {
   readonly submit?: (spec: RequestSpec, listener: RequestListener) => void;
   readonly resume?: (message: Resume) => void;
-  /** By id and organisation; undefined for none. */
+  /** Returns the state of a request; undefined when there is none. */
   readonly state?: (
     id: string,
     organisation: string,
@@ -53,10 +53,10 @@
   readonly kernel: Kernel;
   readonly clock: VirtualClock;
   readonly runtime: Runtime;
-  /** All messages that reached `requests`, in order. */
+  /** All messages that the fake `requests` service received, in order. */
   readonly received: readonly RequestsMessage[];
   readonly logged: ReadonlyArray<{readonly name: string} & LogFields>;
-  /** Calls the front with Prairie Sky's key. */
+  /** Sends an HTTP request with the key of the organisation `prairie-sky`. */
   call(
     method: string,
     path: string,
@@ -65,9 +65,9 @@
   ): Promise<Response>;
   setConfig(config: NumberedDeclarations): void;
   setMembership(view: MembershipView): void;
-  /** As when the membership service fails and is restarted. */
+  /** Drops the subscribers, as a restart of the membership service does. */
   dropMembershipSubscribers(): void;
-  /** Resolves when `requests` has received such a message. */
+  /** Resolves to the first message of this kind that `requests` received. */
   waitForMessage(kind: RequestsMessage['kind']): Promise<RequestsMessage>;
 }
 
@@ -136,7 +136,7 @@
   return {replicas, allSides: [], entries: []};
 }
 
-/** Starts the front; the kernel is to be stopped by the test. */
+/** Starts the fixture. The test must stop the kernel. */
 export async function startFront(
   script: RequestsScript = {},
   options: Partial<CallersOptions> = {},
@@ -154,17 +154,17 @@
   };
   const kernel = createKernel(runtime);
   const received: RequestsMessage[] = [];
-  const waiting = new Map<string, (message: RequestsMessage) => void>();
+  const waiters = new Map<string, (message: RequestsMessage) => void>();
   let setConfig: FrontFixture['setConfig'] = () => undefined;
-  const viewListeners = new Set<FrontFixture['setMembership']>();
+  const membershipListeners = new Set<FrontFixture['setMembership']>();
 
   await kernel.start({
     name: 'requests',
     start: ctx => {
       void ctx.mailbox.observe(message => {
         received.push(message);
-        answer(script, message);
-        waiting.get(message.kind)?.(message);
+        replyToMessage(script, message);
+        waiters.get(message.kind)?.(message);
       });
     },
   });
@@ -180,7 +180,8 @@
     name: 'membership',
     start: ctx => {
       void ctx.mailbox.observe(message => {
-        if (message.kind === 'subscribe') viewListeners.add(message.listener);
+        if (message.kind === 'subscribe')
+          membershipListeners.add(message.listener);
       });
     },
   });
@@ -200,7 +201,7 @@
   );
   setConfig(declarations());
   const setView: FrontFixture['setMembership'] = view => {
-    for (const listener of viewListeners) listener(view);
+    for (const listener of membershipListeners) listener(view);
   };
   setView(membershipViewOf('live'));
   return {
@@ -219,16 +220,19 @@
       }),
     setConfig: config => setConfig(config),
     setMembership: setView,
-    dropMembershipSubscribers: () => viewListeners.clear(),
+    dropMembershipSubscribers: () => membershipListeners.clear(),
     waitForMessage: kind => {
       const found = received.find(message => message.kind === kind);
       if (found !== undefined) return Promise.resolve(found);
-      return new Promise(resolve => waiting.set(kind, resolve));
+      return new Promise(resolve => waiters.set(kind, resolve));
     },
   };
 }
 
-function answer(script: RequestsScript, message: RequestsMessage): void {
+function replyToMessage(
+  script: RequestsScript,
+  message: RequestsMessage,
+): void {
   if (message.kind === 'submit') {
     script.submit?.(message.spec, message.listener);
   } else if (message.kind === 'resume') {
@@ -250,14 +254,14 @@
   }
 }
 
-/** For golden files: ids differ from run to run. */
+/** Replaces random ids, which differ between runs, for golden files. */
 export function maskIds(text: string): string {
   return text.replaceAll(/[0-9a-f]{32}/g, 'ID');
 }
 
-const encoder = new TextEncoder();
+const textEncoder = new TextEncoder();
 
-/** Tells a listener a whole answer in these chunks. */
+/** Sends the events of a whole answer with these chunks to a listener. */
 export function sendAnswer(
   listener: RequestListener,
   id: string,
@@ -269,7 +273,7 @@
     listener({
       kind: 'chunk',
       seq: fromSeq + at,
-      data: encoder.encode(chunk),
+      data: textEncoder.encode(chunk),
       tokens: 1,
       callHead: undefined,
     }),
