--- a/src/entry/front/chunk_text_decoder.ts
+++ b/src/entry/front/chunk_text_decoder.ts
@@ -4,12 +4,13 @@
  * the character. Every chunk of an event stream therefore has valid text.
  */
 
-/** The upper two bits of a byte tell a UTF-8 continuation byte. */
+/** Selects the upper two bits, which mark a UTF-8 continuation byte. */
 const CONTINUATION_MASK = 0xc0;
 const CONTINUATION = 0x80;
 /** Length of the longest UTF-8 character, in bytes. */
 const MAX_CHARACTER_BYTES = 4;
 
+/** Decodes the chunks of one answer, in order. */
 export interface ChunkTextDecoder {
   /**
    * Returns the text of this chunk and the buffered ones. Returns an empty text
--- a/src/entry/front/completion_parser.ts
+++ b/src/entry/front/completion_parser.ts
@@ -46,6 +46,7 @@
   readonly prompt: Body | undefined;
 }
 
+/** Parses one body, which is written to it in steps. */
 export interface CompletionParser {
   /**
    * Parses the next bytes, at most `PARSE_STEP_BYTES` of them.
--- a/src/entry/front/http_body.ts
+++ b/src/entry/front/http_body.ts
@@ -28,6 +28,7 @@
  */
 const TURN_BUDGET_MS = 1;
 
+/** Limits on each request body. */
 export interface BodyLimits {
   /** Largest body, in bytes. A larger one is refused. */
   readonly maxBodyBytes: number;
--- a/src/entry/front/http_callers.ts
+++ b/src/entry/front/http_callers.ts
@@ -113,6 +113,7 @@
       readonly reply: (status: CallersStatus) => void;
     };
 
+/** Reply to the message `status`. */
 export interface CallersStatus {
   /** Address that the HTTP server listens on. */
   readonly address: Address;
@@ -147,6 +148,7 @@
 const METHOD_NOT_ALLOWED = 405;
 /** Interval at which the gauges of the service are updated. */
 const GAUGE_INTERVAL_MS = 1_000;
+/** Matches the pool, path and query of a call to a plain service. */
 const SERVICES_PATH = /^\/v1\/services\/([^/?]+)(\/[^?]*)?(\?.*)?$/;
 const REQUEST_PATH = /^\/v1\/requests\/([^/?]+)$/;
 
--- a/src/entry/front/piece_buffer.ts
+++ b/src/entry/front/piece_buffer.ts
@@ -12,6 +12,7 @@
 
 const encoder = new TextEncoder();
 
+/** Collects the pieces of one body. */
 export interface PieceBuffer {
   /** Appends text as UTF-8. It must not end inside a surrogate pair. */
   appendText(text: string): void;
--- a/src/entry/front/request_options.ts
+++ b/src/entry/front/request_options.ts
@@ -13,6 +13,7 @@
 const TRUE_VALUES = new Set(['yes', 'true']);
 const FALSE_VALUES = new Set(['no', 'false']);
 
+/** The options of one request, from its headers and body. */
 export interface RequestOptions {
   /** Name of a priority class; undefined for the default one. */
   readonly priority: string | undefined;
--- a/test/http_bad_input.test.ts
+++ b/test/http_bad_input.test.ts
@@ -26,7 +26,7 @@
 
 /**
  * Sends text over a new connection and resolves to all that is received. The
- * connection is ended after the first JSON body, unless `keepOpen` is set.
+ * connection is ended when a JSON body arrives, unless `keepOpen` is set.
  */
 function sendRaw(text: string, keepOpen = false): Promise<string> {
   return new Promise((resolve, reject) => {
--- a/test/support/front_fixture.ts
+++ b/test/support/front_fixture.ts
@@ -34,12 +34,12 @@
 export const WALL_MS = Date.UTC(2026, 0, 1);
 const SALT = '00112233445566778899aabbccddeeff';
 
-export type Resume = Extract<RequestsMessage, {kind: 'resume'}>;
+export type ResumeMessage = Extract<RequestsMessage, {kind: 'resume'}>;
 
 /** The replies of the fake `requests` service. */
 export interface RequestsScript {
   readonly submit?: (spec: RequestSpec, listener: RequestListener) => void;
-  readonly resume?: (message: Resume) => void;
+  readonly resume?: (message: ResumeMessage) => void;
   /** Returns the state of a request; undefined when there is none. */
   readonly state?: (
     id: string,
