--- a/src/side/abandon.ts
+++ b/src/side/abandon.ts
@@ -54,7 +54,7 @@
     return state;
   };
 
-  /** The caller cancels its request, possibly at an entry that is not owner. */
+  /** The caller cancels its request at an entry that may not own the run. */
   const cancelForCaller = (
     dispatchId: string,
     organisation: string,
--- a/src/side/audit.ts
+++ b/src/side/audit.ts
@@ -37,7 +37,8 @@
   const {ctx, table, memory, options, upstream} = core;
   const client = options.upstream;
 
-  const isRunningHere = (id: string) => table.get(id)?.state === 'running';
+  const isRunningHere = (dispatchId: string) =>
+    table.get(dispatchId)?.state === 'running';
 
   /** The engine keeps a finished run for resuming; it holds no memory. */
   const isRetainedOnly = (info: EngineRunInfo) =>
@@ -62,6 +63,7 @@
     return orphans.length;
   };
 
+  /** The first list without orphans ends the reconciliation after a start. */
   const markReconciled = (orphanCount: number) => {
     if (upstream.reconciled || orphanCount > 0) return;
     upstream.reconciled = true;
@@ -80,6 +82,7 @@
     }
   };
 
+  /** Fails runs that the engine's list has lacked for too many audits. */
   const failMissing = (listed: ReadonlySet<string>, sentAt: number) => {
     for (const run of table.occupyingSlots()) {
       // Heartbeats do not count: they show a live connection, not a live run.
--- a/src/side/channels.ts
+++ b/src/side/channels.ts
@@ -12,6 +12,7 @@
 import {isFinished} from './run.js';
 import type {Run} from './run.js';
 
+/** State of one open channel. */
 interface OpenChannel {
   readonly id: number;
   readonly channel: RunServerChannel;
@@ -37,8 +38,8 @@
   /** Records that a frame arrived; undefined when the channel is closed. */
   recordFrame(channelId: number): OpenChannelView | undefined;
   /**
-   * Makes this the run's channel and sends chunks from `fromSeq` on. An earlier
-   * channel of the run is closed.
+   * Makes this the run's channel and `fromSeq` the next chunk to send on it. An
+   * earlier channel of the run is closed.
    */
   bind(channelId: number, run: Run, fromSeq: number): void;
   /** Sends a last frame, if one is given, and closes the channel. */
@@ -57,8 +58,8 @@
    */
   sweep(): readonly number[];
   /**
-   * Restarts all silence timers. Needed after this process was frozen: it could
-   * not receive frames meanwhile, so silence does not show a dead peer.
+   * Counts the silence of all channels from now on. Needed after this process
+   * was frozen: it could not receive frames, so silence shows no fault.
    */
   resetSilence(): void;
   closeAll(): void;
--- a/src/side/engine_events.ts
+++ b/src/side/engine_events.ts
@@ -45,6 +45,7 @@
     rates.recordPrefill(count, ctx.clock.now());
   };
 
+  /** Records the time since the run's previous tokens as decode time. */
   const learnStepTime = (run: Run, count: number) => {
     const now = ctx.clock.now();
     const {lastTokenAt} = run.progress;
--- a/src/side/messages.ts
+++ b/src/side/messages.ts
@@ -174,6 +174,7 @@
   readonly owner: string;
 }
 
+/** Adds the side's services to the kernel's message types. */
 declare module '../types/kernel.js' {
   interface ServiceMessages {
     runs: RunsMessage;
--- a/src/side/offers.ts
+++ b/src/side/offers.ts
@@ -36,7 +36,7 @@
   offer(req: OfferReq): OfferRes;
 }
 
-/** `startTimers` sets the timers of an accepted run. */
+/** Creates the handling of offers; `startTimers` is called on acceptance. */
 export function createOffers(
   core: SideCore,
   shares: FairShares,
--- a/src/side/runs_service.ts
+++ b/src/side/runs_service.ts
@@ -36,7 +36,7 @@
 import {createUpstreamPoller} from './upstream_poller.js';
 
 /** A gap of more than this many heartbeat periods means a frozen process. */
-const FREEZE_SWEEPS = 3;
+const FREEZE_PERIODS = 3;
 
 /** Declares the `runs` service. */
 export function createRunsService(options: RunsOptions): ServiceSpec<'runs'> {
@@ -97,7 +97,7 @@
   const runOwners = createRunOwners(core, channels, lifecycle);
   const audit = createAudit(core, lifecycle);
   const orders = createOrders(core);
-  const upstreamWatch = createUpstreamPoller(core);
+  const upstreamPoller = createUpstreamPoller(core);
   const handleAbandon = createAbandonHandler(core, lifecycle);
   const drainReplies: Array<() => void> = [];
   let lastTickAt = ctx.clock.now();
@@ -145,6 +145,7 @@
     if (target.lateCall) scheduleTimer(target, 'late-call', timing.lateCallMs);
   };
 
+  /** Frees the slot of a late call whose service never replied. */
   const releaseLateCall = (target: Run) => {
     if (!target.lateCall) return;
     stopListening(target);
@@ -167,11 +168,12 @@
     }
   };
 
+  /** Resets all silence measurements after a freeze of this process. */
   const detectFreeze = () => {
     const now = ctx.clock.now();
     const sinceLastTickMs = now - lastTickAt;
     lastTickAt = now;
-    if (sinceLastTickMs <= FREEZE_SWEEPS * timing.heartbeatMs) return;
+    if (sinceLastTickMs <= FREEZE_PERIODS * timing.heartbeatMs) return;
     // A frozen process receives nothing. Counting that time as silence of the
     // entries would cancel runs whose owners are healthy.
     ctx.log(SIDE_EVENTS.sideFrozen, {ms: Math.round(sinceLastTickMs)});
@@ -283,9 +285,9 @@
         return audit.handleFreed(message.dispatchId, message.outcome);
       case 'report':
         if (!core.upstream.reconciled) audit.requestList();
-        return upstreamWatch.requestReport();
+        return upstreamPoller.requestReport();
       case 'reported':
-        return upstreamWatch.handleReport(message.outcome);
+        return upstreamPoller.handleReport(message.outcome);
       case 'fence-due':
         return orders.requestFence();
       case 'fence-read':
@@ -295,6 +297,7 @@
     }
   };
 
+  /** Replies to pending drains once no run is awaited or in a slot. */
   const replyToDrains = () => {
     if (drainReplies.length === 0 || table.all().some(runOwners.isAwaited))
       return;
@@ -332,6 +335,7 @@
   followConfig(ctx, config => ctx.send('runs', {kind: 'config', config}));
 }
 
+/** Distinguishes requests from events by their kind. */
 const REQUEST_KINDS: ReadonlySet<string> = new Set<RunsRequest['kind']>([
   'offer',
   'abandon',
--- a/src/side/state_reports.ts
+++ b/src/side/state_reports.ts
@@ -93,8 +93,8 @@
   };
 }
 
-/** Status for operators; `channels` is the number of open channels. */
-export function statusOf(core: SideCore, channels: number): SideStatus {
+/** Status for operators. */
+export function statusOf(core: SideCore, channelCount: number): SideStatus {
   return {
     incarnation: core.incarnation,
     leaving: core.leaving,
@@ -107,6 +107,6 @@
       owner: run.owner,
     })),
     tombstones: core.tombstones.size(),
-    channels,
+    channels: channelCount,
   };
 }
--- a/src/side/upstream_runner.ts
+++ b/src/side/upstream_runner.ts
@@ -106,6 +106,7 @@
     listenToEngine(run, upstream.client.start(req, prompt));
   };
 
+  /** Tells the learned rates whether any run is in prefill. */
   const updatePrefillBusy = () => {
     const isBusy = table
       .occupyingSlots()
@@ -116,6 +117,7 @@
   const failAsLost = (run: Run, error: OnyxError) =>
     lifecycle.fail(run, {code: 'upstream-lost', message: error.message});
 
+  /** Resumes a broken engine stream after a delay, or fails the run. */
   const handleEngineBreak = (run: Run, error: OnyxError) => {
     ctx.log(SIDE_EVENTS.streamBroken, {
       dispatchId: run.id,
@@ -161,6 +163,7 @@
     handleEngineBreak,
   );
 
+  /** Frees the slot of a late call after its upstream replied or broke. */
   const releaseSlot = (run: Run) => {
     stopListening(run);
     run.lateCall = false;
--- a/src/upstream/engine_protocol.ts
+++ b/src/upstream/engine_protocol.ts
@@ -89,6 +89,7 @@
   role: z.string(),
 });
 
+/** One line of an event stream; `text` is the UTF-8 text of the tokens. */
 const lineSchema = z.discriminatedUnion('kind', [
   z.object({kind: z.literal('prefill'), doneTokens: nonNegativeInt}),
   z.object({
--- a/src/upstream/http_engine.ts
+++ b/src/upstream/http_engine.ts
@@ -69,8 +69,12 @@
         push.error(engineError('timeout', 'run', message));
       });
       const fail = (err: unknown) => {
-        const place = {code: 'upstream-lost', step: 'run', peer: url} as const;
-        push.error(toOnyxError(err, connection, place));
+        const context = {
+          code: 'upstream-lost',
+          step: 'run',
+          peer: url,
+        } as const;
+        push.error(toOnyxError(err, connection, context));
       };
       connection
         .request(req)
@@ -115,7 +119,7 @@
     if (reply.statusCode < 300) return;
     const text = await reply.body.text();
     const message = `engine ${url} answered ${reply.statusCode}: ${text}`;
-    throw engineError(codeOf(reply.statusCode), step, message);
+    throw engineError(errorCodeOf(reply.statusCode), step, message);
   };
 
   const send = async (
@@ -144,10 +148,10 @@
         const message = `engine ${url} gave no answer in ${callTimeoutMs} ms`;
         settle(Left(engineError('timeout', step, message)));
       });
-      const place = {code: 'upstream-failed', step, peer: url} as const;
+      const context = {code: 'upstream-failed', step, peer: url} as const;
       send(connection, req, step)
         .then(body => settle(Right(read(body))))
-        .catch(err => settle(Left(toOnyxError(err, connection, place))));
+        .catch(err => settle(Left(toOnyxError(err, connection, context))));
     });
   };
 
@@ -199,7 +203,7 @@
   return `/v1/runs/${encodeURIComponent(runId)}`;
 }
 
-function codeOf(status: number): ErrorCode {
+function errorCodeOf(status: number): ErrorCode {
   if (status === 404) return 'not-found';
   if (status === 409) return 'stale';
   if (status === 400) return 'bad-request';
--- a/src/upstream/http_service.ts
+++ b/src/upstream/http_service.ts
@@ -34,6 +34,7 @@
   'host',
 ]);
 
+/** Body of a load report. */
 const reportSchema: z.ZodType<ServiceReport> = z.object({
   running: z.number(),
   capacity: z.number(),
@@ -60,7 +61,7 @@
   const reportTimeoutMs = options.reportTimeoutMs ?? 2000;
   const connectTimeoutMs = options.connectTimeoutMs ?? 1000;
   const connect = () => createHttpConnection({url, connectTimeoutMs});
-  const place = {code: 'upstream-lost', step: 'run', peer: url} as const;
+  const errorContext = {code: 'upstream-lost', step: 'run', peer: url} as const;
 
   const exchange = async (
     push: Push<CallEvent>,
@@ -88,7 +89,7 @@
         const connection = connect();
         toRequest(runId, head, body)
           .then(req => exchange(push, connection, req))
-          .catch(err => push.error(toOnyxError(err, connection, place)));
+          .catch(err => push.error(toOnyxError(err, connection, errorContext)));
         return () => connection.close();
       }),
     report: () =>
@@ -106,7 +107,9 @@
         });
         readReport(connection)
           .then(report => settle(Right(report)))
-          .catch(err => settle(Left(toOnyxError(err, connection, place))));
+          .catch(err =>
+            settle(Left(toOnyxError(err, connection, errorContext))),
+          );
       }),
   };
 }
--- a/test/plain_service.test.ts
+++ b/test/plain_service.test.ts
@@ -49,9 +49,15 @@
     );
   const first = events[0]?.kind === 'head' ? events[0].head : undefined;
   const pieces = events.map(one => (one.kind === 'data' ? one.data : ''));
-  const isWhole = events.at(-1)?.kind === 'done';
+  const isComplete = events.at(-1)?.kind === 'done';
   const text = pieces.map(piece => Buffer.from(piece).toString()).join('');
-  return {status: first?.status, headers: first?.headers, text, err, isWhole};
+  return {
+    status: first?.status,
+    headers: first?.headers,
+    text,
+    err,
+    isComplete,
+  };
 }
 
 async function* brokenBody(): AsyncIterable<Uint8Array> {
@@ -65,7 +71,7 @@
     const {core, client} = await setUp();
     const path = '/readings/7?status=404&bytes=200000&q=%20a';
     const call = await sendCall(client, headOf('PUT', path), promptOf('hail'));
-    expect(call).toMatchObject({status: 404, isWhole: true, err: undefined});
+    expect(call).toMatchObject({status: 404, isComplete: true, err: undefined});
     expect(call.text).toHaveLength(200_000);
     expect(JSON.parse(call.text)).toMatchObject({
       method: 'PUT',
@@ -154,7 +160,7 @@
     const {virtual, client} = setUpMemory();
     const call = sendCall(client, headOf('GET', '/?delayMs=50&status=201'));
     await virtual.runFor(60);
-    expect(await call).toMatchObject({status: 201, isWhole: true});
+    expect(await call).toMatchObject({status: 201, isComplete: true});
   });
 
   // A dead service receives nothing. A call that breaks off may have executed.
