--- a/src/policy/predicted_first_token.ts
+++ b/src/policy/predicted_first_token.ts
@@ -1,9 +1,9 @@
 /**
- * Least predicted time to first token: queue and prefill ahead at the rate the
- * side has learned, less what its prefix cache should spare, plus the way
- * there. Old load reports count for less, so that entries which all saw the
- * same old report do not all choose the same side; where all have stopped, only
- * what this entry itself sent counts.
+ * Routes by the lowest predicted time to first token: the queued prefill at the
+ * rate that the side has learned, less the expected prefix cache hits, plus the
+ * network time. Older load reports count for less; otherwise entries with the
+ * same old report would all choose the same side. If all reports have stopped,
+ * only the entry's own assignments count.
  */
 import type {Address} from '../types/ids.js';
 import {orderPairs, shuffled} from './random_order.js';
@@ -15,67 +15,77 @@
   RoutingTarget,
 } from './routing.js';
 
-/** Prefill rate of an engine that has not reported one yet. */
-const UNKNOWN_TOKENS_PER_SEC = 8_000;
-/** Time of a call ahead on a plain service; only ranks, promises nothing. */
+/** Prefill rate that is assumed until an engine reports one. */
+const DEFAULT_TOKENS_PER_SEC = 8_000;
+/** Assumed time of each call ahead on a plain service; only orders targets. */
 const CALL_AHEAD_MS = 20;
 /**
- * What a short prompt waits for of longer ones: engines let it pass at the next
- * step, so about a step's worth, however long their backlog is.
+ * Most backlog of longer prompts that delays a short one, in tokens. Engines
+ * start a short prompt at the next step, however long the other backlog is.
  */
-const LONGER_MOST_TOKENS = 3_000;
-const LONGER_FOR_SHORT = 0.75;
-/** Part of its memory's prefill that a run has before it on average. */
-const HELD_LEFT = 0.5;
-/** Prompts over this keep to the share of engines for long ones. */
-const LONG_TOKENS = 32_000;
-const LONG_KEY = 'long prompts';
-/** Cost of leaving that share, as a part of the prompt's own prefill. */
-const OUTSIDE_SHARE = 0.25;
-/** Cost of leaving the own failure domain, beside the measured round trip. */
+const MAX_LONGER_TOKENS = 3_000;
+/** Weight of that backlog in the prediction for a short prompt. */
+const LONGER_WEIGHT = 0.75;
+/** Mean share of a run's tokens that are not prefilled yet. */
+const REMAINING_PREFILL_SHARE = 0.5;
+/** Longer prompts go first to the share of engines for long prompts. */
+const LONG_PROMPT_TOKENS = 32_000;
+const LONG_PROMPTS_KEY = 'long prompts';
+/** Cost of an engine outside that share, as a share of the own prefill time. */
+const OUTSIDE_COST_SHARE = 0.25;
+/** Cost of another failure domain, besides the measured round trip. */
 const OTHER_DOMAIN_MS = 1;
-/** Older reports say nothing of the load any more. */
-const STALE_AGE_MS = 20_000;
-/** A report of this age is half trusted. */
+/** If every load report is older than this, the reports are not used. */
+const MAX_REPORT_AGE_MS = 20_000;
+/** Age of a load report at which it gets half of the full random noise. */
 const HALF_TRUST_AGE_MS = 2_000;
-/** A prefix that is new here leans to its home by this share of its tokens. */
-const NEW_PREFIX_LEAN = 0.02;
+/** Bonus of the home for a new prefix, as a share of the own prefill time. */
+const NEW_PREFIX_BONUS_SHARE = 0.02;
 
+/** The routing policy; see the head of this file. */
 export const predictedFirstToken: RoutingPolicy = input => {
-  if (input.targets.every(target => ageOf(input, target) > STALE_AGE_MS)) {
-    return byOwnAssignments(input);
+  if (
+    input.targets.every(
+      target => reportAgeMs(input, target) > MAX_REPORT_AGE_MS,
+    )
+  ) {
+    return rankByOwnAssignments(input);
   }
-  const home = prefixHome(input);
-  const outsideMs = outsideLongShareMs(input);
-  const forLong = enginesForLong(input);
+  const home = prefixHomeOf(input);
+  const outsideCostMs = outsideCost(input);
+  const longPromptEngines = enginesForLongPrompts(input);
   return input.targets
     .map(target => {
       const ranked = predict(input, target, home);
-      const outside = forLong.has(target.replica.address) ? 0 : outsideMs;
-      return {ranked, score: scoreOf(input, ranked, home) + outside};
+      const costMs = longPromptEngines.has(target.replica.address)
+        ? 0
+        : outsideCostMs;
+      return {ranked, score: scoreOf(input, ranked, home) + costMs};
     })
     .sort((a, b) => a.score - b.score)
     .map(one => one.ranked);
 };
 
 /**
- * By chance in pairs, the lesser of each by this entry's own tokens first.
- * Ranked on what was last reported, all entries would go on choosing alike, for
- * as long as reports are silent.
+ * Random pairs of targets, in each the one with fewer tokens from this entry
+ * first. With the last reports, all entries would choose the same targets for as
+ * long as no new reports arrive.
  */
-function byOwnAssignments(input: RoutingInput): readonly RankedTarget[] {
-  const lesserFirst = (a: RoutingTarget, b: RoutingTarget) =>
+function rankByOwnAssignments(input: RoutingInput): readonly RankedTarget[] {
+  const fewerTokensFirst = (a: RoutingTarget, b: RoutingTarget) =>
     a.unreportedTokens - b.unreportedTokens;
-  return orderPairs(shuffled(input), lesserFirst).map(target => ({
+  return orderPairs(shuffled(input), fewerTokensFirst).map(target => ({
     ...predict(input, target, undefined),
     reason: 'reports are stale: lesser of a random pair by own tokens',
   }));
 }
 
-function ageOf(input: RoutingInput, {replica}: RoutingTarget): number {
+/** Age of the target's load report, in milliseconds. */
+function reportAgeMs(input: RoutingInput, {replica}: RoutingTarget): number {
   return input.now - replica.loadAt + replica.load.reportAgeMs;
 }
 
+/** The target with its predicted time to first token. */
 function predict(
   input: RoutingInput,
   target: RoutingTarget,
@@ -95,7 +105,7 @@
       : prefillMs(input, target, cachedTokens);
   return {
     target,
-    predictedFirstTokenMs: workMs + wayMs(input, target),
+    predictedFirstTokenMs: workMs + networkMs(input, target),
     cachedTokens,
     reason: atHome
       ? 'least predicted first token; home of the prefix'
@@ -103,40 +113,43 @@
   };
 }
 
+/** Time to prefill the queued prompts and the own prompt, in milliseconds. */
 function prefillMs(
   input: RoutingInput,
   target: RoutingTarget,
   cachedTokens: number,
 ): number {
   const {load} = target.replica;
-  const rate = load.prefillTokensPerSec || UNKNOWN_TOKENS_PER_SEC;
-  const ahead = backlogAhead(input, target) + target.unreportedTokens;
-  const own = Math.max(0, input.request.promptTokens - cachedTokens);
-  const waitTokens = Math.max(ahead, heldAhead(input, target));
-  return ((waitTokens + own) / rate) * 1_000 + load.stepMs;
+  const rate = load.prefillTokensPerSec || DEFAULT_TOKENS_PER_SEC;
+  const queuedTokens = backlogTokens(input, target) + target.unreportedTokens;
+  const ownTokens = Math.max(0, input.request.promptTokens - cachedTokens);
+  const waitTokens = Math.max(queuedTokens, memoryWaitTokens(input, target));
+  return ((waitTokens + ownTokens) / rate) * 1_000 + load.stepMs;
 }
 
 /**
- * Tokens to prefill before the engine has memory for the request: what holds
- * the memory is on average half done. A member of a group shows no backlog of
- * its own, and yet may hold nearly all of its engine for as long as the
- * group's prefill takes.
+ * Tokens to prefill before the engine has memory for the request. The runs that
+ * use the memory are half prefilled on average. A member of a group reports no
+ * backlog of its own, but may use nearly all memory of its engine during the
+ * group's prefill.
  */
-function heldAhead(input: RoutingInput, target: RoutingTarget): number {
+function memoryWaitTokens(input: RoutingInput, target: RoutingTarget): number {
   const {capacityTokens, freeTokens} = target.replica.load;
   if (capacityTokens === 0) return 0;
   const {promptTokens, maxTokens} = input.request;
-  const free = freeTokens - target.unreportedTokens;
-  if (promptTokens + maxTokens <= free) return 0;
-  return (capacityTokens - freeTokens) * HELD_LEFT;
+  const freeAfterOwn = freeTokens - target.unreportedTokens;
+  if (promptTokens + maxTokens <= freeAfterOwn) return 0;
+  return (capacityTokens - freeTokens) * REMAINING_PREFILL_SHARE;
 }
 
-function backlogAhead(input: RoutingInput, target: RoutingTarget): number {
+/** Reported backlog that delays the request, in tokens. */
+function backlogTokens(input: RoutingInput, target: RoutingTarget): number {
   const {prefillBacklogTokens, shortBacklogTokens} = target.replica.load;
   if (!input.request.short) return prefillBacklogTokens;
-  const longer = Math.max(0, prefillBacklogTokens - shortBacklogTokens);
+  const longerTokens = Math.max(0, prefillBacklogTokens - shortBacklogTokens);
   return (
-    shortBacklogTokens + Math.min(longer, LONGER_MOST_TOKENS) * LONGER_FOR_SHORT
+    shortBacklogTokens +
+    Math.min(longerTokens, MAX_LONGER_TOKENS) * LONGER_WEIGHT
   );
 }
 
@@ -145,80 +158,89 @@
   return running + queued + target.unreportedRequests;
 }
 
-function wayMs(input: RoutingInput, target: RoutingTarget): number {
+/** Round trip to the target and the cost of another failure domain. */
+function networkMs(input: RoutingInput, target: RoutingTarget): number {
   const {replica} = target;
-  const other = replica.failureDomain !== input.ownFailureDomain;
-  return replica.rttMs + (other ? OTHER_DOMAIN_MS : 0);
+  const isOtherDomain = replica.failureDomain !== input.ownFailureDomain;
+  return replica.rttMs + (isOtherDomain ? OTHER_DOMAIN_MS : 0);
 }
 
 /**
- * The engines to which long prompts go first: the same for all entries, so
- * that the other engines stay free of long prefill for short prompts.
+ * The engines that long prompts prefer. All entries compute the same set, so the
+ * other engines stay free of long prefills for short prompts.
  */
-function enginesForLong(input: RoutingInput): ReadonlySet<Address> {
+function enginesForLongPrompts(input: RoutingInput): ReadonlySet<Address> {
   const addresses = input.targets.map(target => target.replica.address);
   const count = Math.ceil(input.weights.longShare * addresses.length);
-  return new Set(rendezvousNames(LONG_KEY, addresses).slice(0, count));
+  return new Set(rendezvousNames(LONG_PROMPTS_KEY, addresses).slice(0, count));
 }
 
-/** A lean, not a wall: with those engines full, a long prompt goes elsewhere. */
-function outsideLongShareMs(input: RoutingInput): number {
+/**
+ * Cost of an engine outside that set for a long prompt, in milliseconds; 0 for
+ * other prompts. The cost is small enough that a long prompt uses other engines
+ * when those in the set are full.
+ */
+function outsideCost(input: RoutingInput): number {
   const {promptTokens} = input.request;
-  if (promptTokens <= LONG_TOKENS) return 0;
-  return (promptTokens / UNKNOWN_TOKENS_PER_SEC) * 1_000 * OUTSIDE_SHARE;
+  if (promptTokens <= LONG_PROMPT_TOKENS) return 0;
+  return (promptTokens / DEFAULT_TOKENS_PER_SEC) * 1_000 * OUTSIDE_COST_SHARE;
 }
 
-/** The prediction as it ranks: noise grows with the age of the report. */
+/** The prediction with random noise that grows with the age of the report. */
 function scoreOf(
   input: RoutingInput,
   ranked: RankedTarget,
   home: string | undefined,
 ): number {
   const {replica} = ranked.target;
-  const ageMs = ageOf(input, ranked.target);
-  const doubt = ageMs / (ageMs + HALF_TRUST_AGE_MS);
-  const noise = 1 + doubt * input.random.next();
-  const lean = replica.address === home ? newPrefixLeanMs(input, ranked) : 0;
-  return ranked.predictedFirstTokenMs * noise - lean;
+  const ageMs = reportAgeMs(input, ranked.target);
+  const uncertainty = ageMs / (ageMs + HALF_TRUST_AGE_MS);
+  const noiseFactor = 1 + uncertainty * input.random.next();
+  const bonusMs =
+    replica.address === home ? newPrefixBonusMs(input, ranked) : 0;
+  return ranked.predictedFirstTokenMs * noiseFactor - bonusMs;
 }
 
-function newPrefixLeanMs(input: RoutingInput, ranked: RankedTarget): number {
+/** Bonus that brings prompts with a new prefix to their home. */
+function newPrefixBonusMs(input: RoutingInput, ranked: RankedTarget): number {
   if (ranked.cachedTokens > 0) return 0;
   const {load} = ranked.target.replica;
-  const rate = load.prefillTokensPerSec || UNKNOWN_TOKENS_PER_SEC;
-  return (input.request.promptTokens / rate) * 1_000 * NEW_PREFIX_LEAN;
+  const rate = load.prefillTokensPerSec || DEFAULT_TOKENS_PER_SEC;
+  return (input.request.promptTokens / rate) * 1_000 * NEW_PREFIX_BONUS_SHARE;
 }
 
 /**
- * The target where prompts with these leading blocks meet: first in rendezvous
- * order whose load is not too far over the mean, so that one popular prefix
- * cannot bury its home.
+ * The target that serves prompts with this leading block: the first in
+ * rendezvous order whose load is within a bound above the mean. The bound
+ * prevents that one popular prefix overloads its home.
  */
-function prefixHome(input: RoutingInput): string | undefined {
-  const leading = input.request.prefixHashes[0];
-  if (leading === undefined || input.weights.prefixWeight <= 0) {
+function prefixHomeOf(input: RoutingInput): string | undefined {
+  const leadingBlock = input.request.prefixHashes[0];
+  if (leadingBlock === undefined || input.weights.prefixWeight <= 0) {
     return undefined;
   }
   const byAddress = new Map(
     input.targets.map(target => [target.replica.address, target]),
   );
-  const mean = meanOf(input.targets.map(workOf));
-  const most = (mean + input.request.promptTokens) * factorOf(input);
-  return rendezvousNames(leading, [...byAddress.keys()]).find(address => {
+  const meanTokens = meanOf(input.targets.map(pendingTokens));
+  const maxPendingTokens =
+    (meanTokens + input.request.promptTokens) * loadFactorOf(input);
+  return rendezvousNames(leadingBlock, [...byAddress.keys()]).find(address => {
     const target = byAddress.get(address);
     return (
       target !== undefined &&
-      workOf(target) + input.request.promptTokens <= most
+      pendingTokens(target) + input.request.promptTokens <= maxPendingTokens
     );
   });
 }
 
-function factorOf(input: RoutingInput): number {
+/** Bound on a home's load, as a multiple of the mean. */
+function loadFactorOf(input: RoutingInput): number {
   return Math.max(1, input.weights.boundedLoadFactor);
 }
 
-/** Prompt tokens ahead at a target. */
-function workOf(target: RoutingTarget): number {
+/** Prompt tokens queued at a target, with those not yet reported. */
+function pendingTokens(target: RoutingTarget): number {
   return target.replica.load.prefillBacklogTokens + target.unreportedTokens;
 }
 
--- a/src/policy/random_order.ts
+++ b/src/policy/random_order.ts
@@ -1,6 +1,7 @@
-/** Orders of candidates that depend on chance. */
+/** Random orders of routing targets. */
 import type {RoutingInput, RoutingTarget} from './routing.js';
 
+/** The targets in uniformly random order. */
 export function shuffled(input: RoutingInput): RoutingTarget[] {
   const targets = [...input.targets];
   for (let at = targets.length - 1; at > 0; at--) {
@@ -10,12 +11,12 @@
   return targets;
 }
 
-/** Two at a time, the lesser of each two first. */
+/** Orders each two consecutive targets by `compare`, the lesser first. */
 export function orderPairs(
-  drawn: readonly RoutingTarget[],
+  shuffledTargets: readonly RoutingTarget[],
   compare: (a: RoutingTarget, b: RoutingTarget) => number,
 ): RoutingTarget[] {
-  const ordered = [...drawn];
+  const ordered = [...shuffledTargets];
   for (let at = 0; at + 1 < ordered.length; at += 2) {
     const [a, b] = [ordered[at], ordered[at + 1]];
     if (compare(b, a) < 0) {
--- a/src/policy/routing_policies.ts
+++ b/src/policy/routing_policies.ts
@@ -1,34 +1,41 @@
-/** The routing policies by name, as the configuration names them. */
+/** The routing policies, by the names that the configuration uses. */
 import {predictedFirstToken} from './predicted_first_token.js';
 import {orderPairs, shuffled} from './random_order.js';
 import type {RankedTarget, RoutingPolicy, RoutingTarget} from './routing.js';
 
 /** Cycles through the targets in order of address. */
 export function createRoundRobin(): RoutingPolicy {
-  let turn = 0;
+  let nextTurn = 0;
   return input => {
     const sorted = [...input.targets].sort(byAddress);
-    const first = sorted.length === 0 ? 0 : turn++ % sorted.length;
-    const order = [...sorted.slice(first), ...sorted.slice(0, first)];
-    return order.map(target => plain(target, 'next in turn'));
+    const startIndex = sorted.length === 0 ? 0 : nextTurn++ % sorted.length;
+    const order = [...sorted.slice(startIndex), ...sorted.slice(0, startIndex)];
+    return order.map(target => withoutPrediction(target, 'next in turn'));
   };
 }
 
-/** Fewest requests, running, queued and unreported; ties by chance. */
+/** Fewest running, queued and unreported requests; ties in random order. */
 export const leastRequests: RoutingPolicy = input =>
   shuffled(input)
-    .sort((a, b) => requestsOf(a) - requestsOf(b))
-    .map(target => plain(target, `${requestsOf(target)} requests`));
+    .sort((a, b) => requestCount(a) - requestCount(b))
+    .map(target =>
+      withoutPrediction(target, `${requestCount(target)} requests`),
+    );
 
-/** The lesser of two drawn by chance, then two others, and so on. */
+/** Random pairs of targets, in each the one with fewer requests first. */
 export const randomPairs: RoutingPolicy = input => {
-  const fewerFirst = (a: RoutingTarget, b: RoutingTarget) =>
-    requestsOf(a) - requestsOf(b);
-  const drawn = orderPairs(shuffled(input), fewerFirst);
-  return drawn.map(target => plain(target, 'lesser of a random pair'));
+  const fewerRequestsFirst = (a: RoutingTarget, b: RoutingTarget) =>
+    requestCount(a) - requestCount(b);
+  const paired = orderPairs(shuffled(input), fewerRequestsFirst);
+  return paired.map(target =>
+    withoutPrediction(target, 'lesser of a random pair'),
+  );
 };
 
-/** Makes a lookup with its own turn counter for round robin. */
+/**
+ * Creates a lookup by name with its own round-robin counter. An unknown name
+ * gives `predictedFirstToken`.
+ */
 export function createRoutingPolicies(): (name: string) => RoutingPolicy {
   const byName = new Map<string, RoutingPolicy>([
     ['predicted-first-token', predictedFirstToken],
@@ -39,11 +46,14 @@
   return name => byName.get(name) ?? predictedFirstToken;
 }
 
-function plain(target: RoutingTarget, reason: string): RankedTarget {
+function withoutPrediction(
+  target: RoutingTarget,
+  reason: string,
+): RankedTarget {
   return {target, predictedFirstTokenMs: 0, cachedTokens: 0, reason};
 }
 
-function requestsOf(target: RoutingTarget): number {
+function requestCount(target: RoutingTarget): number {
   const {running, queued} = target.replica.load;
   return running + queued + target.unreportedRequests;
 }
--- a/src/policy/side_queue.ts
+++ b/src/policy/side_queue.ts
@@ -1,7 +1,8 @@
 /**
- * Queue policies of a side. `classQueue` keeps memory and places for short
- * prompts, ages what waits, shares between organisations by weight and takes
- * the least slack first; `fcfsQueue` is the baseline.
+ * Queue policies of a side. `classQueue` reserves memory for short prompts,
+ * limits the runs of a length class, raises waiting runs with age, shares service
+ * between organisations by weight, and starts the run with the least slack first.
+ * `fcfsQueue` serves in order of arrival and is the baseline for comparisons.
  */
 import type {
   QueueChoice,
@@ -10,73 +11,84 @@
   QueueView,
 } from '../side/queue_policy.js';
 
-/** Engine priorities of one length class; declared ones lie within. */
+/** Engine priorities per length class; a run's own priority is added to them. */
 const PRIORITIES_PER_CLASS = 100;
-/** Without classes the engine serves in order of arrival. */
-const FIRST_COME_PRIORITY = 0;
-/** A run that waited this many ageing steps is not overtaken for memory. */
-const PATIENCE_STEPS = 3;
+/** With one priority for all runs, the engine serves in order of arrival. */
+const FCFS_ENGINE_PRIORITY = 0;
+/**
+ * Once a run has waited this many ageing steps for memory, other runs overtake it
+ * only within the memory floor of the shortest class.
+ */
+const MAX_OVERTAKEN_STEPS = 3;
 
-function slackOf(view: QueueView, item: QueueItem): number {
+/** Time left to the deadline after the predicted service time. */
+function slackMs(view: QueueView, item: QueueItem): number {
   return item.deadlineAt - view.now - item.serviceMs;
 }
 
-function agedSteps(view: QueueView, item: QueueItem): number {
+/** Whole ageing steps that the run has waited. */
+function ageingSteps(view: QueueView, item: QueueItem): number {
   return Math.floor((view.now - item.enqueuedAt) / view.ageingMs);
 }
 
-/** Lower goes first; each ageing step lifts by one. */
-function levelOf(view: QueueView, item: QueueItem): number {
-  return item.classIndex + item.priority - agedSteps(view, item);
+/** Lower levels start first; each ageing step lowers the level by one. */
+function urgencyLevel(view: QueueView, item: QueueItem): number {
+  return item.classIndex + item.priority - ageingSteps(view, item);
 }
 
-function servedOf(view: QueueView, item: QueueItem): number {
+/** Service that the run's organisation has received, divided by its weight. */
+function servedShare(view: QueueView, item: QueueItem): number {
   return view.served.get(item.organisation) ?? 0;
 }
 
-function hasPlace(view: QueueView, item: QueueItem): boolean {
+/** Whether the limits of the side and of the run's class allow one more run. */
+function hasFreeSlot(view: QueueView, item: QueueItem): boolean {
   if (view.running.length >= view.maxRunning) return false;
-  const most = view.classes[item.classIndex]?.maxRunning ?? 0;
-  if (most === 0) return true;
-  const same = view.running.filter(r => r.classIndex === item.classIndex);
-  return same.length < most;
+  const maxRunning = view.classes[item.classIndex]?.maxRunning ?? 0;
+  if (maxRunning === 0) return true;
+  const sameClass = view.running.filter(r => r.classIndex === item.classIndex);
+  return sameClass.length < maxRunning;
 }
 
-/** Memory that shorter classes have kept free and do not use yet. */
-function keptForShorter(view: QueueView, item: QueueItem): number {
-  let kept = 0;
+/** Unused memory that is reserved for shorter classes, in tokens. */
+function reservedForShorter(view: QueueView, item: QueueItem): number {
+  let reservedTokens = 0;
   for (let index = 0; index < item.classIndex; index++) {
-    const floor = (view.classes[index]?.memoryFloor ?? 0) * view.capacityTokens;
-    const used = view.running
+    const floorTokens =
+      (view.classes[index]?.memoryFloor ?? 0) * view.capacityTokens;
+    const usedTokens = view.running
       .filter(r => r.classIndex === index)
       .reduce((sum, r) => sum + r.memoryTokens, 0);
-    kept += Math.max(0, floor - used);
+    reservedTokens += Math.max(0, floorTokens - usedTokens);
   }
-  return kept;
+  return reservedTokens;
 }
 
+/** Whether the free memory suffices, without the reserves of shorter classes. */
 function fitsMemory(view: QueueView, item: QueueItem): boolean {
   if (view.capacityTokens === 0) return true;
   if (item.memoryTokens > view.freeTokens) return false;
-  // A prompt over the unkept part would never start: alone, it may.
+  // A prompt larger than the unreserved memory would never start otherwise. It
+  // may start on an idle engine.
   if (view.running.length === 0) return true;
-  return item.memoryTokens <= view.freeTokens - keptForShorter(view, item);
+  return item.memoryTokens <= view.freeTokens - reservedForShorter(view, item);
 }
 
-/** The floor of the shortest class that is still unused. */
-function floorLeft(view: QueueView): number {
-  const floor = (view.classes[0]?.memoryFloor ?? 0) * view.capacityTokens;
-  const used = view.running
+/** Unused part of the shortest class's memory floor, in tokens. */
+function unusedShortFloor(view: QueueView): number {
+  const floorTokens = (view.classes[0]?.memoryFloor ?? 0) * view.capacityTokens;
+  const usedTokens = view.running
     .filter(r => r.classIndex === 0)
     .reduce((sum, r) => sum + r.memoryTokens, 0);
-  return Math.max(0, floor - used);
+  return Math.max(0, floorTokens - usedTokens);
 }
 
+/** Compares runs by level, served share, slack and arrival, in that order. */
 function byUrgency(view: QueueView): (a: QueueItem, b: QueueItem) => number {
   return (a, b) =>
-    levelOf(view, a) - levelOf(view, b) ||
-    servedOf(view, a) - servedOf(view, b) ||
-    slackOf(view, a) - slackOf(view, b) ||
+    urgencyLevel(view, a) - urgencyLevel(view, b) ||
+    servedShare(view, a) - servedShare(view, b) ||
+    slackMs(view, a) - slackMs(view, b) ||
     a.enqueuedAt - b.enqueuedAt;
 }
 
@@ -94,23 +106,24 @@
 
 function chooseByClass(view: QueueView): QueueChoice | undefined {
   const order = [...view.waiting].sort(byUrgency(view));
-  let patientWaits = false;
+  let isOldRunBlocked = false;
   for (const item of order) {
-    if (!hasPlace(view, item)) continue;
-    // Short runs would take each piece of memory that gets free, and a long
-    // one would wait for ever: once it has waited long enough, only what stays
-    // within the short floor passes it.
-    const passes = !patientWaits || mayPass(view, item);
-    if (passes && fitsMemory(view, item)) {
+    if (!hasFreeSlot(view, item)) continue;
+    // Short runs would take all memory that becomes free, and a long run would
+    // never start. Once it has waited long enough, only runs that fit into the
+    // memory floor of the shortest class may start before it.
+    const mayStart = !isOldRunBlocked || fitsShortFloor(view, item);
+    if (mayStart && fitsMemory(view, item)) {
       return choiceOf(item, reasonOf(view, item, order));
     }
-    if (agedSteps(view, item) >= PATIENCE_STEPS) patientWaits = true;
+    if (ageingSteps(view, item) >= MAX_OVERTAKEN_STEPS) isOldRunBlocked = true;
   }
   return undefined;
 }
 
-function mayPass(view: QueueView, item: QueueItem): boolean {
-  return item.classIndex === 0 && item.memoryTokens <= floorLeft(view);
+/** Whether the run fits into the memory floor of the shortest class. */
+function fitsShortFloor(view: QueueView, item: QueueItem): boolean {
+  return item.classIndex === 0 && item.memoryTokens <= unusedShortFloor(view);
 }
 
 function reasonOf(
@@ -119,34 +132,35 @@
   order: readonly QueueItem[],
 ): string {
   if (order[0] !== item) return 'fits-before-blocked';
-  return agedSteps(view, item) > 0 ? 'aged' : 'most-urgent';
+  return ageingSteps(view, item) > 0 ? 'aged' : 'most-urgent';
 }
 
-/** Length classes, ageing, fair shares, least slack. */
+/** Queue with length classes, ageing, fair shares and least slack first. */
 export const classQueue: QueuePolicy = {
   name: 'class',
   choose: chooseByClass,
   enginePriority: enginePriorityOf,
-  waitsFor: (view, item, other) => levelOf(view, other) <= levelOf(view, item),
+  waitsFor: (view, item, other) =>
+    urgencyLevel(view, other) <= urgencyLevel(view, item),
 };
 
-function chooseFirst(view: QueueView): QueueChoice | undefined {
+function chooseFirstCome(view: QueueView): QueueChoice | undefined {
   const [first] = [...view.waiting].sort((a, b) => a.enqueuedAt - b.enqueuedAt);
   if (first === undefined) return undefined;
   if (view.running.length >= view.maxRunning) return undefined;
-  const counted = view.capacityTokens > 0;
-  if (counted && first.memoryTokens > view.freeTokens) return undefined;
+  const countsMemory = view.capacityTokens > 0;
+  if (countsMemory && first.memoryTokens > view.freeTokens) return undefined;
   return {
     dispatchId: first.dispatchId,
-    enginePriority: FIRST_COME_PRIORITY,
+    enginePriority: FCFS_ENGINE_PRIORITY,
     reason: 'first-come',
   };
 }
 
-/** First come, first served. */
+/** First come, first served; the first run blocks all others. */
 export const fcfsQueue: QueuePolicy = {
   name: 'fcfs',
-  choose: chooseFirst,
-  enginePriority: () => FIRST_COME_PRIORITY,
+  choose: chooseFirstCome,
+  enginePriority: () => FCFS_ENGINE_PRIORITY,
   waitsFor: (_view, item, other) => other.enqueuedAt <= item.enqueuedAt,
 };
