--- a/test/assignments.test.ts
+++ b/test/assignments.test.ts
@@ -1,4 +1,4 @@
-/** What an entry counts of its own at a side whose load reports stand still. */
+/** An entry's count of its own assignments to a side without new load reports. */
 import {describe, expect, it} from 'vitest';
 import type {RoutingPolicy} from '../src/policy/routing.js';
 import {createRoutingPolicies} from '../src/policy/routing_policies.js';
@@ -6,60 +6,61 @@
 import {answerThree, failed} from './support/scripted_side.js';
 import type {SideScript} from './support/scripted_side.js';
 
-/** Attempts that are over no longer count after this. */
-const OVER_FOR_MS = 11_000;
+/** Time after which ended attempts no longer count, in milliseconds. */
+const ENDED_ATTEMPT_MS = 11_000;
 
-/** Shows what the last decision was told of the entry's own assignments. */
-async function startWatched(sides: readonly SideScript[]) {
+/** An entry, and the number of own assignments that the last decision used. */
+async function startObservedEntry(sides: readonly SideScript[]) {
   const policy = createRoutingPolicies()('least-requests');
-  let last: readonly number[] = [];
+  let lastCounts: readonly number[] = [];
   const routingPolicy: RoutingPolicy = input => {
-    last = input.targets.map(target => target.unreportedRequests);
+    lastCounts = input.targets.map(target => target.unreportedRequests);
     return policy(input);
   };
   const entry = await startEntry({
     sides,
     requests: {routingPolicy: () => routingPolicy},
   });
-  const counted = async () => {
+  const countAssignments = async () => {
     entry.submit();
     await entry.clock.runFor(1);
-    return last.reduce((sum, count) => sum + count, 0);
+    return lastCounts.reduce((sum, count) => sum + count, 0);
   };
-  return {entry, counted};
+  return {entry, countAssignments};
 }
 
 describe('the assignments of an entry', () => {
-  // No heartbeat is answered any more, so no report ever counts what was sent.
-  // Requests come and end for hours: were they kept, the lists would grow, and
-  // the side that once served most would look the busiest for good.
-  it('are forgotten when their request ends without a report', async () => {
-    const {entry, counted} = await startWatched([{}, {}]);
+  // Heartbeats get no answers, so no report includes the requests. If they were
+  // kept, lists would grow, and the side that served most would look busiest.
+  it('are dropped when their request ends without a report', async () => {
+    const {entry, countAssignments} = await startObservedEntry([{}, {}]);
     for (let count = 0; count < 50; count++) {
       entry.submit();
       await entry.clock.runFor(100);
     }
-    await entry.clock.runFor(OVER_FOR_MS);
-    expect(await counted()).toBe(0);
+    await entry.clock.runFor(ENDED_ATTEMPT_MS);
+    expect(await countAssignments()).toBe(0);
   });
 
-  it('are forgotten when the run fails', async () => {
-    const {entry, counted} = await startWatched([
+  it('are dropped when the run fails', async () => {
+    const {entry, countAssignments} = await startObservedEntry([
       {run: (_, run) => run.send(failed(run.dispatchId, 'yes', 'bad-request'))},
     ]);
     entry.submit();
-    await entry.clock.runFor(OVER_FOR_MS);
-    expect(await counted()).toBe(0);
+    await entry.clock.runFor(ENDED_ATTEMPT_MS);
+    expect(await countAssignments()).toBe(0);
   });
 
-  it('count while their request goes on', async () => {
-    const {entry, counted} = await startWatched([{run: () => undefined}]);
+  it('count while their request runs', async () => {
+    const {entry, countAssignments} = await startObservedEntry([
+      {run: () => undefined},
+    ]);
     entry.submit();
-    await entry.clock.runFor(OVER_FOR_MS);
-    expect(await counted()).toBe(1);
+    await entry.clock.runFor(ENDED_ATTEMPT_MS);
+    expect(await countAssignments()).toBe(1);
   });
 
-  it('are forgotten at all members when a group ends', async () => {
+  it('are dropped at all members when a group ends', async () => {
     const member: SideScript = {
       run: (side, run) => {
         const offer = side.offers.find(
@@ -69,10 +70,14 @@
         else run.send({kind: 'started'});
       },
     };
-    const {entry, counted} = await startWatched([member, member, member]);
+    const {entry, countAssignments} = await startObservedEntry([
+      member,
+      member,
+      member,
+    ]);
     const caller = entry.submit({promptTokens: 1_000_000, deadlineAt: 600_000});
-    await entry.clock.runFor(OVER_FOR_MS);
+    await entry.clock.runFor(ENDED_ATTEMPT_MS);
     expect(caller.final()).toMatchObject({kind: 'end'});
-    expect(await counted()).toBe(0);
+    expect(await countAssignments()).toBe(0);
   });
 });
--- a/test/routing_policies.test.ts
+++ b/test/routing_policies.test.ts
@@ -1,4 +1,4 @@
-/** Order of candidates under each routing policy. */
+/** The order of candidates under each routing policy. */
 import {describe, expect, it} from 'vitest';
 import {createAssignments} from '../src/entry/routing/assignments.js';
 import {predictedFirstToken} from '../src/policy/predicted_first_token.js';
@@ -74,25 +74,25 @@
     expect(firstOf(inputOf([slow, busy, targetOf('c')]))).toBe('c');
   });
 
-  it('keeps a short prompt from engines with short work ahead', () => {
-    const archive = targetOf('a', {prefillBacklogTokens: 40_000});
-    const alerts = targetOf('b', {
+  it('keeps a short prompt from engines with a backlog of short prompts', () => {
+    const longBacklog = targetOf('a', {prefillBacklogTokens: 40_000});
+    const shortBacklog = targetOf('b', {
       prefillBacklogTokens: 20_000,
       shortBacklogTokens: 20_000,
     });
-    const short = inputOf([archive, alerts]);
+    const short = inputOf([longBacklog, shortBacklog]);
     expect(firstOf(short)).toBe('a');
     expect(firstOf({...short, request: {...short.request, short: false}})).toBe(
       'b',
     );
   });
 
-  it('stays in its failure domain between equals', () => {
+  it('prefers the own failure domain between equal targets', () => {
     const far = targetOf('a', {}, {failureDomain: 'kg-b', rttMs: 2});
     expect(firstOf(inputOf([far, targetOf('b')]))).toBe('b');
   });
 
-  it('brings a known prefix to one home, until that is overloaded', () => {
+  it('routes a known prefix to one home until that is overloaded', () => {
     const addresses = ['a', 'b', 'c', 'd'];
     const prefix = {
       request: {
@@ -101,28 +101,27 @@
       },
       knownPrefixTokens: 3_000,
     };
-    const at = (load: (address: string) => Partial<SideLoad>) =>
+    const homeFor = (load: (address: string) => Partial<SideLoad>) =>
       firstOf(
         inputOf(
           addresses.map(address => targetOf(address, load(address))),
           prefix,
         ),
       );
-    const home = at(() => ({}));
-    const others = at(() => ({prefillBacklogTokens: 1_000}));
-    expect(others).toBe(home);
-    const buried = at(address =>
+    const home = homeFor(() => ({}));
+    const busyOthers = homeFor(() => ({prefillBacklogTokens: 1_000}));
+    expect(busyOthers).toBe(home);
+    const overloadedHome = homeFor(address =>
       address === home
         ? {prefillBacklogTokens: 2_500, shortBacklogTokens: 2_500}
         : {},
     );
-    expect(buried).not.toBe(home);
+    expect(overloadedHome).not.toBe(home);
   });
 
-  // Load reports stand still for a while, as they do between two heartbeats.
-  // All requests that come meanwhile would go to the side that looked best; the
-  // entry's own assignments since the report must count.
-  it('spreads what comes between two load reports', () => {
+  // Between two heartbeats the load reports do not change. Without the entry's
+  // own assignments, all requests would go to the side with the best report.
+  it('spreads the requests between two load reports', () => {
     const replicas = ['a', 'b', 'c', 'd'].map(name => targetOf(name).replica);
     const assignments = createAssignments();
     const counts = new Map<string, number>();
@@ -142,9 +141,9 @@
     expect(Math.max(...counts.values())).toBeLessThanOrEqual(30);
   });
 
-  // Many entries see the same report, five seconds old, and none sees what the
-  // others send. Were the report trusted, all would choose the same side.
-  it('spreads over many entries when reports are old', () => {
+  // Many entries have the same report, five seconds old, and none knows the
+  // others' requests. If they trusted it, all would choose the same side.
+  it('spreads the requests of many entries when reports are old', () => {
     const random = createSeededRandom(11);
     const targets = ['a', 'b', 'c', 'd'].map((name, at) =>
       targetOf(name, {shortBacklogTokens: at * 200, reportAgeMs: 5_000}),
@@ -157,9 +156,9 @@
     expect(Math.max(...counts.values())).toBeLessThan(120);
   });
 
-  // Reports stopped half a minute ago, and the side that looked best then still
-  // does, to every entry. None sees what the others have sent since.
-  it('spreads over many entries when reports have stopped', () => {
+  // Reports stopped 30 s ago, so the same side still looks best to every entry.
+  // No entry knows what the others have sent since.
+  it('spreads the requests of many entries when reports have stopped', () => {
     const random = createSeededRandom(13);
     const targets = ['a', 'b', 'c', 'd'].map((name, at) =>
       targetOf(name, {shortBacklogTokens: at * 20_000}),
@@ -174,18 +173,18 @@
   });
 });
 
-describe('the plain policies', () => {
+describe('the policies without a prediction', () => {
   const policies = createRoutingPolicies();
   const busy = targetOf('a', {running: 5});
   const idle = targetOf('b', {running: 1});
 
-  it('round robin takes each in turn', () => {
+  it('round robin chooses each target in turn', () => {
     const policy = policies('round-robin');
     const first = () => policy(inputOf([busy, idle]))[0].target.replica.address;
     expect([first(), first(), first()]).toEqual(['a', 'b', 'a']);
   });
 
-  it('least requests and random pairs take the lesser', () => {
+  it('least requests and random pairs choose the target with fewer', () => {
     for (const name of ['least-requests', 'random-pairs']) {
       const ranked = policies(name)(inputOf([busy, idle]));
       expect(ranked.map(({target}) => target)).toEqual([idle, busy]);
--- a/test/side_queue.test.ts
+++ b/test/side_queue.test.ts
@@ -1,4 +1,4 @@
-/** Which waiting run starts next. */
+/** The choice of the waiting run that a side starts next. */
 import {expect, describe, test} from 'vitest';
 import {classQueue, fcfsQueue} from '../src/policy/side_queue.js';
 import type {QueueItem, QueueView} from '../src/side/queue_policy.js';
@@ -29,7 +29,10 @@
   lengthClass('long', 1_000_000, 0, 2),
 ];
 
-function item(dispatchId: string, over: Partial<QueueItem> = {}): QueueItem {
+function item(
+  dispatchId: string,
+  overrides: Partial<QueueItem> = {},
+): QueueItem {
   return {
     dispatchId,
     organisation: 'org-a',
@@ -41,14 +44,14 @@
     enqueuedAt: 0,
     deadlineAt: 60_000,
     serviceMs: 1_000,
-    ...over,
+    ...overrides,
   };
 }
 
-const long = (id: string, over: Partial<QueueItem> = {}) =>
-  item(id, {classIndex: 1, memoryTokens: 50_000, ...over});
+const longItem = (id: string, overrides: Partial<QueueItem> = {}) =>
+  item(id, {classIndex: 1, memoryTokens: 50_000, ...overrides});
 
-function view(over: Partial<QueueView> = {}): QueueView {
+function view(overrides: Partial<QueueView> = {}): QueueView {
   return {
     now: 0,
     waiting: [],
@@ -59,67 +62,69 @@
     classes: CLASSES,
     ageingMs: 10_000,
     served: new Map(),
-    ...over,
+    ...overrides,
   };
 }
 
-const chosen = (over: Partial<QueueView>) =>
-  classQueue.choose(view(over))?.dispatchId;
+const chosen = (overrides: Partial<QueueView>) =>
+  classQueue.choose(view(overrides))?.dispatchId;
 
 describe('the class queue', () => {
-  test('takes short before long and gives it the better engine priority', () => {
-    const waiting = [long('l'), item('s')];
+  test('starts short before long runs, with a better engine priority', () => {
+    const waiting = [longItem('l'), item('s')];
     expect(chosen({waiting})).toBe('s');
-    const first = classQueue.choose(view({waiting: [long('l')]}));
+    const first = classQueue.choose(view({waiting: [longItem('l')]}));
     const second = classQueue.choose(view({waiting: [item('s')]}));
     expect(first?.enginePriority).toBeGreaterThan(second?.enginePriority ?? 0);
   });
 
-  test('keeps the floor of short prompts free of long ones', () => {
-    // Long prompts fill the memory; an alert summary that comes now would wait
-    // for one of them to end, which takes minutes.
-    const running = [long('l1')];
-    const big = long('l2', {memoryTokens: 40_000});
+  test('keeps the memory floor of short prompts free of long ones', () => {
+    // If long prompts filled the memory, a short one would wait until one of them
+    // ends, which takes minutes.
+    const running = [longItem('l1')];
+    const big = longItem('l2', {memoryTokens: 40_000});
     expect(
       chosen({running, freeTokens: 50_000, waiting: [big]}),
     ).toBeUndefined();
-    const fits = long('l2', {memoryTokens: 30_000});
-    expect(chosen({running, freeTokens: 50_000, waiting: [fits]})).toBe('l2');
+    const fitting = longItem('l2', {memoryTokens: 30_000});
+    expect(chosen({running, freeTokens: 50_000, waiting: [fitting]})).toBe(
+      'l2',
+    );
     expect(chosen({running, freeTokens: 20_000, waiting: [item('s')]})).toBe(
       's',
     );
   });
 
-  test('lets a prompt over the unkept part run alone', () => {
-    const huge = long('l', {memoryTokens: 95_000});
+  test('starts a prompt larger than the unreserved memory on an idle side', () => {
+    const huge = longItem('l', {memoryTokens: 95_000});
     expect(chosen({waiting: [huge]})).toBe('l');
   });
 
-  test('bounds the long runs at once', () => {
+  test('limits the number of long runs at a time', () => {
     const running = [
-      long('l1', {memoryTokens: 1}),
-      long('l2', {memoryTokens: 1}),
+      longItem('l1', {memoryTokens: 1}),
+      longItem('l2', {memoryTokens: 1}),
     ];
-    const waiting = [long('l3', {memoryTokens: 1})];
+    const waiting = [longItem('l3', {memoryTokens: 1})];
     expect(chosen({running, waiting})).toBeUndefined();
   });
 
-  test('takes the least slack within a class', () => {
+  test('starts the run with the least slack within a class', () => {
     const waiting = [item('a'), item('b', {deadlineAt: 5_000})];
     expect(chosen({waiting})).toBe('b');
   });
 
-  test('ages what waits, so that long work is not starved', () => {
-    const waiting = [long('l'), item('s', {enqueuedAt: 25_000})];
+  test('raises waiting runs with age, so that long ones are not starved', () => {
+    const waiting = [longItem('l'), item('s', {enqueuedAt: 25_000})];
     expect(chosen({now: 25_000, waiting})).toBe('l');
   });
 
-  test('holds memory back for a long run that waited long enough', () => {
-    // Each short run that ends is replaced by the next, so that the memory a
-    // long run needs is never free at once.
+  test('reserves memory for a long run that has waited long enough', () => {
+    // Each short run that ends is replaced by the next one. The memory that a
+    // long run needs would never be free at one time.
     const running = Array.from({length: 60}, (_, i) => item(`s${i}`));
     const waiting = [
-      long('l', {memoryTokens: 70_000}),
+      longItem('l', {memoryTokens: 70_000}),
       item('s', {enqueuedAt: 1_000}),
     ];
     const early = {
@@ -133,7 +138,7 @@
     expect(chosen({...early, now: 40_000})).toBeUndefined();
   });
 
-  test('shares between organisations by weight', () => {
+  test('shares service between organisations by weight', () => {
     const shares = createFairShares();
     const started = {heavy: 0, light: 0};
     for (let i = 0; i < 90; i++) {
@@ -152,9 +157,9 @@
   });
 });
 
-test('first come first served lets a long head block what follows', () => {
+test('the first-come queue waits for memory of the first run', () => {
   const waiting = [
-    long('l', {memoryTokens: 70_000}),
+    longItem('l', {memoryTokens: 70_000}),
     item('s', {enqueuedAt: 1}),
   ];
   expect(fcfsQueue.choose(view({waiting, freeTokens: 40_000}))).toBeUndefined();
@@ -162,7 +167,7 @@
 });
 
 describe('learned rates', () => {
-  test('come near what is seen and leave idle time out', () => {
+  test('approach the measured rates and exclude idle time', () => {
     const rates = createLearnedRates(DEFAULT_RATE_PRIORS);
     for (let at = 0; at < 100_000; at += 1_000) {
       rates.prefillBusy(true, at);
@@ -174,13 +179,17 @@
     expect(rates.stepMs()).toBeCloseTo(50, 0);
   });
 
-  test('learn the stand-in engine from its events', async () => {
+  test('are learned from the events of a simulated engine', async () => {
     const rig = await createSideRig({
       priors: {prefillTokensPerSec: 2_000, stepMs: 5},
     });
     for (let i = 0; i < 12; i++) {
-      const over = {promptTokens: 40_000, maxTokens: 50, timeLeftMs: 600_000};
-      await rig.offer(`r${i}.0`, over);
+      const offerFields = {
+        promptTokens: 40_000,
+        maxTokens: 50,
+        timeLeftMs: 600_000,
+      };
+      await rig.offer(`r${i}.0`, offerFields);
       rig.goWhole(`r${i}.0`, 600_000);
       await rig.clock.runFor(8_000);
     }
@@ -192,7 +201,7 @@
   });
 });
 
-test('a start is logged with who was chosen and why', async () => {
+test('the start of a run is logged with the policy and the reason', async () => {
   const rig = await createSideRig();
   await rig.offer('r1.0');
   rig.goWhole('r1.0');
