--- a/src/direct/catch_up.ts
+++ b/src/direct/catch_up.ts
@@ -1,23 +1,29 @@
 /**
- * Decides when an entry takes over what another one knows of the store. As long
- * as its own calls are answered, the store's word is newer than anyone else's,
- * so another entry's is taken only when the own way has failed it.
+ * Decides when an entry takes over what another entry knows about the store.
+ * While its own calls are answered, the store is the more current source, so
+ * another entry is used only after this entry's own calls have failed to bring
+ * the change.
  *
  * A version of the configuration is the same wherever it comes from, and the
- * newest goes before all others, so the configuration may be taken at any time;
- * the own watch is given one question's time to bring it first. A list of
- * replicas bears no version: it is taken only while the store is lost to this
- * entry, and its own next read goes before it again.
+ * newest one replaces all others, so the configuration may be taken over at any
+ * time. This entry's own watch gets the time of one query to deliver it first.
+ * A list of replicas has no version. It is taken over only while this entry
+ * cannot reach the store, and the next own read replaces it.
  */
 import type {DirectConfig, DirectReplica, PeerAnswer} from './types.js';
 
-/** Answers in a row with a newer version until it is fetched from there. */
+/**
+ * Consecutive answers with a newer version after which the configuration is
+ * fetched from the other entry.
+ */
 const NEWER_ANSWERS_BEFORE_FETCH = 2;
 
 export interface CatchUpOptions {
-  /** Version in force here. */
+  /**
+   * Version of the configuration that is in force here; undefined without one.
+   */
   ownVersion(): number | undefined;
-  /** The last own call to the store failed. */
+  /** Whether the last own call to the store failed. */
   isStoreLost(): boolean;
   fetchConfig(from: PeerAnswer): Promise<DirectConfig | undefined>;
   fetchReplicas(
@@ -28,17 +34,18 @@
     replicas: ReadonlyMap<string, DirectReplica>,
     from: PeerAnswer,
   ): void;
-  /** It could not be fetched; the next answer tries again. */
+  /** The fetch failed; the next answer starts another one. */
   onFetchFailed(cause: unknown): void;
 }
 
 export interface CatchUp {
   /**
-   * Another entry has another configuration, on young evidence. True when it is
-   * fetched from there: the store need not be asked as well.
+   * Handles an answer with a different configuration. Returns true when the
+   * configuration is fetched from the other entry, so that the store need not
+   * be asked as well.
    */
   handleDifferentConfig(answer: PeerAnswer): boolean;
-  /** It has the same configuration. */
+  /** Handles an answer with the same configuration. */
   handleSameConfig(): void;
   handleDifferentReplicas(answer: PeerAnswer): void;
 }
--- a/src/direct/collection_follower.ts
+++ b/src/direct/collection_follower.ts
@@ -1,51 +1,66 @@
 /**
- * Follows one collection of the platform's store: reads it whole, then watches
- * from that position on. A store that has come back from an older copy is read
- * whole again. Watches are short: a connection may go silent without
- * a reset, and only a watch that fails to return shows it.
+ * Follows one collection of the platform's store: lists it, then watches for
+ * changes after the listed position. When the store was restored from an older
+ * copy, the collection is listed again. Watches are short, because a connection
+ * may fail silently and only a watch that does not return shows it.
  */
 import type {Cancel, Clock, Random} from '../types/runtime.js';
 import {isOlderEra, comparePositions} from './store_position.js';
 import type {StoreEra, StorePosition} from './store_position.js';
 import type {Collection, StoreFault} from './types.js';
 
-/** Pause after a failed call; doubles up to `retryMostMs`, with jitter. */
+/**
+ * First pause after a failed call, in milliseconds. It doubles up to
+ * `maxRetryMs` and is jittered.
+ */
 const MIN_RETRY_MS = 100;
 /**
- * A store that drops its history again and again would be read whole without a
- * pause between.
+ * At most one list within this time, in milliseconds, follows a watch whose
+ * history is gone without a pause. Otherwise a store that keeps losing its
+ * history would be listed in a tight loop.
  */
 const IMMEDIATE_REREAD_INTERVAL_MS = 1_000;
 
-/** What a call says of the next one; `wait`: after the pause for faults. */
+/**
+ * When to make the next call; `wait` means after the pause for failed calls.
+ */
 type Next = 'at once' | 'wait';
 
 type AnswerOrder = 'current' | 'overtaken' | 'restored' | 'older era';
 
-/** What is followed, and who is told. */
+/** What to follow and whom to notify. */
 export interface CollectionFollowerOptions<T> {
   readonly collection: Collection<T>;
   readonly clock: Clock;
   readonly random: Random;
-  /** Wait of the next watch, in milliseconds. */
+  /** How long the next watch waits for a change, in milliseconds. */
   waitMs(): number;
   /** Longest pause after a failed call, in milliseconds. */
   maxRetryMs(): number;
   /**
-   * Pause after changes. A watch returns at the first of them: of seventy that
-   * come within seconds each would cost a call.
+   * Pause after changes, in milliseconds. A watch returns at the first change,
+   * so without the pause each of seventy changes within a few seconds would
+   * cost a call.
    */
   readonly changePauseMs: number;
-  /** All items after a whole read; where it is partial, others may be there. */
+  /**
+   * Called with all items after a list; where it is partial, further items may
+   * exist.
+   */
   onList(items: ReadonlyMap<string, T>, isPartial: boolean): void;
-  /** Items that changed; undefined ones were removed. */
+  /**
+   * Called with the items that changed; an undefined value marks a removed
+   * item.
+   */
   onChanges(items: ReadonlyMap<string, T | undefined>): void;
   /**
-   * All that was acknowledged before the call was sent is known now.
+   * Every write that was acknowledged before the call was sent is known now.
    * `sentAt` is on this process's clock.
    */
   onConfirmed(sentAt: number): void;
-  /** The store has come back from an older copy; what it has is read anew. */
+  /**
+   * The store was restored from an older copy; the collection is listed again.
+   */
   onRestored(): void;
   onFault(fault: StoreFault): void;
 }
@@ -53,31 +68,39 @@
 /** A running follower. */
 export interface CollectionFollower {
   /**
-   * Reads the collection anew at once, beside the running watch. After a read
-   * that failed, only when the pause after a failed call is over.
+   * Lists the collection at once, while the watch continues. After a failed
+   * list it does so only once the longest pause for failed calls has passed.
    */
   rereadNow(): void;
-  /** The store is in this era now; what is known from an older one is read anew. */
+  /**
+   * Reports that the store is in this era now. A collection known from an older
+   * era is listed again.
+   */
   observeEra(era: StoreEra): void;
   stop(): void;
 }
 
-/** Starts to follow; ends with `stop`. */
+/** Starts to follow the collection until `stop` is called. */
 export function followCollection<T>(
   options: CollectionFollowerOptions<T>,
 ): CollectionFollower {
   const {collection, clock, random} = options;
   let isStopped = false;
   let position: StorePosition | undefined;
-  /** When the position was learned, on this process's clock. */
+  /** When the position was set, on this process's clock. */
   let positionSetAt = Number.NEGATIVE_INFINITY;
-  /** The newest that an answer has told. */
+  /** The newest era in any answer. */
   let era: StoreEra;
-  /** The newest watch could not go on from its position. */
+  /** Whether the last watch could not continue from its position. */
   let isWatchRefused = false;
-  /** When the collection was last read anew without a pause. */
+  /**
+   * When the collection was last listed without a pause after a watch failed.
+   */
   let immediateRereadAt = Number.NEGATIVE_INFINITY;
-  /** A store that was away may be back from a copy. */
+  /**
+   * Whether the store failed since the last answer; it may have been restored
+   * from a copy meanwhile.
+   */
   let isPositionDoubtful = false;
   let retryMs = MIN_RETRY_MS;
   let cancelPause: Cancel | undefined;
@@ -85,28 +108,30 @@
   let rereadFailedAt = Number.NEGATIVE_INFINITY;
   let hasChanged = false;
 
-  /** How the answer to a call that was sent at `sentAt` stands to what is known. */
+  /**
+   * Compares the answer to a call that was sent at `sentAt` with what is known.
+   */
   const classifyAnswer = (
-    answered: StorePosition,
+    answerPosition: StorePosition,
     sentAt: number,
   ): AnswerOrder => {
-    if (isOlderEra(answered.era, era)) return 'older era';
+    if (isOlderEra(answerPosition.era, era)) return 'older era';
     if (position === undefined) return 'current';
-    switch (comparePositions(answered, position)) {
+    switch (comparePositions(answerPosition, position)) {
       case 'newer era':
         return 'restored';
       case 'same or newer':
         return 'current';
-      // A call that was sent when the newer answer was there cannot be
-      // overtaken by it: the history itself has gone back.
+      // The call was sent after the newer answer arrived, so that answer cannot
+      // have overtaken it: the history itself went back.
       case 'older':
         return sentAt > positionSetAt ? 'restored' : 'overtaken';
     }
   };
-  const advance = (answered: StorePosition): void => {
-    position = answered;
+  const advance = (answerPosition: StorePosition): void => {
+    position = answerPosition;
     positionSetAt = clock.now();
-    era = answered.era ?? era;
+    era = answerPosition.era ?? era;
   };
 
   const mayRereadAtOnce = ({historyGone}: StoreFault): boolean =>
@@ -125,10 +150,11 @@
       },
       Right: listing => {
         const order = classifyAnswer(listing.position, sentAt);
-        // Late on its way, or a store that tells wrong eras: asked again at
-        // once, that one would be asked without end.
+        // The answer is late, or the store reports wrong eras. Such a store
+        // would be called in a tight loop if the next call followed at once.
         if (order === 'older era') return false;
-        // A read that was overtaken must not bring back old items.
+        // A list that was overtaken by a newer answer must not bring back old
+        // items.
         if (order === 'overtaken') return true;
         advance(listing.position);
         if (order === 'restored') options.onRestored();
@@ -141,8 +167,8 @@
 
   const watchOnce = async (from: StorePosition): Promise<Next> => {
     const sentAt = clock.now();
-    // Watched from a revision that was given out again, it might tell nothing
-    // for as long as it waits; its answer shows the era.
+    // If the revision was assigned again after a restore, a long watch might
+    // report nothing until it ends. An answer at once shows the era.
     const waitMs = isPositionDoubtful ? 0 : options.waitMs();
     const res = await collection.watch(from, waitMs);
     if (isStopped) return 'wait';
@@ -164,14 +190,15 @@
         isWatchRefused = false;
         retryMs = MIN_RETRY_MS;
         if (order === 'overtaken') return 'at once';
-        // These are the changes after a revision that was given out again;
-        // those before it in the new history are unknown.
+        // These changes follow a revision that was assigned again. The changes
+        // before it in the new history are unknown.
         if (order === 'restored') {
           position = undefined;
           options.onRestored();
           return 'at once';
         }
-        // The same, but a list of the new history has come in between.
+        // The same case, but the new history has already been listed during the
+        // watch.
         if (isOlderEra(from.era, changes.position.era)) return 'at once';
         advance(changes.position);
         hasChanged = changes.items.size > 0;
@@ -183,7 +210,7 @@
   };
   const readCollection = async (): Promise<Next> => {
     if (!(await readAll())) return 'wait';
-    // Reading does not show that a watch can go on from there.
+    // A list does not show that a watch can continue from its position.
     if (!isWatchRefused) retryMs = MIN_RETRY_MS;
     return 'at once';
   };
--- a/src/direct/config_proof.ts
+++ b/src/direct/config_proof.ts
@@ -1,47 +1,58 @@
 /**
- * Whether an answer of the store proves that the configuration in force here is
- * the newest, and so that no key has been taken away.
+ * Decides whether an answer of the store proves that the configuration in force
+ * here is the newest one, so that no key has been removed since.
  *
- * A store that comes back from an older copy has lost what operators wrote
- * since, and they write it again a little later. Until then its answers prove
- * nothing: taken as proof, they would let a key be used for as long as the
- * operators take, though the configuration that took it away was acknowledged.
+ * A store that was restored from an older copy has lost recent writes, and
+ * operators repeat them shortly afterwards. Until then its answers prove
+ * nothing: otherwise a key whose removal was acknowledged would be accepted
+ * again until the removal is repeated.
  *
- * An entry that starts cannot know whether the store came back just now, so it
- * first gives another entry the time to tell of a newer configuration. Where
- * nobody has recorded the store's era as settled, it gives operators theirs.
+ * An entry that starts cannot know whether the store was restored a moment ago.
+ * It first waits for another entry to report a newer configuration. Where no
+ * record says that the store's era is settled, it waits for as long as
+ * operators need.
  */
 import type {Clock, Log} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
 
 /**
- * Operators have written again by then what was lost. Keys may be used for
- * longer than that on evidence from before the store went away, so that a
- * return by itself refuses nobody.
+ * Time in milliseconds within which operators repeat the writes that a restore
+ * lost. It is shorter than the limit for which keys are accepted on evidence
+ * from before the outage, so that a restore alone causes no refusals.
  */
 export const REWRITE_GRACE_MS = 2_000;
 
-/** Another entry's word is there by then, also where the first that is asked is not. */
+/**
+ * Time in milliseconds within which another entry has answered, even if the
+ * first one queried does not.
+ */
 export const FIRST_PEER_ANSWER_MS = 600;
-/** A newer configuration that another entry tells of has been fetched by then. */
+/**
+ * Time in milliseconds within which a newer configuration that another entry
+ * reported has been fetched.
+ */
 const CONFIG_FETCH_GRACE_MS = 2_000;
 
 export interface ConfigProof {
-  /** The store has come back from an older copy. */
+  /** The store was restored from an older copy. */
   storeRestored(): void;
-  /** It has listed this version, or none. */
+  /** The store listed this version, or no configuration. */
   versionListed(version: number | undefined): void;
-  /** Another entry knows this version, which is newer than the one here. */
+  /**
+   * Another entry knows this version, which is newer than the one in force
+   * here.
+   */
   peerHasVersion(version: number): void;
-  /** It told that this version was written since. */
+  /** A watch reported that this version has been written. */
   versionWritten(version: number): void;
-  /** Whether its answers prove that `version` is the newest. */
+  /** Whether the store's answers prove that `version` is the newest one. */
   provesNewest(version: number | undefined): boolean;
 }
 
 /**
- * `tellsEra`: the store tells its era, and so may come back from a copy.
- * `isSettled`: its era is recorded as settled.
+ * `hasEra` returns whether the store reports its era, which means that it may
+ * be restored from a copy. `isSettled` returns whether that era is recorded as
+ * settled.
  */
 export function createConfigProof(
   clock: Clock,
--- a/src/direct/datagrams.ts
+++ b/src/direct/datagrams.ts
@@ -1,8 +1,9 @@
 /**
- * Datagrams between entries, and how they are read. A datagram may come from
- * another program or another version: what is not understood whole is dropped,
- * as a lost one would be. Taken as it came, a number that is none would spread
- * into every choice of an engine.
+ * Datagrams between entries: their types, encoding and validation. A datagram
+ * may come from another program or from another version of this one. One that
+ * is not valid in every part is dropped, just as if it had been lost. Without
+ * this check, a value that is not a number would spread into every choice of an
+ * engine.
  */
 import {isIPv4} from 'node:net';
 import {Codec, array, exactly, number, optional, string} from 'purify-ts/Codec';
@@ -13,16 +14,16 @@
 import {packLoads, unpackLoads} from './load_codec.js';
 import type {EntryAddress, StoreKnowledge} from './types.js';
 
-/** What an entry has assigned. */
+/** The complete load that an entry has assigned. */
 export interface LoadDatagram {
   readonly kind: 'load';
   readonly from: EntryAddress;
-  /** Grows with each datagram of one incarnation. */
+  /** Sequence number; grows with each load datagram of one incarnation. */
   readonly seq: number;
   readonly loads: readonly ReplicaLoad[];
 }
 
-/** What does the other entry know of the store? */
+/** Asks another entry what it knows about the store. */
 export interface AskDatagram {
   readonly kind: 'ask';
   readonly from: EntryAddress;
@@ -35,7 +36,7 @@
   readonly knowledge: StoreKnowledge;
 }
 
-/** Requests that may crash replicas. */
+/** Reports of requests that may crash replicas. */
 export interface CrashDatagram {
   readonly kind: 'crashes';
   readonly reports: readonly CrashReport[];
@@ -60,7 +61,7 @@
   kind: exactly('answer'),
   question: number,
   knowledge: Codec.interface({
-    /** Not told by earlier versions. */
+    /** Undefined from entries of earlier versions, which do not send it. */
     era: optional(number),
     evidenceAgeMs: optional(number),
     configVersion: optional(number),
@@ -85,7 +86,7 @@
   return Buffer.from(JSON.stringify(wire));
 }
 
-/** Nothing when the bytes are no datagram between entries. */
+/** Returns Nothing when the bytes are not a valid datagram between entries. */
 export function decodeDatagram(bytes: Buffer): Maybe<Datagram> {
   return parseJsonObject(bytes).chain((value): Maybe<Datagram> => {
     const {kind} = value;
@@ -116,12 +117,15 @@
     );
 }
 
-/** Ages are never negative: evidence cannot come from the future. */
+/** Rejects negative ages, since evidence cannot come from the future. */
 function isValidAnswer({knowledge: {evidenceAgeMs}}: AnswerDatagram): boolean {
   return evidenceAgeMs === undefined || evidenceAgeMs >= 0;
 }
 
-/** Whether datagrams may be sent there. */
+/**
+ * Whether the address is complete and valid, so that datagrams may be sent to
+ * it.
+ */
 export function isEntryAddress({node, ip, port}: EntryAddress): boolean {
   const isPort = Number.isInteger(port) && port > 0 && port < 65_536;
   return node !== '' && isIPv4(ip) && isPort;
--- a/src/direct/evidence.ts
+++ b/src/direct/evidence.ts
@@ -1,37 +1,52 @@
 /**
- * Until when a key may be taken as valid: no longer than `limitMs` after the
- * sending of the newest call to the store that was answered. An entry that is
- * cut off from the store would otherwise serve a key for as long as the cut
- * lasts after it was taken away.
+ * Decides how long a key may be accepted without news from the store: at most
+ * `maxAgeMs` after the newest answered call was sent. Otherwise an entry that
+ * is disconnected from the store would accept a removed key for as long as the
+ * disconnection lasts.
  *
- * A process that was suspended doesn't see the time on its monotonic clock, but
- * the time of day runs ahead of it. A stepped time of day looks the same; then
- * one more call to the store settles it.
+ * The monotonic clock does not advance while the process is suspended, but the
+ * time of day does, so a changed difference between the two shows a suspension.
+ * A step of the time of day looks the same. Evidence is then discarded, and one
+ * more call to the store replaces it.
  */
 import type {Clock} from '../types/runtime.js';
 
-/** Time of day and monotonic clock drift apart by less than this. */
+/**
+ * The time of day and the monotonic clock may drift apart by this much between
+ * two checks, in milliseconds. A larger difference counts as a suspension.
+ */
 const MAX_CLOCK_DRIFT_MS = 250;
-/** Two readings of one clock with the other's between them, on a free core. */
+/**
+ * Reading both clocks takes less than this on a free core, in milliseconds. A
+ * slower reading was interrupted and is repeated.
+ */
 const MAX_READING_MS = 20;
-/** Readings of the clocks before one that was held up is taken as it is. */
+/** After this many readings an interrupted one is used as it is. */
 const MAX_READING_ATTEMPTS = 3;
 
-/** Ready means that the store was heard of within this share of the bound. */
+/**
+ * An entry is ready while its evidence is younger than this share of the limit
+ * on removed keys.
+ */
 const READY_AGE_SHARE = 0.6;
 
-/** Older evidence makes an entry say that it is not ready. */
+/**
+ * Age of evidence, in milliseconds, from which on an entry reports that it is
+ * not ready.
+ */
 export function maxReadyAgeMs(revokeMs: number): number {
   return revokeMs * READY_AGE_SHARE;
 }
 
 export interface StoreEvidence {
   /**
-   * All that was acknowledged before `asOf` is known, from an answer to a
-   * question that was asked at `askedAt`. For an own call to the store both are
-   * the time of its sending. For another entry's word `asOf` is earlier by the
-   * age that it tells, which no suspension of this process can falsify: it
-   * counts though it lies before one, if only the question came after.
+   * Records that every write acknowledged before `asOf` is known, from an
+   * answer to a query sent at `askedAt`. For this entry's own call to the
+   * store, both are the time at which the call was sent. For another entry's
+   * answer, `asOf` is earlier by the age that the answer states. That age was
+   * measured elsewhere, so a suspension of this process cannot falsify it: such
+   * an answer counts even if `asOf` lies before a suspension, as long as
+   * `askedAt` lies after it.
    */
   confirm(asOf: number, askedAt: number): void;
   /** Age of the newest evidence, in milliseconds; infinite without any. */
@@ -39,14 +54,17 @@
   isFresh(): boolean;
 }
 
-/** `wallMs` is the time of day in milliseconds. */
+/** `wallMs` returns the time of day in milliseconds. */
 export function createStoreEvidence(
   clock: Clock,
   wallMs: () => number,
   maxAgeMs: number,
 ): StoreEvidence {
   let confirmedAt = Number.NEGATIVE_INFINITY;
-  /** Answers to what was asked before this time may look younger than they are. */
+  /**
+   * Time of the last detected suspension or clock step. Answers to earlier
+   * queries may be older than they appear.
+   */
   let invalidatedAt = Number.NEGATIVE_INFINITY;
   let clockOffset = readClockOffset(clock, wallMs);
 
@@ -76,9 +94,9 @@
 }
 
 /**
- * How far the time of day runs ahead of the monotonic clock. A process that is
- * put off between the two readings would see a step that is none, and take all
- * its evidence as void; such a reading is made anew.
+ * Time of day minus the monotonic clock, in milliseconds. A process that is
+ * interrupted between the two readings would detect a step where there was none
+ * and discard all its evidence, so an interrupted reading is repeated.
  */
 function readClockOffset(clock: Clock, wallMs: () => number): number {
   let offset = 0;
@@ -90,14 +108,18 @@
   return offset;
 }
 
-/** A request waits so long for the store to confirm its key. */
+/**
+ * How long a request waits for its key to be confirmed, in milliseconds. After
+ * that it is refused.
+ */
 const CONFIRM_TIMEOUT_MS = 400;
+/** Interval between checks for fresh evidence, in milliseconds. */
 const CONFIRM_POLL_MS = 20;
 
 /**
- * Whether keys may be taken as valid. Where the evidence has grown old, `ask`
- * asks the store, which answers in milliseconds; a freeze or a stepped clock
- * then costs callers that, and not a refusal.
+ * Resolves to whether keys may be accepted. Where the evidence is too old,
+ * `ask` queries the store, which answers within milliseconds. After a freeze or
+ * a clock step callers then see a short delay instead of a refusal.
  */
 export async function waitForFreshEvidence(
   clock: Clock,
--- a/src/direct/handover.ts
+++ b/src/direct/handover.ts
@@ -1,9 +1,10 @@
 /**
- * The service `handover`: hands other entries what this one knows of the store,
- * and fetches it from them. The store can turn some machines away and serve the
- * others; without this an entry that is turned away stays on the configuration
- * that it had, and from nine tenths of the bound on keys after the next change
- * on it refuses every request with a key.
+ * The service `handover`, which serves what this entry knows about the store to
+ * other entries, and fetches the same from them. The store may refuse some
+ * machines and serve the others. Without the handover, an entry that is refused
+ * would stay on its old configuration. After the next change it would refuse
+ * every request with a key as soon as nine tenths of the limit on removed keys
+ * have passed.
  */
 import {createServer} from 'node:http';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
@@ -25,8 +26,9 @@
 const REPLICAS_PATH = '/replicas';
 const NOT_FOUND = 404;
 /**
- * A configuration of a thousand routes has hundreds of KB, and the link may be
- * thin and shared with answers to callers.
+ * Timeout of one fetch, in milliseconds. A configuration of a thousand routes
+ * has hundreds of kilobytes, and the link may be slow and shared with responses
+ * to callers.
  */
 const FETCH_TIMEOUT_MS = 2_000;
 
@@ -49,7 +51,8 @@
       kind: 'state',
       reply,
     }));
-  // A configuration holds the callers' keys.
+  // A configuration contains the callers' keys, so it is served to entries
+  // only.
   const isKnownEntry = (ip = '') =>
     ctx.ask('sharing', (reply: (is: boolean) => void) => ({
       kind: 'is-entry',
@@ -114,7 +117,10 @@
     : undefined;
 }
 
-/** Many entries that are turned away fetch the same version at once. */
+/**
+ * Keeps the encoded text of the newest version, because many entries that the
+ * store refuses fetch the same version at the same time.
+ */
 function createConfigCache() {
   let cached: {readonly version: number; readonly text: string} | undefined;
   return (config: NonNullable<StoreState['config']>): string => {
--- a/src/direct/handover_codec.ts
+++ b/src/direct/handover_codec.ts
@@ -1,7 +1,7 @@
 /**
- * What one entry knows of the store, as it hands it to another: the newest
- * configuration and the replicas. It may come from another version of the
- * program; what is not understood whole is not taken.
+ * Encodes and decodes what one entry hands to another: the newest configuration
+ * and the replicas. The text may come from another version of the program, so a
+ * text that is not valid in every part is rejected.
  */
 import {
   Codec,
@@ -31,7 +31,9 @@
   targets: array(Codec.interface({service: string, weight: number})),
   timeLimitMs: number,
   aimMs: number,
-  /** Null stands for no aim, which JSON has no number for. */
+  /**
+   * Null encodes the absence of a limit, since JSON has no number for infinity.
+   */
   pauseAimMs: nullable(number),
   priority: number,
   maxAttempts: number,
@@ -46,7 +48,7 @@
   stepMsPerWriter: number,
   readTokensPerMs: number,
   pairsMsPerMillion: number,
-  /** Null stands for no limit. */
+  /** Null encodes the absence of a limit. */
   chunkTokens: nullable(number),
   contextMsPerThousand: number,
 });
@@ -111,7 +113,7 @@
   return JSON.stringify([...replicas.values()]);
 }
 
-/** By name. */
+/** Returns the replicas by name. */
 export function decodeReplicas(
   text: string,
 ): Either<string, ReadonlyMap<string, DirectReplica>> {
--- a/src/direct/known_replicas.ts
+++ b/src/direct/known_replicas.ts
@@ -1,16 +1,16 @@
 /**
- * The replicas as the store has them, and a digest by which entries find out
- * whether they know the same.
+ * The replicas that are known from the store, with a digest by which entries
+ * find out whether they know the same ones.
  */
 import {createHash} from 'node:crypto';
 import type {DirectReplica} from './types.js';
 
 export interface KnownReplicas {
-  /** By name; an undefined one was removed. */
+  /** Applies changes by name; an undefined value removes the replica. */
   applyChanges(items: ReadonlyMap<string, DirectReplica | undefined>): void;
   replaceAll(items: ReadonlyMap<string, DirectReplica>): void;
   all(): ReadonlyMap<string, DirectReplica>;
-  /** Equal for equal replicas. */
+  /** Digest of the replicas; equal for equal sets of replicas. */
   digest(): string;
 }
 
--- a/src/direct/load_broadcast.ts
+++ b/src/direct/load_broadcast.ts
@@ -1,55 +1,62 @@
 /**
- * When an entry tells the others of its load. Told to everyone at each change,
- * the talk would grow with the square of the entries.
+ * Decides when an entry sends its load to the others. If each entry sent every
+ * change to all others, traffic would grow with the square of the number of
+ * entries.
  *
- * Entries of the same failure domain choose among the same engines first, so
- * they hear of every change at once. Those of other domains hear of it within a
- * budget of datagrams: at once while they are few, and less often the more there
- * are. A long read is told to all at once, since two on one engine hold up each
- * other, and all who write there, for seconds.
+ * Entries in the same failure domain choose among the same engines first, so
+ * they receive every change at once. Entries in other domains receive changes
+ * within a budget of datagrams: at once while there are few entries, and less
+ * often the more there are. A long prompt read is sent to all entries at once,
+ * because two long reads on one engine delay each other, and every stream
+ * there, for seconds.
  */
 import type {Cancel, Clock} from '../types/runtime.js';
 
-/** An entry of the own failure domain without news hears so this often. */
+/**
+ * Time after which a heartbeat is sent to entries in the same failure domain if
+ * nothing else was sent to them, in milliseconds.
+ */
 const SAME_DOMAIN_HEARTBEAT_MS = 300;
-/** The same in another domain. */
+/** The same for entries in other failure domains. */
 const OTHER_DOMAIN_HEARTBEAT_MS = 1_000;
 /**
- * Datagrams to other failure domains in a second. To read as many takes less
- * than a hundredth of a core. With far fewer, long prompts would go to engines
- * that others have filled since.
+ * Budget of datagrams per second to other failure domains; changes beyond it
+ * are delayed. Reading as many takes less than a hundredth of a core. With a
+ * much smaller budget, long prompts would go to engines that other entries have
+ * filled in the meantime.
  */
 const OTHER_DOMAIN_DATAGRAMS_PER_S = 200;
 
 export interface LoadBroadcast {
-  /** The load has changed; `isLong` where a long read was added. */
+  /**
+   * Call at each change of the load. `hasLongRead` is true where a long prompt
+   * read was added.
+   */
   loadChanged(hasLongRead: boolean): void;
-  /** Says that this entry is there where nothing else has said so. */
+  /**
+   * Sends the load to entries that have received nothing recently, so that they
+   * know that this entry is alive.
+   */
   heartbeat(): void;
   stop: Cancel;
 }
 
 export interface LoadBroadcastOptions<Peer> {
   readonly clock: Clock;
-  /** Entries of the own failure domain. */
+  /** Entries in this entry's failure domain. */
   sameDomainPeers(): readonly Peer[];
   otherDomainPeers(): readonly Peer[];
-  /** Sends the load as it is now. */
+  /** Sends the current load. */
   send(peers: readonly Peer[]): void;
 }
 
-/** How often `beat` is to be called, in milliseconds. */
+/** Interval at which `heartbeat` has to be called, in milliseconds. */
 export const HEARTBEAT_MS = SAME_DOMAIN_HEARTBEAT_MS;
 
 export function createLoadBroadcast<Peer>(
   options: LoadBroadcastOptions<Peer>,
 ): LoadBroadcast {
-  const {
-    clock,
-    sameDomainPeers: near,
-    otherDomainPeers: far,
-    send: tell,
-  } = options;
+  const {clock, sameDomainPeers, otherDomainPeers, send} = options;
   let sameDomainSentAt = Number.NEGATIVE_INFINITY;
   let otherDomainsSentAt = Number.NEGATIVE_INFINITY;
   let budget = OTHER_DOMAIN_DATAGRAMS_PER_S;
@@ -67,15 +74,18 @@
     cancelScheduled = undefined;
     budget -= peers.length;
     otherDomainsSentAt = clock.now();
-    tell(peers);
+    send(peers);
   };
   const scheduleOtherDomains = (delayMs: number): void => {
-    cancelScheduled ??= clock.after(delayMs, () => sendToOtherDomains(far()));
+    cancelScheduled ??= clock.after(delayMs, () =>
+      sendToOtherDomains(otherDomainPeers()),
+    );
   };
   const sendToOtherDomainsInBudget = (hasLongRead: boolean): void => {
-    const peers = far();
+    const peers = otherDomainPeers();
     accrue(Math.max(OTHER_DOMAIN_DATAGRAMS_PER_S, peers.length));
-    // A debt of one round: a burst of long prompts must not lift the budget.
+    // A long read may overdraw the budget by one round only, so that a burst of
+    // long prompts cannot exceed it by more.
     const requiredBudget = hasLongRead ? 0 : peers.length;
     if (budget >= requiredBudget) sendToOtherDomains(peers);
     else
@@ -85,7 +95,7 @@
   };
   const sendToSameDomain = (): void => {
     sameDomainSentAt = clock.now();
-    tell(near());
+    send(sameDomainPeers());
   };
 
   return {
@@ -98,7 +108,7 @@
       if (now - sameDomainSentAt >= SAME_DOMAIN_HEARTBEAT_MS)
         sendToSameDomain();
       if (now - otherDomainsSentAt >= OTHER_DOMAIN_HEARTBEAT_MS)
-        sendToOtherDomains(far());
+        sendToOtherDomains(otherDomainPeers());
     },
     stop: () => cancelScheduled?.(),
   };
--- a/src/direct/load_codec.ts
+++ b/src/direct/load_codec.ts
@@ -1,7 +1,7 @@
 /**
- * The load of an entry as it travels in a datagram: lists in place of named
- * fields, whole numbers. An entry sends it at each change to every other one,
- * and names were three quarters of its bytes.
+ * Encodes an entry's load for a datagram, as arrays of whole numbers instead of
+ * named fields. An entry sends its load to every other entry at each change,
+ * and field names made up three quarters of those bytes.
  */
 import {Just, Nothing} from 'purify-ts/Maybe';
 import type {Maybe} from 'purify-ts/Maybe';
@@ -16,7 +16,10 @@
   writers: readonly (readonly [number, number])[],
 ];
 
-/** Stands for no limit on a pause, which JSON has no number for. */
+/**
+ * Encodes the absence of a limit on pauses, since JSON has no number for
+ * infinity.
+ */
 const NO_PAUSE_AIM = -1;
 
 export function packLoads(
@@ -39,7 +42,10 @@
   ]);
 }
 
-/** Nothing when any part of it is not as it is packed. */
+/**
+ * Returns Nothing when any part of the value has another form than `packLoads`
+ * gives it.
+ */
 export function unpackLoads(packed: unknown): Maybe<readonly ReplicaLoad[]> {
   return Array.isArray(packed) && packed.every(isPackedLoad)
     ? Just(packed.map(unpackLoad))
@@ -87,7 +93,7 @@
   return typeof value === 'number' && value >= 0;
 }
 
-/** A list of lists of so many numbers. */
+/** Whether the value is an array of number arrays that all have this length. */
 function isListOfTuples(value: unknown, length: number): boolean {
   return (
     Array.isArray(value) &&
--- a/src/direct/load_tracker.ts
+++ b/src/direct/load_tracker.ts
@@ -1,39 +1,52 @@
 /**
- * What is assigned to each replica: by this entry, work by work, and by the
- * other entries, as they last told. Both are known long before a replica's own
- * report, so that a batch which arrives at several entries at once does not
- * fall on one replica.
+ * Tracks the work assigned to each replica: assignments of this entry, and the
+ * loads that the other entries last reported. Both are known long before a
+ * replica's own report. Without them, a batch that arrives at several entries
+ * at once would go to the same replica.
  */
 import type {Clock} from '../types/runtime.js';
 import {addWriterGroup, emptyLoad} from './replica_load.js';
 import type {LoadSum, Reader, ReplicaLoad} from './replica_load.js';
 import {createPeerLoads} from './peer_loads.js';
 
-/** One request's part at one replica. */
+/** One request's share of work at one replica. */
 export interface Assignment {
   readonly replicaId: string;
-  /** Places it takes: 0 for a member that only reads and holds memory. */
+  /**
+   * Places that the request takes; 0 for a group member that only reads and
+   * holds memory.
+   */
   readonly places: 0 | 1;
+  /** KV cache memory that the request needs, in tokens. */
   readonly tokens: number;
+  /** Expected time for reading the prompt, in milliseconds. */
   readonly readMs: number;
-  /** When the reading should be over, from now, in milliseconds. */
+  /** Time from now until the reading should be finished, in milliseconds. */
   readonly expectedMs: number;
-  /** Time left to the latency objective, in milliseconds. */
+  /** Time left until the latency objective, in milliseconds. */
   readonly aimLeftMs: number;
+  /** Slack in milliseconds below which the objective may be missed. */
   readonly aimMarginMs: number;
+  /** Longest pause between events that counts as on time, in milliseconds. */
   readonly pauseAimMs: number;
-  /** Cost of a late first token, and of a pause where it takes a place. */
+  /**
+   * Cost of a late first token and, where the request takes a place, of a late
+   * event.
+   */
   readonly weight: number;
 }
 
-/** A work that was entered. */
+/** An assignment that has not ended yet. */
 export interface OpenAssignment {
-  /** The first token came: nothing is left to read. */
+  /** Records that the first token arrived, so that no reading is left. */
   markPromptRead(): void;
   end(): void;
 }
 
-/** A call at a plain service, or a stream without published figures. */
+/**
+ * Assignment for a call to a plain service, or for a stream without published
+ * engine figures.
+ */
 export function plainCallAssignment(
   replicaId: string,
   pauseAimMs: number,
@@ -53,25 +66,37 @@
 
 export interface LoadTracker {
   assign(work: Assignment): OpenAssignment;
-  /** What another entry told at this time. */
+  /** Replaces the load that another entry reported. */
   setPeerLoad(
     node: string,
     loads: readonly ReplicaLoad[],
-    /** How long it counts without a newer word, in milliseconds. */
+    /**
+     * How long the report counts unless a newer one arrives, in milliseconds.
+     */
     keepMs?: number,
   ): void;
-  /** Load of all entries together. */
+  /** Load of a replica from all entries together. */
   totalLoad(replicaId: string): ReplicaLoad;
-  /** Load of this entry alone, for the others. */
+  /** Load from this entry alone, to be reported to the others. */
   ownLoads(): readonly ReplicaLoad[];
 }
 
-/** What changed in this entry's own load: a long read, other work, or less. */
+/**
+ * What changed in this entry's own load: a long prompt read was added, other
+ * work was added, or work ended.
+ */
 export type OwnLoadChange = 'long' | 'more' | 'less';
 
-/** Reads from here on hold up the streams beside them for a good part of a pause. */
+/**
+ * Prompt reads that take at least this long delay the streams on the same
+ * replica by a large part of their allowed pause, so the other entries are
+ * informed of them at once.
+ */
 const LONG_READ_MIN_MS = 100;
-/** A read that is overdue still has this share of its time ahead. */
+/**
+ * Share of the expected reading time that still counts as ahead for a read that
+ * is overdue. Without it the replica would look idle while it is still reading.
+ */
 const OVERDUE_READ_SHARE = 0.2;
 
 interface AssignmentState {
@@ -80,7 +105,7 @@
   isPromptRead: boolean;
 }
 
-/** `onChange` hears of each change of this entry's own load. */
+/** `onChange` is called at each change of this entry's own load. */
 export function createLoadTracker(
   clock: Clock,
   onChange: (change: OwnLoadChange) => void,
--- a/src/direct/messages.ts
+++ b/src/direct/messages.ts
@@ -9,10 +9,13 @@
   StoreKnowledge,
 } from './types.js';
 
-/** To the front. */
+/** Messages to the front, which serves callers. */
 export type DirectMessage =
   | {readonly kind: 'config'; readonly config: DirectConfig}
-  /** The configuration is known as of this time; see `Evidence.confirm`. */
+  /**
+   * The configuration is known to be the newest as of `asOf`; see
+   * `StoreEvidence.confirm`.
+   */
   | {
       readonly kind: 'confirmed';
       readonly asOf: number;
@@ -26,39 +29,45 @@
       readonly kind: 'replica-changes';
       readonly replicas: ReadonlyMap<string, DirectReplica | undefined>;
     }
-  /** No key can be confirmed before this time, but by another entry. */
+  /** Until this time only another entry's answer can confirm keys. */
   | {readonly kind: 'keys-unconfirmed'; readonly until: number}
   | {readonly kind: 'store-failed'}
-  /** The store has come back from an older copy. */
+  /** The store was restored from an older copy. */
   | {readonly kind: 'store-restored'}
-  /** Age of the newest evidence for keys, in milliseconds. */
+  /** Asks for the age of the newest evidence for keys, in milliseconds. */
   | {readonly kind: 'evidence-age'; readonly reply: (ageMs: number) => void}
   | {
       readonly kind: 'peer-load';
       readonly node: string;
       readonly loads: readonly ReplicaLoad[];
-      /** See `LoadBook.setOther`. */
+      /** See `LoadTracker.setPeerLoad`. */
       readonly keepMs: number;
     }
-  /** Another entry, or the store, tells of requests that crash replicas. */
+  /** Another entry or the store reports requests that crash replicas. */
   | {
       readonly kind: 'crash-reports';
       readonly reports: readonly CrashReport[];
     }
   | {readonly kind: 'quarantine-released'; readonly digest: string}
-  /** Entries that are there, with this one. */
+  /** Number of live entries, including this one. */
   | {readonly kind: 'entries'; readonly count: number}
   | {readonly kind: 'ready'; readonly reply: (ready: boolean) => void}
   | {readonly kind: 'count'; readonly reply: (open: number) => void}
   | {readonly kind: 'drain'; readonly reply: () => void};
 
-/** To the follower of the store. */
+/** Messages to the service that follows the store. */
 export type StoreFollowerMessage =
-  /** Asks store and another entry at once whether the configuration holds. */
+  /**
+   * Asks the store and another entry at once whether the configuration is still
+   * the newest.
+   */
   | {readonly kind: 'confirm'}
-  /** The front was started again and knows nothing. */
+  /** The front restarted and needs the current state again. */
   | {readonly kind: 'resend-state'}
-  /** Runs of it ended well; `isOwn` where the last one was here. */
+  /**
+   * Trial runs of a quarantined request ended well. `isOwn` is true where this
+   * entry saw the last of them.
+   */
   | {
       readonly kind: 'quarantine-cleared';
       readonly digest: string;
@@ -68,12 +77,18 @@
       readonly kind: 'claim-trial';
       readonly digest: string;
       readonly trial: number;
-      /** Undefined when the store did not answer. */
+      /**
+       * True where this entry got the claim; undefined when the store did not
+       * answer.
+       */
       readonly reply: (isClaimed: boolean | undefined) => void;
     }
-  /** Entries that are there, with this one. */
+  /** Number of live entries, including this one. */
   | {readonly kind: 'entries'; readonly count: number}
-  /** The store is to have it; `isOwn` where this entry saw the last crash. */
+  /**
+   * Asks to store a quarantine record. `isOwn` is true where this entry saw the
+   * last crash.
+   */
   | {
       readonly kind: 'quarantined';
       readonly report: CrashReport;
@@ -85,19 +100,22 @@
     }
   | {readonly kind: 'state'; readonly reply: (state: StoreState) => void};
 
-/** What an entry has from the store, whole. */
+/** All that an entry knows from the store. */
 export interface StoreState {
   readonly config: DirectConfig | undefined;
-  /** By name. */
+  /** Replicas by name. */
   readonly replicas: ReadonlyMap<string, DirectReplica>;
 }
 
-/** To the service that hands what is known of the store between entries. */
+/**
+ * Messages to the service that hands knowledge of the store from one entry to
+ * another.
+ */
 export type HandoverMessage =
   | {
       readonly kind: 'fetch-config';
       readonly from: Pick<EntryAddress, 'ip' | 'port'>;
-      /** Undefined when nothing of use came. */
+      /** Called with undefined when no valid configuration was received. */
       readonly reply: (config: DirectConfig | undefined) => void;
     }
   | {
@@ -108,38 +126,50 @@
       ) => void;
     };
 
-/** To the service that talks with the other entries. */
+/** Messages to the service that exchanges datagrams with other entries. */
 export type SharingMessage =
   | {
       readonly kind: 'load';
       readonly loads: readonly ReplicaLoad[];
-      /** A long read was added. */
+      /** Whether the change added a long prompt read. */
       readonly hasLongRead: boolean;
     }
-  /** To all other entries, or to one of them in turn. */
+  /**
+   * Sends crash reports to all other entries, or to one live entry chosen at
+   * random.
+   */
   | {
       readonly kind: 'crash-reports';
       readonly reports: readonly CrashReport[];
       readonly toAll: boolean;
     }
-  /** The store has come back from an older copy, without the own record. */
+  /**
+   * The store was restored from an older copy that may lack this entry's own
+   * record.
+   */
   | {readonly kind: 'store-restored'}
-  /** The front was started again and knows nothing. */
+  /** The front restarted and needs the current state again. */
   | {readonly kind: 'resend-state'}
-  /** This entry takes no new work, and is not to be found any more. */
+  /**
+   * This entry takes no new work and must no longer be found by other entries.
+   */
   | {readonly kind: 'draining'}
-  /** Whether an entry is known to have this IP address. */
+  /** Asks whether a known entry has this IP address. */
   | {
       readonly kind: 'is-entry';
       readonly ip: string;
       readonly reply: (is: boolean) => void;
     }
-  /** Asks another entry what it knows; undefined when none answers. */
+  /**
+   * Queries another entry's knowledge of the store; replies with undefined when
+   * none answers.
+   */
   | {
       readonly kind: 'query-peer';
       /**
-       * Also one that may lean on this entry: the store turns this one away, and
-       * no other that it would ask may be there.
+       * Whether entries may be asked that in turn rely on this entry's answers.
+       * This is wanted when the store refuses this entry, because the entries
+       * that it would usually ask may be gone.
        */
       readonly anyPeer: boolean;
       readonly reply: (answer: PeerAnswer | undefined) => void;
--- a/src/direct/peer_confirmation.ts
+++ b/src/direct/peer_confirmation.ts
@@ -1,82 +1,108 @@
 /**
- * Another entry's word in place of own calls to the store.
+ * Lets another entry's answers replace this entry's own calls to the store.
+ * Logs and metrics call an entry covered while such a confirmation is active.
  *
- * Evidence for keys is wanted about once a second, and each call to the store
- * is paid for. So an entry asks another one, in a datagram, what it knows. While
- * the answers say that both know the same, the own watches wait long; they still
- * bring each change at once.
+ * Evidence for keys is needed about once a second, and each call to the store
+ * has a cost. An entry therefore queries another one, in a datagram, for what
+ * it knows. While the answers show that both know the same, this entry's own
+ * watches may wait long; they still return at each change.
  *
- * The word is exact. An answer was made after its question was sent, so the
- * store's answer behind it was asked for no earlier than that time less the
- * evidence's age. It counts only for the same version of the configuration.
- * Where two entries lean on each other, the age grows with each answer until
- * neither is covered. Without cover, watches are short again, and until the
- * long one has returned the collections are read anew instead.
+ * The evidence from such an answer is exact. The other entry answered after the
+ * query was sent, so the store call behind its evidence was sent no earlier
+ * than that time minus the evidence's age. It counts only if both entries have
+ * the same version of the configuration. If two entries rely on each other, the
+ * age grows with each answer until neither is confirmed. Without a
+ * confirmation, watches are short again. Until a long watch that is still
+ * running has returned, the collections are listed instead.
  */
 import type {Cancel, Clock} from '../types/runtime.js';
 import {isOlderEra} from './store_position.js';
 import type {StoreEra} from './store_position.js';
 import type {PeerAnswer} from './types.js';
 
-/** Between two questions; an answer a second old or less is wanted. */
+/**
+ * Interval between queries, in milliseconds. The answers should be at most a
+ * second old.
+ */
 const QUERY_INTERVAL_MS = 500;
-/** Older evidence of another entry is no cover, though keys may count on it. */
+/**
+ * Evidence of another entry that is older than this, in milliseconds, does not
+ * replace own calls, although keys may still be accepted on it.
+ */
 const MAX_EVIDENCE_AGE_MS = 2_000;
-/** From one question until the answer to the next, on a slow machine. */
+/**
+ * Longest time from one query until the answer to the next one, on a slow
+ * machine, in milliseconds.
+ */
 const NEXT_ANSWER_MAX_MS = QUERY_INTERVAL_MS + 200;
-/** Cover lasts so long after the last good answer. */
+/**
+ * How long a confirmation lasts after the last answer that renewed it, in
+ * milliseconds.
+ */
 const CONFIRMATION_LIFETIME_MS = 1_200;
 /**
- * Answers in a row that must tell of other replicas before they are read anew:
- * one may have been overtaken by a change that the own watch brings.
+ * Consecutive answers with another replica digest after which the replicas are
+ * listed again. A single one may differ because of a change that this entry's
+ * own watch is about to deliver.
  */
 const DIFFERENT_DIGESTS_BEFORE_REREAD = 2;
 
 /**
- * Oldest evidence of another entry that covers, where evidence older than
- * `readyMs` makes this entry unready: it ages on until the next answer. Without
- * regard to that, an entry under a short bound would be ready and unready by
- * turns while all is well.
+ * Largest age of another entry's evidence that replaces own calls, in
+ * milliseconds. Evidence older than `maxReadyAgeMs` makes this entry unready,
+ * and evidence ages further until the next answer. Without regard to that, an
+ * entry with a short limit on removed keys would switch between ready and
+ * unready while nothing is wrong.
  */
-export function maxPeerEvidenceAgeMs(readyMs: number): number {
-  return Math.min(MAX_EVIDENCE_AGE_MS, readyMs - NEXT_ANSWER_MAX_MS);
+export function maxPeerEvidenceAgeMs(maxReadyAgeMs: number): number {
+  return Math.min(MAX_EVIDENCE_AGE_MS, maxReadyAgeMs - NEXT_ANSWER_MAX_MS);
 }
 
 export interface PeerConfirmationOptions {
-  /** Oldest evidence of another entry that covers. */
+  /**
+   * Largest age of another entry's evidence that replaces own calls, in
+   * milliseconds.
+   */
   readonly maxAgeMs: number;
   readonly clock: Clock;
   queryPeer(): Promise<PeerAnswer | undefined>;
-  /** What this entry has from the store. */
+  /** What this entry knows from the store. */
   ownKnowledge(): {
     readonly era: StoreEra;
     readonly configVersion: number | undefined;
     readonly replicasDigest: string;
   };
   /**
-   * The other entry was asked at `askedAt`, and the store answered it a call
-   * that was sent no earlier than `asOf`.
+   * The other entry was queried at `askedAt`, and its evidence is a call to the
+   * store that was sent no earlier than `asOf`.
    */
   onConfirmed(asOf: number, askedAt: number): void;
-  /** The other entry has another configuration, on young evidence. */
+  /**
+   * The other entry has a different configuration: a newer one, or any other on
+   * recent evidence.
+   */
   onDifferentConfig(answer: PeerAnswer): void;
   onSameConfig(): void;
   onDifferentReplicas(answer: PeerAnswer): void;
-  /** It has heard of a return of the store from a copy that is unknown here. */
+  /**
+   * The other entry knows of a restore of the store that this entry has not
+   * seen.
+   */
   onNewerEra(answer: PeerAnswer): void;
-  /** Called at each question that left this entry without cover. */
+  /** Called after each query that leaves this entry without a confirmation. */
   onUnconfirmed(): void;
-  /** Cover began or ended with this answer, or for want of one. */
+  /** A confirmation began or ended, with this answer or without an answer. */
   onChange(isActive: boolean, answer: PeerAnswer | undefined): void;
 }
 
 export interface PeerConfirmation {
   isActive(): boolean;
-  /** Another entry answers, whatever it knows. */
+  /** Whether another entry answers queries, whatever it knows. */
   isPeerAnswering(): boolean;
   /**
-   * Asks before the next turn. A request whose key waits for evidence would
-   * otherwise be refused while another entry could vouch for it.
+   * Sends a query before the next interval. Otherwise a request that waits for
+   * its key to be confirmed would be refused although another entry could
+   * confirm it.
    */
   queryNow(): void;
   stop: Cancel;
@@ -113,16 +139,17 @@
     if (isOlderEra(era, answer.era)) options.onNewerEra(answer);
     if (evidenceAgeMs === undefined) return;
     const isSame = answer.configVersion === configVersion;
-    // A newer version is the newer one however old the word is: waiting for a
-    // young one, an entry that is cut off stays on the old version meanwhile.
+    // A newer version is taken on evidence of any age. If recent evidence were
+    // required, a disconnected entry would stay on the old version.
     const isNewer = (answer.configVersion ?? -1) > (configVersion ?? -1);
-    // A version is the same in every era; of the present, the word of an entry
-    // that has not heard of the store's return proves nothing.
+    // A version of the configuration is the same in every era. For anything
+    // current, an entry that has not seen the store's restore proves nothing.
     if (isOlderEra(answer.era, era)) {
       if (isNewer) options.onDifferentConfig(answer);
       return;
     }
-    // Exact at any age: an entry that is cut off lives on what there is.
+    // The evidence is exact at any age, and a disconnected entry may have
+    // nothing better.
     if (isSame) options.onConfirmed(askedAt - evidenceAgeMs, askedAt);
     const isRecent = evidenceAgeMs <= options.maxAgeMs;
     if (!isSame && (isRecent || isNewer)) options.onDifferentConfig(answer);
@@ -152,7 +179,8 @@
     if (isQueryPending) queryNow();
   };
   const queryNow = (): void => {
-    // A question that is under way may have been asked before a doubt.
+    // The running query may have been sent before a suspension, so its answer
+    // may not count. Another one follows it.
     isQueryPending = isQuerying;
     void query();
   };
--- a/src/direct/peer_loads.ts
+++ b/src/direct/peer_loads.ts
@@ -1,25 +1,31 @@
 /**
- * What the other entries told of their load, kept by replica: of sixty entries
- * only a few have work at any one replica, and a choice adds up the loads of
- * all of them.
+ * Loads that the other entries reported, indexed by replica. Of sixty entries
+ * only a few have work at any one replica, so a replica's load is added up
+ * without visiting every entry.
  */
 import type {Clock} from '../types/runtime.js';
 import {addPeerLoad} from './replica_load.js';
 import type {LoadSum, ReplicaLoad} from './replica_load.js';
 
-/** Another entry's word counts no longer than this without a newer one. */
+/**
+ * How long a report counts by default, in milliseconds. Afterwards it is
+ * ignored unless a newer one arrived.
+ */
 const DEFAULT_KEEP_MS = 1_500;
-/** Between looks for entries that are gone; what they told holds memory. */
+/**
+ * Time between removals of expired reports, in milliseconds. Without them,
+ * reports of entries that are gone would stay in memory.
+ */
 const SWEEP_INTERVAL_MS = 10_000;
 
-/** What one other entry told of one replica. */
+/** The load of one replica that one other entry reported. */
 interface ReportedLoad {
   readonly receivedAt: number;
   readonly keepMs: number;
   readonly load: ReplicaLoad;
 }
 
-/** All that one other entry told last. */
+/** The last report of one other entry. */
 interface PeerReport {
   readonly validUntil: number;
   readonly loads: readonly ReplicaLoad[];
--- a/src/direct/peer_queries.ts
+++ b/src/direct/peer_queries.ts
@@ -1,25 +1,31 @@
 /**
- * Questions between entries and their answers, in datagrams of their own. A
- * lost one is a question without an answer; the next goes to another entry.
+ * Queries between entries and their answers, each in a datagram of its own. A
+ * lost datagram leaves a query without an answer; the next query then goes to
+ * another entry.
  */
 import type {Clock} from '../types/runtime.js';
 import type {AnswerDatagram, AskDatagram} from './datagrams.js';
 import type {EntryAddress, PeerAnswer, StoreKnowledge} from './types.js';
 
 /**
- * An entry whose evidence is older does not reach the store itself. Another one
- * may: the store can turn some machines away and serve the others.
+ * Evidence older than this, in milliseconds, means that the entry that answered
+ * does not reach the store itself. The next query then goes to another entry:
+ * the store may refuse some machines and serve the others.
  */
 const MAX_USEFUL_EVIDENCE_AGE_MS = 3_000;
-/** An answer comes in milliseconds, or its entry is cut off or stands still. */
+/**
+ * How long an answer is awaited, in milliseconds. Answers take a few
+ * milliseconds; after this time the other entry is considered disconnected or
+ * frozen.
+ */
 const ANSWER_TIMEOUT_MS = 400;
 
 export interface PeerQueriesOptions {
   readonly clock: Clock;
   readonly self: EntryAddress;
   /**
-   * Entries that may be asked, in an order that all entries share; with
-   * `anyone`, those too that may lean on this one.
+   * Entries that may be queried, in an order that is the same on all entries.
+   * With `anyPeer`, they include entries that may in turn rely on this one.
    */
   candidates(anyPeer: boolean): readonly EntryAddress[];
   send(datagram: AskDatagram, to: EntryAddress): void;
@@ -53,8 +59,8 @@
         cancel();
         if (!pending.delete(question)) return;
         if (!isUseful(knowledge)) failures += 1;
-        const {node: by, ip, port} = peer;
-        reply(knowledge && {...knowledge, askedAt, node: by, ip, port});
+        const {node, ip, port} = peer;
+        reply(knowledge && {...knowledge, askedAt, node, ip, port});
       };
       const cancel = clock.after(ANSWER_TIMEOUT_MS, settle);
       pending.set(question, settle);
--- a/src/direct/placement_poll_pace.ts
+++ b/src/direct/placement_poll_pace.ts
@@ -1,33 +1,45 @@
 /**
- * How soon a request that waits for a place looks again. A look before a
- * hundred engines takes an entry with a quarter of a core up to ten
- * milliseconds; a few that wait and look every 25 ms would take all of it, and
- * every answer that passes through the entry would be late. So all who wait
- * share a part of the entry's time, and look less often the more they are.
+ * Decides how soon a request that waits for a place polls for one again. One
+ * poll over a hundred engines takes an entry with a quarter of a core up to ten
+ * milliseconds. A few requests that poll every 25 ms would take all of its time
+ * and delay every response that passes through the entry. All waiting requests
+ * therefore share a part of the entry's time, and poll less often the more of
+ * them there are.
  */
 
 /**
- * Between looks of one request, on average. They are drawn apart: two entries
- * that look in the same instant would take the same engines.
+ * Shortest mean pause between polls of one request, in milliseconds. The pauses
+ * are randomised, because two entries that poll at the same moment would choose
+ * the same engines.
  */
 const MIN_MEAN_PAUSE_MS = 25;
-/** Looks of all who wait take at most this share of the entry's time. */
+/**
+ * Polls of all waiting requests together take at most this share of the entry's
+ * time; pauses grow to stay below it.
+ */
 const MAX_CPU_SHARE = 0.1;
 /**
- * Longer looks were held up by something else, a garbage collection say. Taken
- * as they are, one of 100 ms would keep a short prompt from looking again until
- * its aim has passed.
+ * Longest duration that is counted for one poll, in milliseconds. A longer poll
+ * was delayed by something else, such as a garbage collection. Counted in full,
+ * a poll of 100 ms would keep a short prompt from polling again until its
+ * latency objective has passed.
  */
 const MAX_COUNTED_POLL_MS = 20;
-/** Share of the newest look in the mean cost. */
+/** Weight of the newest poll in the moving average of durations. */
 const NEWEST_POLL_SHARE = 0.2;
 
 export interface PlacementPollPace {
-  /** A request begins to wait; the call ends it. */
+  /** Registers a waiting request; the returned function removes it. */
   startWaiting(): () => void;
-  /** A look took so long, by the clock: a busy entry shows in it as well. */
+  /**
+   * Records how long a poll took on the clock, in milliseconds. The time
+   * includes delays of a busy entry.
+   */
   recordPoll(ms: number): void;
-  /** Until the next look of one request; `draw` is uniform in [0, 1). */
+  /**
+   * Pause until a request's next poll, in milliseconds. `uniform` is a random
+   * number in [0, 1).
+   */
   pauseMs(uniform: number): number;
 }
 
--- a/src/direct/quarantine_records.ts
+++ b/src/direct/quarantine_records.ts
@@ -1,7 +1,8 @@
 /**
- * Requests that crash replicas, as records in the platform's store. Entries tell
- * each other in datagrams first; the records are for those that datagrams do not
- * reach, and for the time after all entries have started again.
+ * Keeps records of requests that crash replicas in the platform's store.
+ * Entries first report such requests to each other in datagrams. The records
+ * are for entries that the datagrams do not reach, and for the time after all
+ * entries have restarted.
  */
 import type {Cancel, Clock, Log, Random} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
@@ -12,14 +13,19 @@
 import type {DirectStore, StoreFault} from './types.js';
 
 /**
- * The entry that saw the last crash writes the record at once. Another one does
- * after this time, where the store does not show it by then.
+ * The entry that saw the last crash writes the record at once. The other
+ * entries write it after this time, in milliseconds, if the store does not show
+ * it by then.
  */
 const REPORTER_WRITE_GRACE_MS = 1_000;
-/** Over which the others write, and all after a return of the store. */
+/**
+ * The other entries write at random times within this period, in milliseconds,
+ * and so do all entries after a restore of the store.
+ */
 const WRITE_SPREAD_MS = 2_000;
+/** Pause before a failed write or removal is repeated, in milliseconds. */
 const RETRY_MS = 1_000;
-/** Between looks for records whose time is over. */
+/** Interval between checks for expired records, in milliseconds. */
 const EXPIRY_CHECK_MS = 60_000;
 
 export interface QuarantineRecordsOptions {
@@ -28,16 +34,18 @@
     'quarantine' | 'writeQuarantine' | 'removeQuarantine' | 'claimTrial'
   >;
   readonly clock: Clock;
-  /** Time of day, in milliseconds. */
+  /** Returns the time of day, in milliseconds. */
   readonly wallMs: () => number;
   readonly random: Random;
   readonly log: Log;
-  /** See `FollowOptions`. */
+  /** See `CollectionFollowerOptions`. */
   waitMs(): number;
   maxRetryMs(): number;
   onReports(reports: readonly CrashReport[]): void;
   onFault(fault: StoreFault): void;
-  /** An operator, or an entry after its time, has removed the record. */
+  /**
+   * The record was removed, by an operator or by an entry after it had expired.
+   */
   onReleased(digest: string): void;
 }
 
@@ -45,15 +53,23 @@
   CollectionFollower,
   'observeEra'
 > {
-  /** Sees to it that the store has the record. */
+  /**
+   * Makes sure that the store has a record of the report. `isOwn` is true where
+   * this entry saw the last crash.
+   */
   ensureStored(report: CrashReport, isOwn: boolean): void;
-  /** Runs of it ended well; with `isOwn` its record is removed from here. */
+  /**
+   * The request ran well again. With `isOwn`, this entry removes its record.
+   */
   clear(digest: string, isOwn: boolean): void;
-  /** True for one claim of all entries; undefined without an answer. */
+  /**
+   * Resolves to true for one claim among all entries, and to undefined without
+   * an answer.
+   */
   claimTrial(digest: string, trial: number): Promise<boolean | undefined>;
-  /** Reports all that the store has once more. */
+  /** Reports all stored records again. */
   reportAll(): void;
-  /** The store has come back from an older copy. */
+  /** The store was restored from an older copy. */
   storeRestored(): void;
   stop: Cancel;
 }
@@ -63,7 +79,10 @@
 ): QuarantineRecords {
   const {store, clock, random, log, wallMs} = options;
   const storedRecords = new Map<string, QuarantineRecord>();
-  /** Written by this entry, or left to another one so far. */
+  /**
+   * Records that this entry has written or leaves to another entry to write
+   * first.
+   */
   const recordsToStore = new Map<string, QuarantineRecord>();
   let isStopped = false;
 
--- a/src/direct/replica_load.ts
+++ b/src/direct/replica_load.ts
@@ -1,36 +1,43 @@
-/** Load of one replica, and how parts of it are added up. */
+/** The load of one replica, and functions that add up parts of it. */
 
-/** Requests that write at a replica, by the longest pause they bear. */
+/**
+ * Requests at a replica that are writing and have the same limit on pauses
+ * between events.
+ */
 export interface WriterGroup {
+  /** Longest pause between events that counts as on time, in milliseconds. */
   readonly pauseAimMs: number;
-  /** What their lateness would cost together; see `weightOf`. */
+  /** Combined cost of late events for these requests; see `weightOf`. */
   readonly weight: number;
 }
 
-/** A request whose prompt is being read, or waits for it, at a replica. */
+/** A request whose prompt a replica is reading or will read. */
 export interface Reader {
-  /** Time left to its latency objective after its expected first token. */
+  /**
+   * Milliseconds between the expected first token and the latency objective;
+   * negative when the objective will be missed.
+   */
   readonly slackMs: number;
-  /** Slack below which it may miss the objective. */
+  /** Slack in milliseconds below which the request may miss its objective. */
   readonly marginMs: number;
   readonly weight: number;
 }
 
-/** Load of one replica as one entry tells it to the others. */
+/** Load of one replica, as one entry reports it to the others. */
 export interface ReplicaLoad {
   readonly replicaId: string;
-  /** Requests that hold a place. */
+  /** Number of requests that hold a place. */
   readonly running: number;
-  /** Memory in use, in tokens. */
+  /** KV cache memory in use, in tokens. */
   readonly tokens: number;
-  /** Reading still ahead, in milliseconds. */
+  /** Prompt reading that is still to be done, in milliseconds. */
   readonly readMs: number;
-  /** Requests that a group's reading would hold up. */
+  /** Requests that further prompt reading at the replica would delay. */
   readonly readers: readonly Reader[];
   readonly writers: readonly WriterGroup[];
 }
 
-/** A load while it is added up. */
+/** A load that is being added up. */
 export interface LoadSum extends ReplicaLoad {
   running: number;
   tokens: number;
@@ -62,7 +69,7 @@
   for (const writers of load.writers) addWriterGroup(sum, writers);
 }
 
-/** Those who bear equal pauses are one row. */
+/** Adds a group of writers; groups with the same limit on pauses are merged. */
 export function addWriterGroup(
   {writers}: LoadSum,
   {pauseAimMs, weight}: WriterGroup,
--- a/src/direct/settings.ts
+++ b/src/direct/settings.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of an entry that serves upstreams without sides: JSON with comments,
- * checked as a whole before anything is started.
+ * Settings of an entry that serves upstreams without sides. The file is JSON
+ * with comments, and it is validated completely before any service starts.
  */
 import {parse} from 'jsonc-parser';
 import type {ParseError} from 'jsonc-parser';
@@ -18,64 +18,80 @@
 
 const ADDRESS_FORMAT = 'IP:PORT';
 
-/** The role that such a file names. */
+/** Value of `role` in a direct entry's settings file. */
 const ROLE = 'direct-entry';
 
 export const directSettingsCodec = Codec.interface({
   role: exactly(ROLE),
-  /** Name of this process, on each log line. */
+  /** Name of this process, written on each log line. */
   node: string,
   failureDomain: string,
   ip: string,
   listen: Codec.interface({
-    /** Callers, IP:PORT. */
+    /** Address for callers, as IP:PORT. */
     callers: string,
-    /** The balancer's readiness checks, IP:PORT. */
+    /** Address for the load balancer's readiness checks, as IP:PORT. */
     ready: string,
-    /** Counters and histograms, IP:PORT. */
+    /** Address that serves counters and histograms, as IP:PORT. */
     metrics: string,
   }),
-  /** The whole system starts for the first time. @default false */
+  /**
+   * Set for the first start of the whole system, when no earlier state can be
+   * lost. @default false
+   */
   bootstrap: optional(boolean),
-  /** Where other entries reach this one, over UDP. */
+  /** UDP ports on which other entries reach this one. */
   peerPorts: array(number),
   store: Codec.interface({address: string}),
   limits: Codec.interface({memoryMb: number, maxDescriptors: number}),
   timing: Codec.interface({
-    /** From SIGTERM to the end of the process, in seconds. */
+    /** Time from SIGTERM until the process ends, in seconds. */
     graceS: number,
-    /** Longest use of a key after it was taken away. */
+    /**
+     * Longest time for which a key is still accepted after its removal, in
+     * milliseconds.
+     */
     revokeMs: number,
-    /** Longest lease on memory that a replica grants. */
+    /** Longest memory lease that a replica grants, in milliseconds. */
     maxHoldMs: optional(number),
-    /** A replica that leaves serves on for so long, in milliseconds. */
+    /**
+     * How long a replica that is shutting down still serves, in milliseconds.
+     */
     leavingMs: optional(number),
-    /** Memory may stay set aside this long after its last use. */
+    /**
+     * How long memory may stay reserved after its last use, in milliseconds.
+     */
     freeMs: optional(number),
-    /** Memory may stay set aside this long without having been used. */
+    /**
+     * How long memory may stay reserved without having been used, in
+     * milliseconds.
+     */
     unusedMs: optional(number),
   }),
   retries: Codec.interface({
     /** Retries as a share of requests, over all entries. */
     ratio: number,
-    /** Retries beyond that share in one window, over all entries. */
+    /** Retries allowed beyond that share in one window, over all entries. */
     slack: number,
     windowS: number,
   }),
 });
 
-/** Checked settings of a direct entry. */
+/** Validated settings of a direct entry. */
 export type DirectSettings = ReturnType<
   typeof directSettingsCodec.unsafeDecode
 >;
 
-/** Whether a settings file is a direct entry's, also where it has faults. */
+/**
+ * Whether a settings file belongs to a direct entry. Also works for a file that
+ * is not valid.
+ */
 export function isDirectSettings(text: string): boolean {
   const value = parse(text) as {readonly role?: unknown} | undefined;
   return value?.role === ROLE;
 }
 
-/** Reads and checks the text of a settings file. */
+/** Parses and validates the text of a settings file. */
 export function parseDirectSettings(
   text: string,
 ): Either<string, DirectSettings> {
@@ -100,7 +116,7 @@
     : Left(`"${invalid}" is not of the form ${ADDRESS_FORMAT}`);
 }
 
-/** Host and port of IP:PORT; undefined when it has another form. */
+/** Splits IP:PORT into its parts; returns undefined for any other format. */
 export function splitAddress(
   address: string,
 ): {readonly ip: string; readonly port: number} | undefined {
--- a/src/direct/settled_era.ts
+++ b/src/direct/settled_era.ts
@@ -1,11 +1,12 @@
 /**
- * The record in the store of the newest era in which operators had the time to
- * write again what a return from an older copy had lost.
+ * Keeps a record in the store of the newest settled era: one in which operators
+ * have had time to repeat the writes that a restore from an older copy lost.
  *
- * An entry that runs sees a return by itself. One that starts after it cannot;
- * where no other entry is left to tell of it, only this record, which then is
- * of an older era than the store's answers, shows that the configuration there
- * may lack a key's removal that was acknowledged.
+ * A running entry notices a restore by itself. An entry that starts afterwards
+ * cannot. Where no other entry is left to report the restore, only this record
+ * shows it, because its era is then older than the one in the store's answers.
+ * The configuration in the store may then lack an acknowledged removal of a
+ * key.
  */
 import type {Either} from 'purify-ts';
 import type {Cancel, Clock, Log, Random} from '../types/runtime.js';
@@ -14,9 +15,12 @@
 import type {StoreEra} from './store_position.js';
 import type {DirectStore, StoreFault} from './types.js';
 
-/** Between tries of a call that failed. */
+/** Pause between attempts of a failed call, in milliseconds. */
 const RETRY_MS = 300;
-/** Over which entries record an era: all see a return in the same instant. */
+/**
+ * Entries record an era at random times within this period, in milliseconds,
+ * because all of them notice a restore at the same moment.
+ */
 const RECORD_SPREAD_MS = 2_000;
 
 export interface SettledEraOptions {
@@ -24,20 +28,26 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
-  /** The whole system starts for the first time: nothing can be lost. */
+  /**
+   * Whether the whole system starts for the first time, so that nothing can be
+   * lost.
+   */
   readonly isBootstrap: boolean;
   currentEra(): StoreEra;
-  /** The record is of the store's era. */
+  /** The recorded era is the store's current era. */
   onSettled(): void;
-  /** It is of an older one, or missing. */
+  /** The recorded era is older than the store's, or there is no record. */
   onUnsettled(): void;
 }
 
 export interface SettledEra {
-  /** Reads the record; once, when the store's era is known. */
+  /** Reads the record. Call it once, when the store's era is known. */
   lookUp(): void;
   isSettled(): boolean;
-  /** What was lost has been written again, if this is still the store's era. */
+  /**
+   * Records the current era as settled after this delay, unless the store's era
+   * has changed by then.
+   */
   settleAfter(delayMs: number): void;
   stop: Cancel;
 }
@@ -50,7 +60,10 @@
   const isSettled = (): boolean =>
     recorded !== undefined && !isOlderEra(recorded, options.currentEra());
 
-  /** Undefined when stopped meanwhile. */
+  /**
+   * Repeats the call until it succeeds; resolves to undefined when stopped
+   * meanwhile.
+   */
   const callUntilAnswered = async <T>(
     step: string,
     call: () => Promise<Either<StoreFault, T>>,
--- a/src/direct/sharing.ts
+++ b/src/direct/sharing.ts
@@ -1,8 +1,8 @@
 /**
- * The service `sharing`: talks with the other entries in datagrams. It tells
- * them what this one has assigned; each telling holds all of the entry's load,
- * so a lost one is mended by the next, and there is no connection that could go
- * silent. It also asks one of them what it knows of the store.
+ * The service `sharing`, which exchanges datagrams with the other entries. Each
+ * load datagram contains the entry's complete load: the next one makes up for
+ * one that is lost, and there is no connection that could fail silently. The
+ * service also queries other entries for what they know about the store.
  */
 import {createSocket} from 'node:dgram';
 import type {Socket} from 'node:dgram';
@@ -17,24 +17,47 @@
 import {HEARTBEAT_MS, createLoadBroadcast} from './load_broadcast.js';
 import type {DirectStore, EntryAddress, StoreKnowledge} from './types.js';
 
-/** An entry that was not heard of for this long is not counted. */
+/**
+ * Silence in milliseconds after which an entry in the same failure domain is no
+ * longer counted as alive.
+ */
 const SAME_DOMAIN_SILENCE_MS = 1_500;
-/** The same in another failure domain, where beats are three times as far apart. */
+/**
+ * The same for another failure domain, where heartbeats are three times as far
+ * apart.
+ */
 const OTHER_DOMAIN_SILENCE_MS = 3_500;
-/** A record in the store whose entry stays silent for this long is removed. */
+/**
+ * Silence in milliseconds after which an entry's record is removed from the
+ * store.
+ */
 const REMOVE_RECORD_AFTER_MS = 15_000;
 /**
- * Between reads of the entries' records. One that starts tells all that it
- * finds, so a read only finds those that started in the same instant.
+ * Time between reads of the entries' records, in milliseconds. An entry that
+ * starts sends to every entry that it finds, so these reads only have to find
+ * entries that started at the same moment.
  */
 const LIST_INTERVAL_MS = 10_000;
-/** Until the own record stands in the store. */
+/**
+ * Delay before another attempt to write the own record to the store, in
+ * milliseconds.
+ */
 const ANNOUNCE_RETRY_MS = 1_000;
-/** Over which entries write their records again that a store has lost. */
+/**
+ * After the store lost the records, entries write theirs at random times within
+ * this period, in milliseconds. Otherwise all of them would write at the same
+ * moment.
+ */
 const REANNOUNCE_SPREAD_MS = 1_000;
-/** As many as one datagram holds. */
+/**
+ * Crash reports that fit into one datagram; more are split over several
+ * datagrams.
+ */
 const MAX_REPORTS_PER_DATAGRAM = 4;
-/** A report of several crashes is told again so much later: datagrams are lost. */
+/**
+ * Delays after which a report of several crashes is sent again, in
+ * milliseconds, because a datagram may be lost.
+ */
 const CRASH_REPORT_RESEND_DELAYS_MS = [100, 400];
 
 export interface SharingOptions {
@@ -111,7 +134,8 @@
   const queries = createPeerQueries({
     clock,
     self,
-    // Those before this one by name, so that some entry asks the store itself.
+    // Only entries whose names sort before this one, so that the first entry
+    // always asks the store itself.
     candidates: anyPeer =>
       [...peers.values()]
         .filter(isAlive)
@@ -141,10 +165,10 @@
   };
   const sendCrashReportsToAll = (reports: readonly CrashReport[]): void => {
     sendCrashReports(reports);
-    const repeatOffenders = reports.filter(({ended}) => ended.length > 1);
-    if (repeatOffenders.length === 0) return;
+    const repeatedCrashes = reports.filter(({ended}) => ended.length > 1);
+    if (repeatedCrashes.length === 0) return;
     for (const delayMs of CRASH_REPORT_RESEND_DELAYS_MS) {
-      clock.after(delayMs, () => isClosed || sendCrashReports(repeatOffenders));
+      clock.after(delayMs, () => isClosed || sendCrashReports(repeatedCrashes));
     }
   };
   const sendCrashReportsToOne = (reports: readonly CrashReport[]): void => {
@@ -154,7 +178,8 @@
     sendTo({kind: 'crashes', reports}, entry);
   };
 
-  // Asked while this entry starts, the service that knows is not there yet.
+  // A query may arrive while this entry starts, before the service that knows
+  // the store is running.
   const logUnanswered = (err: unknown): void =>
     log(DIRECT_EVENTS.handoverFailed, {
       step: 'answer an entry',
@@ -233,8 +258,8 @@
     });
   };
 
-  // All entries notice in the same instant; their records need not all be
-  // written in it, as each knows the others.
+  // All entries notice a restore at the same moment. They still know each
+  // other, so the records need not be written at once.
   const reannounce = (): void => {
     const cancel = clock.after(random.next() * REANNOUNCE_SPREAD_MS, () => {
       if (isDraining) return;
@@ -274,7 +299,8 @@
         return loadBroadcast.loadChanged(message.hasLongRead);
     }
   });
-  // The first word of another entry is waited for, so it is asked for at once.
+  // Keys cannot be confirmed before another entry has answered, so one is
+  // queried at once instead of after the first interval.
   void announce()
     .then(refreshPeers)
     .then(() => ctx.send('followed', {kind: 'confirm'}));
@@ -286,7 +312,8 @@
     socket.once('error', reject);
     socket.bind(self.port, self.ip, () => {
       socket.removeListener('error', reject);
-      // An unreachable peer shows as silence; nothing else is to be done.
+      // An unreachable peer shows up as silence, so the error needs no
+      // handling.
       socket.on('error', () => undefined);
       resolve(socket);
     });
--- a/src/direct/store_connection.ts
+++ b/src/direct/store_connection.ts
@@ -1,21 +1,24 @@
 /**
- * Whether this entry's own calls reach the store, and when they last confirmed
- * what is known from it.
+ * Tracks whether this entry's own calls reach the store, and when one last
+ * confirmed what is known.
  */
 import type {Clock, Log} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
 import type {StoreFault} from './types.js';
 
-/** Without cover nothing may stay unconfirmed for longer than its watch takes. */
+/** A confirmation is overdue after the wait of its watch times this factor. */
 const OVERDUE_FACTOR = 1.3;
 
 export interface ConfirmationTimer {
   markConfirmed(): void;
-  /** An own call should have confirmed it by now. */
+  /** Whether an own call should have confirmed the collection by now. */
   isOverdue(): boolean;
 }
 
-/** When a collection was last confirmed by an own call. */
+/**
+ * Tracks when an own call last confirmed a collection. `waitMs` is how long its
+ * watch waits.
+ */
 export function createConfirmationTimer(
   clock: Clock,
   waitMs: number,
@@ -35,7 +38,7 @@
   callSucceeded(): void;
 }
 
-/** One line when the store is lost and one when it is back. */
+/** Logs one line when the store is lost and one when it is back. */
 export function createStoreConnection(clock: Clock, log: Log): StoreConnection {
   let lostAt: number | undefined;
   return {
--- a/src/direct/store_era_tracker.ts
+++ b/src/direct/store_era_tracker.ts
@@ -1,7 +1,7 @@
 /**
- * Which era of the store's history this entry has seen. The era rises each time
- * the store comes back from an older copy. One that falls is an answer that was
- * late on its way, or an error; the highest seen holds.
+ * Tracks the era of the store's history. The era rises each time the store is
+ * restored from an older copy. An answer with a lower era is late or wrong, so
+ * the highest era seen counts.
  */
 import type {Log, Metrics} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
@@ -11,16 +11,16 @@
 export interface StoreEraTrackerOptions {
   readonly log: Log;
   readonly metrics: Metrics;
-  /** The store has told an era for the first time. */
+  /** The store reported an era for the first time. */
   onFirstEra?(): void;
-  /** The store has come back from a copy. */
+  /** The era has risen: the store was restored from an older copy. */
   onRestored(): void;
 }
 
 export interface StoreEraTracker {
-  /** An answer of the store told this era. */
+  /** Records the era in an answer of the store. */
   observe(era: StoreEra): void;
-  /** The highest that was seen. */
+  /** The highest era seen; undefined before the first one. */
   current(): StoreEra;
 }
 
--- a/src/direct/store_follower.ts
+++ b/src/direct/store_follower.ts
@@ -1,6 +1,8 @@
 /**
- * The service `followed`: follows the configuration and the replicas in the
- * platform's store, and tells the front of each change.
+ * The service `followed`, which follows the configuration, the replicas and the
+ * quarantine records in the platform's store and sends each change to the
+ * front. While another entry confirms that the configuration is the newest, it
+ * calls the store less often.
  */
 import type {ServiceContext, ServiceSpec} from '../types/kernel.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
@@ -35,47 +37,62 @@
 } from './types.js';
 
 /**
- * Each answer is evidence for callers' keys, which is wanted about once a
- * second.
+ * How long a watch of the configuration waits, in milliseconds. Each answer is
+ * evidence for callers' keys, which is needed about once a second.
  */
 const CONFIG_WATCH_MS = 1_000;
 /**
- * A watch whose connection fell silent is given up a little after its wait.
- * Replicas may leave meanwhile; the platform's bound on work for them starts
- * 3 s after such a fault, and by then the new watch has told of them.
+ * How long a watch of the replicas waits, in milliseconds. A watch whose
+ * connection fails silently is given up shortly after this time. Replicas may
+ * leave meanwhile: the platform's limit on the work lost with them starts 3 s
+ * after such a fault, and by then the next watch has reported them.
  */
 const REPLICAS_WATCH_MS = 2_000;
-/** Of both while another entry vouches for what is known; the store allows 30 s. */
+/**
+ * How long both watches wait while another entry confirms what is known, in
+ * milliseconds. The store allows 30 s.
+ */
 const LONG_WATCH_MS = 20_000;
 /**
- * Pause after changes, as a share of the time for which a replica that leaves
- * serves on. The second of two changes is known later by that much. While fifty
- * replicas are replaced within 15 s each change costs every entry a call.
+ * Pause after changes of replicas, as a share of the time for which a replica
+ * that is shutting down still serves. The second of two changes is known later
+ * by this pause. Without it, each change would cost every entry a call while
+ * fifty replicas are replaced within 15 s.
  */
 const REPLICAS_CHANGE_PAUSE_SHARE = 0.3;
 /**
- * Of the watch of requests that crash replicas, while other entries are heard:
- * they tell of those too, and a connection that fell silent does no harm.
+ * How long a watch of the quarantine records waits while other entries are
+ * alive, in milliseconds. Other entries report requests that crash replicas as
+ * well, so a connection that fails silently does no harm.
  */
 const QUARANTINE_WATCH_MS = 25_000;
-/** Between tries while the store fails and no other entry answers. */
+/**
+ * Longest pause between attempts while the store fails and no other entry
+ * answers, in milliseconds.
+ */
 const MAX_RETRY_WITHOUT_PEER_MS = 500;
 /**
- * The same while another entry answers, of which the first by name tries often:
- * its word is there half a second after the store is back. With all entries
- * trying alone, the store would be met with several times the calls.
+ * The same while another entry answers. The first entry by name still attempts
+ * often, and its answer arrives half a second after the store is back. If all
+ * entries attempted as often, the store would receive several times as many
+ * calls.
  */
 const MAX_RETRY_WITH_PEER_MS = 2_000;
-/** After the own start, and after the store's return from a copy. */
+/**
+ * For this long after its own start, and after a restore of the store, the
+ * entry may query any other entry, in milliseconds.
+ */
 const QUERY_ANY_PEER_MS = 3_000;
 
 export interface StoreFollowerOptions {
   readonly store: DirectStore;
-  /** Evidence older than this makes the entry unready. */
+  /**
+   * Age of the evidence, in milliseconds, from which on the entry is not ready.
+   */
   readonly maxReadyAgeMs: number;
-  /** A replica that leaves serves on for so long. */
+  /** How long a replica that is shutting down still serves, in milliseconds. */
   readonly leavingMs: number;
-  /** The whole system starts for the first time. */
+  /** Whether the whole system starts for the first time. */
   readonly isBootstrap: boolean;
   /** Time of day, in milliseconds. */
   readonly wallMs: () => number;
@@ -95,7 +112,7 @@
   const changePauseMs = leavingMs * REPLICAS_CHANGE_PAUSE_SHARE;
   const connection = createStoreConnection(clock, ctx.log);
   let newest: DirectConfig | undefined;
-  /** That are heard, with this one. */
+  /** Number of live entries, including this one. */
   let entryCount = 1;
 
   const eraTracker = createStoreEraTracker({
@@ -128,7 +145,8 @@
     settledEra.isSettled,
   );
   let reportedEra: StoreEra;
-  // Which entry knows the newest configuration does not go by names then.
+  // During this time any entry may be the one that knows the newest
+  // configuration, not only those with earlier names.
   let queryAnyPeerUntil = clock.now() + QUERY_ANY_PEER_MS;
   const handleRestore = () => {
     queryAnyPeerUntil = clock.now() + QUERY_ANY_PEER_MS;
@@ -137,7 +155,7 @@
     quarantineRecords.storeRestored();
     sendRestored();
     ctx.send('sharing', {kind: 'store-restored'});
-    // After the answer that told of it has been taken.
+    // Runs after the answer that showed the new era has been handled.
     clock.after(0, () => observeEra(eraTracker.current()));
   };
   const sendRestored = () => ctx.send('direct', {kind: 'store-restored'});
@@ -154,14 +172,15 @@
     replicaFollower.observeEra(era);
     quarantineRecords.observeEra(era);
   };
-  // Where the era is told, any answer shows that it has risen.
+  // Where the store reports its era, the era tracker detects a restore from any
+  // answer.
   const onRestored = () => {
     if (eraTracker.current() === undefined) handleRestore();
   };
 
   const applyConfig = (config: DirectConfig | undefined) => {
-    // Without a configuration the last one stays in force, as it does when an
-    // older one is read.
+    // The last configuration stays in force when the store has none or an older
+    // one.
     if (config === undefined) return;
     if (newest !== undefined && config.version <= newest.version) return;
     newest = config;
@@ -179,8 +198,8 @@
   };
   const sendConfirmed = (asOf: number, askedAt: number) =>
     ctx.send('direct', {kind: 'confirmed', asOf, askedAt});
-  // An outage that one watch outlives is seen by the other: either says that
-  // replicas' records may have lapsed.
+  // An outage may end before one of the watches notices it. Either watch's
+  // failure means that records of replicas may have expired.
   const onFault = (fault: StoreFault) => {
     connection.callFailed(fault);
     ctx.send('direct', {kind: 'store-failed'});
@@ -294,7 +313,7 @@
   const confirmation = createPeerConfirmation({
     clock,
     maxAgeMs: maxPeerEvidenceAgeMs(maxReadyAgeMs),
-    // The service that talks with entries may end with the question.
+    // The service `sharing` may end while the query is open.
     queryPeer: () =>
       queryPeer().catch(err => {
         const message = String(err);
@@ -321,7 +340,8 @@
     onNewerEra: ({era}) => {
       if (reportedEra === era) return;
       reportedEra = era;
-      // Replicas may come from there before the own calls show the return.
+      // Replicas may be fetched from that entry before this entry's own calls
+      // show the restore.
       sendRestored();
       observeEra(era);
     },
@@ -347,7 +367,7 @@
         reply: answer,
       }),
     );
-    // No number of JSON stands for an infinite age.
+    // JSON cannot represent an infinite age.
     const evidenceAgeMs = Number.isFinite(ageMs) ? ageMs : undefined;
     reply({
       era: eraTracker.current(),
@@ -356,7 +376,7 @@
       replicasDigest: knownReplicas.digest(),
     });
   };
-  // What the store showed before that time proved nothing then.
+  // What the store showed before this time did not count as proof then.
   const rereadConfig = () => {
     if (hasEra()) configFollower.rereadNow();
   };
@@ -385,8 +405,9 @@
           .claimTrial(message.digest, message.trial)
           .then(message.reply);
       case 'confirm':
-        // Asked for each request, a store that proves nothing would be asked
-        // in vain; its watch tells at once when it does.
+        // This message comes with each request. While the store's answers prove
+        // nothing, a list would be in vain; the watch returns as soon as that
+        // changes.
         if (configProof.provesNewest(newest?.version))
           configFollower.rereadNow();
         return confirmation.queryNow();
--- a/src/direct/store_position.ts
+++ b/src/direct/store_position.ts
@@ -1,10 +1,10 @@
 /**
- * A position in the history of the platform's store. A store that comes back
- * from an older copy starts a new era: revisions go back and are given out
- * again, so that two revisions can be compared within one era only.
+ * A position in the history of the platform's store. A store that is restored
+ * from an older copy starts a new era. Revisions then go back and are assigned
+ * again, so two revisions can be compared only within one era.
  */
 
-/** Undefined where the store does not tell it. */
+/** Undefined where the store does not report its era. */
 export type StoreEra = number | undefined;
 
 export interface StorePosition {
@@ -12,12 +12,14 @@
   readonly revision: number;
 }
 
-/** Two eras of which one is not told count as the same. */
+/** Whether `era` is older than `other`; false where either is not reported. */
 export function isOlderEra(era: StoreEra, other: StoreEra): boolean {
   return era !== undefined && other !== undefined && era < other;
 }
 
-/** Where `position` lies, seen from one of its own era or an earlier one. */
+/**
+ * Compares `position` with `from`, which has the same era or an earlier one.
+ */
 export function comparePositions(
   position: StorePosition,
   from: StorePosition,
--- a/src/direct/types.ts
+++ b/src/direct/types.ts
@@ -1,80 +1,106 @@
 /**
- * What an entry knows of upstreams that have no side: their configuration, the
- * replicas that are there, and what a request says of itself. The folder that
- * speaks a given platform's protocol decodes into these types, and nothing
- * else of the product sees that protocol.
+ * What an entry knows about upstreams that are reached without a side: the
+ * configuration, the running replicas, and what a request states about itself.
+ * The folder of a given platform decodes that platform's protocol into these
+ * types, so that no other part of the product depends on the protocol.
  */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Either} from 'purify-ts';
 import type {QuarantineRecord} from './crash_reports.js';
 import type {StoreEra, StorePosition} from './store_position.js';
 
-/** What may be repeated: anything, nothing, or a stream from where it broke. */
+/**
+ * How a request may be repeated after a failure: `idempotent` may be sent
+ * again, `once` may not, and `resumable-stream` is continued after the last
+ * event that arrived.
+ */
 export type RouteKind = 'idempotent' | 'once' | 'resumable-stream';
 
-/** A share of a route's requests, by weight, for one service. */
+/** A service that receives a weighted share of a route's requests. */
 export interface RouteTarget {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Requests of one host below one path, and how they are served. */
+/** Requests to one host under one path prefix, and how they are served. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** The answer is a series of events. */
+  /** Whether the response is a stream of events. */
   readonly streaming: boolean;
   readonly targets: readonly RouteTarget[];
-  /** Longest time to the final answer, in milliseconds. */
+  /** Longest time until the response is complete, in milliseconds. */
   readonly timeLimitMs: number;
-  /** Latency objective: to the answer, or to a stream's first event. */
+  /**
+   * Latency objective in milliseconds: until the response, or until the first
+   * event of a stream.
+   */
   readonly aimMs: number;
-  /** Longest pause between events that still counts as on time. */
+  /**
+   * Longest pause between two events that still counts as on time, in
+   * milliseconds.
+   */
   readonly pauseAimMs: number;
-  /** 0 is the most urgent. */
+  /** Priority of the route's requests; 0 is the most urgent. */
   readonly priority: number;
-  /** Replicas to which one request may be sent. */
+  /** Number of replicas to which one request may be sent, one after another. */
   readonly maxAttempts: number;
-  /** Served without a key. */
+  /** Whether requests are served without a key. */
   readonly isPublic: boolean;
 }
 
-/** Published figures of a pool's model engines. */
+/**
+ * Published performance figures of a pool's model engines. An engine reads a
+ * prompt (prefill) and then writes the response (decode); it does both in steps
+ * that all of its requests share.
+ */
 export interface EngineFigures {
-  /** Requests that are read or written at once. */
+  /** Requests that one engine reads or writes at the same time. */
   readonly places: number;
-  /** KV cache, in tokens. */
+  /** Size of the KV cache, in tokens. */
   readonly memoryTokens: number;
-  /** Steps of one pass while any request is writing. */
+  /** Number of steps in one pass while at least one request is writing. */
   readonly stepsPerPass: number;
   readonly stepMs: number;
-  /** Added to a step for each request that is writing. */
+  /** Milliseconds added to a step for each request that is writing. */
   readonly stepMsPerWriter: number;
   readonly readTokensPerMs: number;
-  /** For each million pairs of a token with an earlier one. */
+  /**
+   * Milliseconds of reading for each million pairs of a token and an earlier
+   * token.
+   */
   readonly pairsMsPerMillion: number;
-  /** Most tokens of prompts that one step reads. */
+  /** Largest number of prompt tokens that one step reads. */
   readonly chunkTokens: number;
-  /** Added to a step for each 1,000 tokens of a writing request's context. */
+  /**
+   * Milliseconds added to a step for each 1,000 tokens in the context of a
+   * writing request.
+   */
   readonly contextMsPerThousand: number;
 }
 
-/** A pool of replicas; without `engine`, a plain service. */
+/**
+ * A pool of replicas. A service without `engine` is a plain service, not a
+ * model engine.
+ */
 export interface UpstreamService {
   readonly name: string;
   readonly engine: EngineFigures | undefined;
 }
 
-/** The organisation that a key belongs to. */
+/** The organisation that owns a key. */
 export interface KeyOwner {
   readonly organisation: string;
-  /** Goes before the route's priority. */
+  /**
+   * Replaces the route's priority; undefined where the route's priority
+   * applies.
+   */
   readonly priority: number | undefined;
 }
 
-/** Bounds on what a caller may send. */
+/** Limits on what a caller may send. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -82,7 +108,7 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One version of the configuration, whole. */
+/** One complete version of the configuration. */
 export interface DirectConfig {
   readonly version: number;
   readonly routes: readonly Route[];
@@ -92,80 +118,104 @@
   readonly limits: CallerLimits;
 }
 
-/** One start of a replica, as it has announced itself. */
+/** One start of a replica, as the replica announced it. */
 export interface DirectReplica {
   /**
-   * Names this start alone. Load, suspicion and what other entries tell go by
-   * it, so that nothing of an earlier start is held against a later one.
+   * Identifies this start of the replica. Load, suspicion and reports of other
+   * entries refer to this id, so that nothing known about an earlier start
+   * counts against a later one.
    */
   readonly id: string;
-  /** Its name on the platform, which a later start may bear again. */
+  /**
+   * Name of the replica on the platform; a later start may have the same name.
+   */
   readonly name: string;
-  /** Time of day at its start, in milliseconds; undefined when not told. */
+  /**
+   * Time of day at which the replica started, in milliseconds; undefined where
+   * the replica does not report it.
+   */
   readonly startedAt: number | undefined;
   readonly service: string;
-  /** IP:PORT. */
+  /** Address as IP:PORT. */
   readonly address: string;
   readonly failureDomain: string;
   readonly places: number;
-  /** Takes no new work. */
+  /** Whether the replica is shutting down and takes no new work. */
   readonly leaving: boolean;
 }
 
-/** Another entry, as it announced itself. */
+/** Address of an entry, as the entry announced it. */
 export interface EntryAddress {
   readonly node: string;
   readonly incarnation: string;
   readonly ip: string;
   readonly port: number;
-  /** Not told by earlier versions. */
+  /** Undefined for entries of earlier versions, which do not announce it. */
   readonly failureDomain?: string;
 }
 
-/** What an entry knows of the store, as it tells other entries. */
+/** What an entry knows about the store, as it reports it to other entries. */
 export interface StoreKnowledge {
-  /** Of the store's history; undefined where it is not told. */
+  /**
+   * Era of the store's history; undefined where the store does not report it.
+   */
   readonly era: StoreEra;
   /**
-   * All that was acknowledged longer ago than this is in what follows;
-   * undefined without any evidence.
+   * Age of the evidence in milliseconds: the values below include every write
+   * that was acknowledged longer ago than this. Undefined without any evidence.
    */
   readonly evidenceAgeMs: number | undefined;
-  /** Undefined while there is no configuration. */
+  /**
+   * Version of the newest known configuration; undefined while there is none.
+   */
   readonly configVersion: number | undefined;
-  /** Equal for equal replicas. */
+  /** Digest of the known replicas; equal for equal sets of replicas. */
   readonly replicasDigest: string;
 }
 
-/** Another entry's answer to a question that was sent at `askedAt`. */
+/** Another entry's answer to a query. */
 export interface PeerAnswer extends StoreKnowledge {
-  /** Node that answered, and where it hands over what it knows. */
+  /**
+   * Name of the entry that answered. `ip` and `port` are where it serves what
+   * it knows.
+   */
   readonly node: string;
   readonly ip: string;
   readonly port: number;
-  /** On this process's clock. */
+  /** When the query was sent, on this process's clock. */
   readonly askedAt: number;
 }
 
 /** A call to the platform's store that gave no usable answer. */
 export interface StoreFault {
   readonly step: string;
-  /** The history asked for is gone: read anew. */
+  /**
+   * The store no longer has the history that was asked for; the collection has
+   * to be listed again.
+   */
   readonly historyGone: boolean;
-  /** It was answered, with what cannot be read; a watch would be so again. */
+  /**
+   * The store answered with a value that cannot be decoded; another watch would
+   * get the same value.
+   */
   readonly unreadable: boolean;
   readonly message: string;
 }
 
-/** What there is, as of a position in the store's history. */
+/** All items of a collection at a position in the store's history. */
 export interface Listing<T> {
   readonly position: StorePosition;
   readonly items: ReadonlyMap<string, T>;
-  /** Part of it could not be read: what is missing here may be there. */
+  /**
+   * Part of the answer could not be decoded, so an item that is missing here
+   * may still exist.
+   */
   readonly isPartial: boolean;
 }
 
-/** What has changed since a position; an undefined value was removed. */
+/**
+ * Items that changed after a position; an undefined value marks a removed item.
+ */
 export interface Changes<T> {
   readonly position: StorePosition;
   readonly items: ReadonlyMap<string, T | undefined>;
@@ -174,88 +224,114 @@
 /** Objects of one kind in the platform's store. */
 export interface Collection<T> {
   list(): Promise<Either<StoreFault, Listing<T>>>;
-  /** Answers at the first change after `from`, or after `waitMs`. */
+  /**
+   * Resolves at the first change after `from`, or after `waitMs` without a
+   * change.
+   */
   watch(
     from: StorePosition,
     waitMs: number,
   ): Promise<Either<StoreFault, Changes<T>>>;
 }
 
-/** The platform's store, as far as the direct path asks it. */
+/** The calls that the direct path makes to the platform's store. */
 export interface DirectStore {
   readonly configs: Collection<DirectConfig>;
   readonly replicas: Collection<DirectReplica>;
-  /** By digest; entries write a record, and operators may remove it. */
+  /**
+   * Quarantine records by request digest. Entries write them, and operators may
+   * remove them.
+   */
   readonly quarantine: Collection<QuarantineRecord>;
   writeQuarantine(record: QuarantineRecord): Promise<Either<StoreFault, void>>;
-  /** With the trials that were claimed under it. */
+  /** Also removes the trials that were claimed under the record. */
   removeQuarantine(digest: string): Promise<Either<StoreFault, void>>;
-  /** True for the first claim of all entries. */
+  /** Resolves to true for the first claim among all entries. */
   claimTrial(
     digest: string,
     trial: number,
   ): Promise<Either<StoreFault, boolean>>;
-  /** The newest era that was recorded as settled; no era without a record. */
+  /**
+   * Reads the newest era that was recorded as settled; `era` is undefined
+   * without a record.
+   */
   settledEra(): Promise<Either<StoreFault, {readonly era: StoreEra}>>;
   recordSettledEra(era: number): Promise<Either<StoreFault, void>>;
-  /** Calls `onEra` with the era of each answer, whatever was asked. */
+  /**
+   * Calls `onEra` with the era in each answer of the store, whichever call it
+   * answers.
+   */
   watchEra(onEra: (era: StoreEra) => void): void;
   listEntries(): Promise<Either<StoreFault, readonly EntryAddress[]>>;
   announceEntry(entry: EntryAddress): Promise<Either<StoreFault, void>>;
   removeEntry(node: string): Promise<Either<StoreFault, void>>;
 }
 
-/** What a caller's headers say. */
+/** What a caller's headers state about a request. */
 export interface RequestFacts {
   readonly id: string | undefined;
   readonly key: string | undefined;
-  /** Time the caller waits, in milliseconds; undefined when not told. */
+  /**
+   * How long the caller will wait, in milliseconds; undefined where the caller
+   * does not say.
+   */
   readonly timeLeftMs: number | undefined;
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** Estimate of the answer's tokens; undefined when not told. */
+  /**
+   * The caller's estimate of the response length in tokens; undefined where the
+   * caller gives none.
+   */
   readonly expectedTokens: number | undefined;
-  /** Last event that the caller has of a stream it resumes. */
+  /**
+   * Id of the last event that the caller received from the stream it resumes.
+   */
   readonly lastEventId: string | undefined;
 }
 
-/** What an entry tells a replica beside the caller's own headers. */
+/** What an entry tells a replica in addition to the caller's own headers. */
 export interface DispatchFacts {
-  /** Any other replica is to refuse. */
+  /**
+   * Name of the replica that the request is meant for; any other replica has to
+   * refuse it.
+   */
   readonly replicaName: string;
   readonly organisation: string | undefined;
   readonly timeLeftMs: number;
   readonly priority: number;
   readonly lastEventId: string | undefined;
-  /** Members that read parts of the prompt, with their reservations. */
+  /** Replicas that read parts of the prompt, with their reservations. */
   readonly helpers: readonly GroupMember[];
 }
 
-/** A replica that takes a part of a prompt, under a reservation or without. */
+/** A replica that reads a part of a prompt, with or without a reservation. */
 export interface GroupMember {
   readonly address: string;
   readonly reservation: string | undefined;
 }
 
-/** What a replica's headers say. */
+/** What a replica's response headers state. */
 export interface AnswerFacts {
   readonly requestId: string | undefined;
-  /** The answer bears a replica's signature. */
+  /** Whether the response carries a replica's signature. */
   readonly signed: boolean;
-  /** The replica says that it did not run the request and never will. */
+  /** The replica states that it did not run the request and never will. */
   readonly notRun: boolean;
-  /** Address of the replica at fault, where the answer names one. */
+  /**
+   * Address of the replica that caused the failure, where the response names
+   * one.
+   */
   readonly faultAt: string | undefined;
   readonly encoded: boolean;
 }
 
-/** Flat list of header names and values. */
+/** Header names and values, alternating. */
 export type HeaderList = readonly string[];
 
-/** Header names and forms between callers, entries and replicas. */
+/** Translates headers between callers, entries and replicas. */
 export interface HeaderCodec {
   readRequest(headers: IncomingHttpHeaders): RequestFacts;
-  /** Headers for the replica, as a flat list of names and values. */
+  /** Builds the headers that are sent to the replica. */
   dispatchHeaders(
     rawHeaders: readonly string[],
     facts: DispatchFacts,
@@ -263,26 +339,35 @@
   readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
 }
 
-/** State of memory that a replica was asked to set aside. */
+/** State of memory that a replica was asked to reserve. */
 export type ReservationState = 'waiting' | 'unused' | 'used';
 
-/** What a replica says of itself when asked. */
+/** What a replica reports about itself when asked. */
 export interface ReplicaReport {
-  /** As in `DirectReplica`. */
+  /** See `DirectReplica.startedAt`. */
   readonly startedAt: number | undefined;
-  /** By the reservation's id; undefined where the replica tells of none. */
+  /**
+   * Reservations by id; undefined where the replica does not report
+   * reservations.
+   */
   readonly reservations: ReadonlyMap<string, ReservationState> | undefined;
 }
 
-/** Asks the replica at an address; undefined when no answer comes in time. */
+/**
+ * Asks the replica at an address for its report; resolves to undefined when no
+ * answer comes in time.
+ */
 export type ReadReport = (
   address: string,
 ) => Promise<ReplicaReport | undefined>;
 
-/** Answer of a replica to an order about its memory. */
+/**
+ * A replica's answer to a request to reserve or release memory; `unknown`
+ * without an answer.
+ */
 export type ReservationAnswer = 'done' | 'refused' | 'unknown';
 
-/** Orders about memory that a replica sets aside for a group. */
+/** Reserves and releases memory of replicas that serve a request as a group. */
 export interface Reservations {
   reserve(
     address: string,
