--- a/test/direct/collection_follower.test.ts
+++ b/test/direct/collection_follower.test.ts
@@ -11,10 +11,9 @@
 const SETTLE_MS = 300;
 
 describe('following a collection', () => {
-  // Seventy replicas register within seven seconds, as at the start of a
-  // deployment. A watch returns at the first change after its revision; asked
-  // again at once, each registration would cost every entry a call.
-  test('takes a burst of changes with few calls', async () => {
+  // Seventy replicas register within seven seconds. Without a pause after each
+  // watch, each registration would cost every entry a call.
+  test('receives a burst of changes with few calls', async () => {
     const clock = createVirtualClock();
     const seen = new Set<string>();
     let changesMade = 0;
@@ -63,10 +62,10 @@
   });
 });
 
-describe('following a store that has no history', () => {
-  // Each watch is told that its history is gone, that of the newest read too.
-  // Read anew at once each time, the store met a thousand calls a second.
-  test('reads it anew with pauses', async () => {
+describe('following a store without a history', () => {
+  // The history is gone at each watch, even right after a list. Without pauses
+  // the store received a thousand calls per second.
+  test('lists it again with pauses', async () => {
     const clock = createVirtualClock();
     let calls = 0;
     const answer = <T>(value: T): Promise<T> => {
@@ -118,7 +117,10 @@
     items: new Map([['a', 'changed']]),
   });
 
-  /** Calls a second where the store answers watches so in turn. */
+  /**
+   * Calls per second to a store that answers watches with these results in
+   * turn.
+   */
   async function callsPerSecond(
     answers: ReadonlyArray<Either<StoreFault, Changes<string>>>,
   ): Promise<number> {
@@ -158,26 +160,25 @@
     return calls / runS;
   }
 
-  // Hundreds of entries that go on at the first pause overload the store.
+  // Hundreds of entries that keep the first pause would overload the store.
   test.each([
-    ['whose watches are all refused', [GONE]],
-    ['whose watches cannot be read', [UNREADABLE]],
-    ['where both come by turns', [GONE, UNREADABLE]],
-  ])('asks one ever more seldom %s', async (_what, answers) => {
+    ['that refuses all watches', [GONE]],
+    ['whose watch results cannot be decoded', [UNREADABLE]],
+    ['where both alternate', [GONE, UNREADABLE]],
+  ])('calls less and less often a store %s', async (_what, answers) => {
     expect(await callsPerSecond(answers)).toBeLessThan(6);
   });
 
-  // Changes come fast, and the history is dropped after each.
-  test('asks one seldom that forgets after each change', async () => {
+  // Changes come quickly, and the history is dropped after each of them.
+  test('calls rarely a store that drops its history after each change', async () => {
     expect(await callsPerSecond([GONE, CHANGED])).toBeLessThan(50);
   });
 });
 
 describe('following while the store fails', () => {
-  // The store is away for eight seconds and refuses each call at once, while
-  // evidence of the configuration is wanted twice a second. Every one of 68
-  // entries tried alone, and each refusal is a call that the store answers.
-  async function callsIn8S(retryMostMs: number): Promise<number> {
+  // The store refuses each call for eight seconds, while evidence is needed
+  // twice a second. Each refusal is a call to the store as well.
+  async function callsIn8S(maxRetryMs: number): Promise<number> {
     const clock = createVirtualClock();
     let calls = 0;
     const refused = async () => {
@@ -190,7 +191,7 @@
       clock,
       random: createSeededRandom(1),
       waitMs: () => 1_000,
-      maxRetryMs: () => retryMostMs,
+      maxRetryMs: () => maxRetryMs,
       changePauseMs: SETTLE_MS,
       onList: () => undefined,
       onChanges: () => undefined,
@@ -204,7 +205,7 @@
     return calls;
   }
 
-  test('tries a few times a second alone, and about a third of that when led', async () => {
+  test('retries a few times a second alone, and a third as often while another entry answers', async () => {
     expect(await callsIn8S(500)).toBeLessThan(45);
     expect(await callsIn8S(2_000)).toBeLessThan(16);
   });
--- a/test/direct/collection_follower_restored.test.ts
+++ b/test/direct/collection_follower_restored.test.ts
@@ -1,4 +1,4 @@
-/** Following a collection of a store that comes back from an older copy. */
+/** Following a collection of a store that is restored from an older copy. */
 import * as fc from 'fast-check';
 import {Right} from 'purify-ts';
 import {describe, expect, test} from 'vitest';
@@ -9,13 +9,13 @@
 import {createRestorableCollection} from '../support/restorable_collection.js';
 
 const WAIT_MS = 1_000;
-const RETRY_MOST_MS = 500;
-/** A watch, a retry and the list after it. */
-const SETTLED_MS = 2 * WAIT_MS + 2 * RETRY_MOST_MS;
+const MAX_RETRY_MS = 500;
+/** Time in milliseconds for a watch, a retry and the list after it. */
+const SETTLED_MS = 2 * WAIT_MS + 2 * MAX_RETRY_MS;
 
-function start(tellsEra = true) {
+function start(hasEra = true) {
   const clock = createVirtualClock();
-  const store = createRestorableCollection(clock, tellsEra);
+  const store = createRestorableCollection(clock, hasEra);
   const known = new Map<string, string>();
   let restored = 0;
   const follower = followCollection<string>({
@@ -23,7 +23,7 @@
     clock,
     random: createSeededRandom(1),
     waitMs: () => WAIT_MS,
-    maxRetryMs: () => RETRY_MOST_MS,
+    maxRetryMs: () => MAX_RETRY_MS,
     changePauseMs: 0,
     onList: items => {
       known.clear();
@@ -44,9 +44,9 @@
   return {clock, store, known, follower, restored: () => restored};
 }
 
-describe('following a store that comes back from a copy', () => {
-  // Revisions were given out again before the next watch from the old position.
-  test('reads anew where revisions were given out again', async () => {
+describe('following a store that is restored from a copy', () => {
+  // Revisions were assigned again before the next watch from the old position.
+  test('lists again where revisions were assigned again', async () => {
     const {clock, store, known, follower} = start();
     store.put('a', 'old');
     store.copy();
@@ -65,16 +65,16 @@
     follower.stop();
   });
 
-  // An earlier list arrives after a list of the new history.
-  test('drops an answer from before that arrives later', async () => {
+  // An older list arrives after a list of the new history.
+  test('ignores an older answer that arrives later', async () => {
     const {clock, store, known, follower} = start();
     store.copy();
     store.put('gone', 'old');
     await clock.runFor(100);
-    store.delay(700);
+    store.setDelay(700);
     follower.rereadNow();
     await clock.runFor(10);
-    store.delay(2);
+    store.setDelay(2);
     store.restore();
     await clock.runFor(600);
     expect(known).toEqual(new Map());
@@ -83,9 +83,9 @@
     follower.stop();
   });
 
-  // A store without the header, before which a watch waits: the watch breaks,
-  // and the next one from the old position is answered that it is not there.
-  test('reads anew also where the era is not told', async () => {
+  // A store without the era header breaks the waiting watch. It answers the
+  // next one that its position does not exist.
+  test('lists again also where the era is not reported', async () => {
     const {clock, store, known, follower} = start(false);
     store.copy();
     store.put('gone', 'old');
@@ -96,9 +96,9 @@
     follower.stop();
   });
 
-  // A list that was sent after the newest answer was there shows an older
-  // revision: nothing else lets the history go back.
-  test('takes a fall of the revision for a return where the era is not told', async () => {
+  // A list that was sent after the newest answer arrived shows an older
+  // revision, so the history went back.
+  test('treats a lower revision as a restore where the era is not reported', async () => {
     const {clock, store, known, follower, restored} = start(false);
     store.copy();
     store.put('gone', 'old');
@@ -114,11 +114,11 @@
     follower.stop();
   });
 
-  // What such a watch tells begins after a revision that the list has not reached.
-  test('takes nothing from a watch that began in the history before', async () => {
+  // The watch's changes begin after a revision that the list has not reached.
+  test('ignores the changes of a watch that began in the previous history', async () => {
     const clock = createVirtualClock();
     const known = new Set<string>();
-    const answers: Array<(revision: number, name: string) => void> = [];
+    const resolveWatches: Array<(revision: number, name: string) => void> = [];
     const from: StorePosition[] = [];
     let listed: StorePosition = {era: 1, revision: 900};
     const take = (items: ReadonlyMap<string, unknown>) =>
@@ -130,7 +130,7 @@
         watch: position => {
           from.push(position);
           return new Promise(resolve =>
-            answers.push((revision, name) =>
+            resolveWatches.push((revision, name) =>
               resolve(
                 Right({
                   position: {era: 2, revision},
@@ -144,7 +144,7 @@
       clock,
       random: createSeededRandom(1),
       waitMs: () => WAIT_MS,
-      maxRetryMs: () => RETRY_MOST_MS,
+      maxRetryMs: () => MAX_RETRY_MS,
       changePauseMs: 0,
       onList: take,
       onChanges: take,
@@ -156,20 +156,20 @@
     listed = {era: 2, revision: 895};
     follower.rereadNow();
     await clock.runFor(10);
-    answers[0](905, 'after-900');
+    resolveWatches[0](905, 'after-900');
     await clock.runFor(10);
     expect(from[1]).toEqual(listed);
     expect(known).toEqual(new Set());
     follower.stop();
   });
 
-  // Two stores at one address, or a header that lies: each answer tells an
-  // older era. Nothing of it is taken, and the store is not asked without end.
-  test('asks seldom while only older eras are told', async () => {
+  // Each answer has an older era, as with two stores at one address. Nothing is
+  // taken, and the store is not called in a loop.
+  test('calls rarely while only older eras are reported', async () => {
     const {clock, store, known, follower} = start();
     store.put('a', '1');
     await clock.runFor(100);
-    store.fallBack();
+    store.startOlderEra();
     store.put('b', '1');
     const before = store.calls();
     await clock.runFor(8_000);
@@ -201,7 +201,7 @@
     }),
   );
 
-  test('knows what the store has in the end, whatever came in between', async () => {
+  test('knows the final state of the store after any sequence of events', async () => {
     await fc.assert(
       fc.asyncProperty(fc.array(step, {maxLength: 40}), async steps => {
         const {clock, store, known, follower} = start();
@@ -210,13 +210,13 @@
           if (it.kind === 'remove') store.remove(it.name);
           if (it.kind === 'copy') store.copy();
           if (it.kind === 'restore') store.restore();
-          if (it.kind === 'delay') store.delay(it.ms);
+          if (it.kind === 'delay') store.setDelay(it.ms);
           if (it.kind === 'away') store.setAway(it.is);
           if (it.kind === 'confirm') follower.rereadNow();
           if (it.kind === 'wait') await clock.runFor(it.ms);
         }
         store.setAway(false);
-        store.delay(1);
+        store.setDelay(1);
         await clock.runFor(2 * SETTLED_MS);
         follower.stop();
         expect(known).toEqual(store.now());
--- a/test/direct/evidence.test.ts
+++ b/test/direct/evidence.test.ts
@@ -1,4 +1,4 @@
-/** Until when a key may be taken as valid. */
+/** How long keys may be accepted without news from the store. */
 import {describe, expect, test} from 'vitest';
 import {
   maxPeerEvidenceAgeMs,
@@ -27,9 +27,9 @@
 }
 
 describe('evidence for keys', () => {
-  // The process was suspended between its call and the answer: the time of day
-  // ran ahead. The answer may be as old as the suspension was long.
-  test('is void when it was asked for before a suspension', async () => {
+  // The process was suspended between its call and the answer, so the answer
+  // may be as old as the suspension was long.
+  test('does not count when it was requested before a suspension', async () => {
     const {clock, evidence, step} = setUp();
     await clock.runFor(1_000);
     step(60_000);
@@ -37,10 +37,9 @@
     expect(evidence.isFresh()).toBe(false);
   });
 
-  // An entry that is cut off from the store was put off for a moment. Another
-  // entry's word of afterwards rests on a call of before; its age was measured
-  // there. Taken as void, every key was refused until the other asked anew.
-  test('counts when another entry was asked after a suspension', async () => {
+  // The age in the answer was measured by the other entry. If it were
+  // discarded, keys would be refused until that entry's next call.
+  test('counts when another entry was queried after a suspension', async () => {
     const {clock, evidence, step} = setUp();
     await clock.runFor(1_000);
     step(60_000);
@@ -50,46 +49,43 @@
     expect(evidence.ageMs()).toBe(900);
   });
 
-  // The processor goes to another process between the reading of one clock and
-  // of the other, for longer than the clocks may drift apart.
+  // The process is interrupted between the readings of the two clocks for
+  // longer than they may drift apart.
   test.each(['before', 'after'])(
-    'outlives a pause %s a reading of the time of day',
+    'stays valid after an interruption %s a reading of the time of day',
     async at => {
       const clock = createVirtualClock();
-      let pausesMs = 0;
+      let pauseMs = 0;
       const wallMs = () => {
         const before = clock.now();
-        clock.advance(pausesMs);
-        pausesMs = 0;
+        clock.advance(pauseMs);
+        pauseMs = 0;
         return at === 'after' ? before : clock.now();
       };
       const evidence = createStoreEvidence(clock, wallMs, LIMIT_MS);
       await clock.runFor(100);
       evidence.confirm(clock.now(), clock.now());
-      pausesMs = 300;
+      pauseMs = 300;
       expect(evidence.ageMs()).toBe(300);
       expect(evidence.isFresh()).toBe(true);
     },
   );
 });
 
-describe('an entry that lives on the word of another', () => {
-  // The other's watch of the configuration returns each second, so its evidence
-  // is one to two seconds old, and half a second more when this entry asks for
-  // it again: over a bound of 2.25 s for a quarter of a second. A request that
-  // comes then waits for 0.4 s; with answers that take 0.25 s on a busy machine
-  // the next turn came too late, and the caller got 503.
-  test('refuses no key between two of its questions', async () => {
+describe('an entry that relies on confirmation by another', () => {
+  // Between queries the evidence exceeds the limit of 2.25 s for up to a
+  // quarter of a second. With answers that took 0.25 s, callers got 503.
+  test('refuses no key between two of its queries', async () => {
     const clock = createVirtualClock();
     const evidence = createStoreEvidence(clock, () => clock.now(), 2_250);
-    const otherAgeMs = () => 1_000 + ((clock.now() + 390) % 1_000);
-    const cover = createPeerConfirmation({
+    const peerEvidenceAgeMs = () => 1_000 + ((clock.now() + 390) % 1_000);
+    const confirmation = createPeerConfirmation({
       clock,
       maxAgeMs: maxPeerEvidenceAgeMs(1_500),
       queryPeer: async () => {
         const askedAt = clock.now();
         await new Promise<void>(resolve => void clock.after(100, resolve));
-        const evidenceAgeMs = otherAgeMs();
+        const evidenceAgeMs = peerEvidenceAgeMs();
         const by = 'the other';
         await new Promise<void>(resolve => void clock.after(150, resolve));
         return {
@@ -110,8 +106,8 @@
     await clock.runFor(2_000);
     const answers: boolean[] = [];
     const cancel = clock.every(50, () => {
-      void waitForFreshEvidence(clock, evidence, cover.queryNow).then(isFresh =>
-        answers.push(isFresh),
+      void waitForFreshEvidence(clock, evidence, confirmation.queryNow).then(
+        isFresh => answers.push(isFresh),
       );
     });
     await clock.runFor(10_000);
--- a/test/direct/handover.test.ts
+++ b/test/direct/handover.test.ts
@@ -1,4 +1,4 @@
-/** What entries know of the store, handed from one to another. */
+/** Handing knowledge of the store from one entry to another. */
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createCatchUp} from '../../src/direct/catch_up.js';
 import {
@@ -18,64 +18,67 @@
 import {callEntry, startDirectFleet, until} from '../support/direct_fleet.js';
 import type {DirectFleet} from '../support/direct_fleet.js';
 
-describe('an entry that the store turns away', () => {
+describe('an entry that the store refuses', () => {
   let served: DirectFleet;
-  let away: DirectFleet;
+  let refused: DirectFleet;
 
-  // Two entries, each with a store of its own that hold the same at first; the
-  // second finds the first in its store.
+  // Two entries with a store each; both stores have the same content at first.
+  // The second entry finds the first one in its store.
   beforeEach(async () => {
     served = await startDirectFleet({node: 'entry-1'});
     const other = {node: 'entry-1', peers: served.peers};
-    away = await startDirectFleet({node: 'entry-2', other});
-    const {eventsOf} = away.runtime;
+    refused = await startDirectFleet({node: 'entry-2', other});
+    const {eventsOf} = refused.runtime;
     await until(() => eventsOf(DIRECT_EVENTS.coverBegan).length > 0);
   }, 30_000);
   afterEach(async () => {
-    await away.close();
+    await refused.close();
     await served.close();
   });
 
-  // The store turns one entry away and serves the other and the operator, who
-  // adds a key. The entry that is turned away stayed on the old version: the new
-  // key got 401 there, and once its evidence was old all keys got 503.
-  test('takes a newer configuration from one that it serves', async () => {
-    away.store.setMode('busy');
+  // The store refuses one entry. It stayed on the old version, refused the new
+  // key with 401, and later refused all keys with 503.
+  test('takes a newer configuration from an entry that the store serves', async () => {
+    refused.store.setMode('busy');
     served.store.put('config', 'main', configOf(2, ['key-1', 'key-2']));
     const headers = {Authorization: 'Token key-2'};
     await until(
-      async () => (await callEntry(away, '/again/', {headers})).status === 200,
+      async () =>
+        (await callEntry(refused, '/again/', {headers})).status === 200,
     );
-    const [taken] = away.runtime.eventsOf(DIRECT_EVENTS.knowledgeTaken);
+    const [taken] = refused.runtime.eventsOf(DIRECT_EVENTS.knowledgeTaken);
     const {fields} = taken;
     expect(fields).toMatchObject({what: 'configuration', entry: 'entry-1'});
   }, 30_000);
 
-  // Keys are taken away while the store turns this entry away: the old key must
-  // not be served for longer than the bound, and here not past the handover.
-  test('serves no key that the newer one has taken away', async () => {
-    away.store.setMode('busy');
+  // Keys are removed while the store refuses this entry. The old key must not
+  // be accepted any more after the handover.
+  test('accepts no key that the newer configuration has removed', async () => {
+    refused.store.setMode('busy');
     served.store.put('config', 'main', configOf(2, ['key-2']));
-    await until(async () => (await callEntry(away, '/again/')).status === 401);
+    await until(
+      async () => (await callEntry(refused, '/again/')).status === 401,
+    );
     const headers = {Authorization: 'Token key-2'};
-    expect((await callEntry(away, '/again/', {headers})).status).toBe(200);
+    expect((await callEntry(refused, '/again/', {headers})).status).toBe(200);
   }, 30_000);
 
-  // Replicas are replaced while the store turns this entry away. It would go on
-  // asking those that are gone.
+  // Replicas are replaced while the store refuses this entry, which would
+  // otherwise keep calling the old ones.
   test('takes the replicas as well', async () => {
-    away.store.setMode('busy');
-    for (const {close} of away.desk) await close();
-    const reaches = async () =>
-      (await callEntry(away, '/again/')).status === 200;
-    await until(reaches, 10_000);
+    refused.store.setMode('busy');
+    for (const {close} of refused.desk) await close();
+    const isServed = async () =>
+      (await callEntry(refused, '/again/')).status === 200;
+    await until(isServed, 10_000);
     expect(served.desk.flatMap(({arrivals}) => arrivals)).not.toEqual([]);
   }, 30_000);
 });
 
-describe('what an entry knows', () => {
-  // It holds the callers' keys. On this network's other hosts anyone may dial.
-  test('is handed to no one who is not an entry', async () => {
+describe('knowledge that an entry serves', () => {
+  // The configuration contains callers' keys, and any host on the network may
+  // connect.
+  test('is served to entries only', async () => {
     const fleet = await startDirectFleet();
     const answer = await fetch(`http://${fleet.peers}/config`);
     expect([answer.status, await answer.text()]).toEqual([404, '']);
@@ -83,7 +86,7 @@
   });
 });
 
-describe('what another entry knows', () => {
+describe('knowledge of another entry', () => {
   const answer: PeerAnswer = {
     node: 'entry-1',
     ip: '127.0.0.1',
@@ -94,12 +97,12 @@
     configVersion: 4,
     replicasDigest: 'b',
   };
-  function catchUpOf(lost: boolean) {
+  function createFixture(isStoreLost: boolean) {
     const taken: string[] = [];
     let fetched = 0;
     const catchUp = createCatchUp({
       ownVersion: () => 3,
-      isStoreLost: () => lost,
+      isStoreLost: () => isStoreLost,
       fetchConfig: async () => {
         fetched++;
         return {version: 4} as DirectConfig;
@@ -111,31 +114,32 @@
     });
     return {catchUp, taken, fetched: () => fetched};
   }
-  const settled = () => new Promise(resolve => setImmediate(resolve));
+  const flush = () => new Promise(resolve => setImmediate(resolve));
 
-  // A change is on its way to all entries; the own watch brings it as well.
-  test('is fetched when a newer version is told twice in a row', async () => {
-    const {catchUp, taken, fetched} = catchUpOf(false);
+  // A change reaches all entries at about the same time, and the own watch
+  // delivers it as well.
+  test('is fetched when a newer version is reported twice in a row', async () => {
+    const {catchUp, taken, fetched} = createFixture(false);
     expect(catchUp.handleDifferentConfig(answer)).toBe(false);
     catchUp.handleSameConfig();
     expect(catchUp.handleDifferentConfig(answer)).toBe(false);
-    await settled();
+    await flush();
     expect(fetched()).toBe(0);
     expect(catchUp.handleDifferentConfig(answer)).toBe(true);
-    await settled();
+    await flush();
     expect(taken).toEqual(['config 4']);
   });
 
   test('is not fetched when it is older', async () => {
-    const {catchUp, fetched} = catchUpOf(true);
+    const {catchUp, fetched} = createFixture(true);
     const older = {...answer, configVersion: 2};
     for (let at = 0; at < 4; at++) catchUp.handleDifferentConfig(older);
-    await settled();
+    await flush();
     expect(fetched()).toBe(0);
   });
 
-  // The service that fetches is starting anew. A fetch that failed must not keep
-  // the next one from being made, nor end the process.
+  // The service that fetches restarts. A failed fetch must neither block the
+  // next one nor end the process.
   test('is fetched again after a fetch that failed', async () => {
     const taken: string[] = [];
     let tries = 0;
@@ -153,23 +157,24 @@
     });
     for (let at = 0; at < 4; at++) {
       catchUp.handleDifferentConfig(answer);
-      await settled();
+      await flush();
     }
     expect(taken.slice(0, 2)).toEqual(['Error: not running', 'config 4']);
   });
 
-  // The other entry may lag: while the store answers here, its word is newer.
-  test('of replicas counts only while the store is lost', async () => {
-    const well = catchUpOf(false);
-    well.catchUp.handleDifferentReplicas(answer);
-    const lost = catchUpOf(true);
+  // The other entry may be behind. While the store answers here, its answers
+  // are more current.
+  test('about replicas counts only while the store is lost', async () => {
+    const connected = createFixture(false);
+    connected.catchUp.handleDifferentReplicas(answer);
+    const lost = createFixture(true);
     lost.catchUp.handleDifferentReplicas(answer);
-    await settled();
-    expect([well.taken, lost.taken]).toEqual([[], ['replicas']]);
+    await flush();
+    expect([connected.taken, lost.taken]).toEqual([[], ['replicas']]);
   });
 });
 
-describe('a handed-over text', () => {
+describe('an encoded handover', () => {
   const config = decodeConfig(configOf(5)).unsafeCoerce();
   const replica: DirectReplica = {
     id: 'a@1',
@@ -182,7 +187,7 @@
     leaving: false,
   };
 
-  test('reads as what was handed over', () => {
+  test('decodes to what was encoded', () => {
     expect(decodeHandoverConfig(encodeConfig(config)).extract()).toEqual(
       config,
     );
@@ -192,7 +197,7 @@
   });
 
   test.each(['', '{}', '[{}]', '{"version":"5"}', 'null'])(
-    'is not taken when it is %j',
+    'is rejected when it is %j',
     text => {
       expect(decodeHandoverConfig(text).isLeft()).toBe(true);
       expect(decodeReplicas(text).isLeft()).toBe(true);
--- a/test/direct/key_revocation.test.ts
+++ b/test/direct/key_revocation.test.ts
@@ -1,10 +1,13 @@
-/** Keys are served only while the store's word on them is young enough. */
+/** Keys are accepted only while evidence from the store is recent enough. */
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {configOf} from '../../standins/users_platform/deployment.js';
 import {callEntry, startDirectFleet, until} from '../support/direct_fleet.js';
 import type {DirectFleet} from '../support/direct_fleet.js';
 
-/** Short, so that the tests need not wait long. */
+/**
+ * Limit on removed keys in milliseconds; short, so that the tests need not wait
+ * long.
+ */
 const REVOKE_MS = 2_500;
 
 let fleet: DirectFleet;
@@ -17,10 +20,9 @@
 const wait = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
 describe('a key', () => {
-  // The entry is cut off from the store, and the key is taken away meanwhile.
-  // Callers get 503 once the evidence is as old as the bound; what needs no key
-  // is served on.
-  test('is not served for longer than the bound without the store', async () => {
+  // The key is removed while the entry cannot reach the store. Callers get 503
+  // after the limit; routes without keys are still served.
+  test('is not accepted for longer than the limit without the store', async () => {
     fleet.store.setMode('silent');
     fleet.store.put('config', 'main', configOf(2, []));
     expect(await call('/again/')).toBe(200);
@@ -32,9 +34,9 @@
     await until(async () => (await call('/again/')) === 401);
   });
 
-  // The process was suspended: its monotonic clock stood still while the time
-  // of day went on. The old evidence looks young, and counts for nothing.
-  test('is confirmed anew after a suspension', async () => {
+  // The monotonic clock stopped during the suspension, so the old evidence
+  // looks recent and must not count.
+  test('is confirmed again after a suspension', async () => {
     fleet.store.setMode('silent');
     fleet.store.put('config', 'main', configOf(2, []));
     fleet.shiftWall(60_000);
@@ -43,16 +45,16 @@
     await until(async () => (await call('/again/')) === 401);
   });
 
-  // A stepped time of day looks like a suspension; one call to the store
-  // settles it, and the caller hardly notices.
-  test('is served on after a step of the time of day', async () => {
+  // A step of the time of day looks like a suspension. One call to the store
+  // replaces the evidence, almost unnoticed by the caller.
+  test('is still accepted after a step of the time of day', async () => {
     fleet.shiftWall(-60_000);
     expect(await call('/again/')).toBe(200);
   });
 });
 
 describe('an entry without the store', () => {
-  test('says that it is not ready, and is ready again afterwards', async () => {
+  test('reports that it is not ready, and is ready again afterwards', async () => {
     const ready = () =>
       fleet.entry.kernel.ask('direct', (reply: (well: boolean) => void) => ({
         kind: 'ready',
--- a/test/direct/peer_confirmation.test.ts
+++ b/test/direct/peer_confirmation.test.ts
@@ -1,4 +1,4 @@
-/** Another entry's word in place of own calls to the store. */
+/** Confirmation by another entry in place of own calls to the store. */
 import {describe, expect, test} from 'vitest';
 import {
   maxPeerEvidenceAgeMs,
@@ -11,30 +11,32 @@
 import type {VirtualClock} from '../../standins/virtual_clock.js';
 import {IGNORED_CALLBACKS} from '../support/peer_confirmation.js';
 
-/** As with a bound of five seconds. */
+/**
+ * Readiness limit in milliseconds for a limit of five seconds on removed keys.
+ */
 const READY_MS = 3_000;
 const SAME = {era: 1, configVersion: 3, replicasDigest: 'a'};
 
-function coverOf(
+function createFixture(
   clock: VirtualClock,
   answer: () => StoreKnowledge | undefined,
 ) {
   const confirmed: number[] = [];
   const seen: string[] = [];
-  const cover = createPeerConfirmation({
+  const confirmation = createPeerConfirmation({
     clock,
     maxAgeMs: maxPeerEvidenceAgeMs(READY_MS),
     queryPeer: () => {
       const askedAt = clock.now();
       const knowledge = answer();
-      const told: PeerAnswer | undefined = knowledge && {
+      const peerAnswer: PeerAnswer | undefined = knowledge && {
         ...knowledge,
         askedAt,
         node: 'entry-0',
         ip: '127.0.0.1',
         port: 1,
       };
-      return Promise.resolve(told);
+      return Promise.resolve(peerAnswer);
     },
     ownKnowledge: () => SAME,
     onConfirmed: asOf => confirmed.push(asOf),
@@ -43,102 +45,108 @@
     onDifferentReplicas: () => seen.push('replicas'),
     onNewerEra: () => seen.push('newer era'),
     onUnconfirmed: () => seen.push('uncovered'),
-    onChange: is => seen.push(is ? 'began' : 'ended'),
+    onChange: isActive => seen.push(isActive ? 'began' : 'ended'),
   });
-  return {cover, confirmed, seen};
+  return {confirmation, confirmed, seen};
 }
 
-describe('the word of another entry', () => {
-  test('counts from its question, less the age of its evidence', async () => {
+describe('confirmation by another entry', () => {
+  test('counts from the time of the query minus the age of the evidence', async () => {
     const clock = createVirtualClock();
-    const word = coverOf(clock, () => ({...SAME, evidenceAgeMs: 300}));
+    const fixture = createFixture(clock, () => ({...SAME, evidenceAgeMs: 300}));
     await clock.runFor(500);
-    expect(word.confirmed).toEqual([clock.now() - 300]);
-    expect(word.cover.isActive()).toBe(true);
-    expect(word.seen).toEqual(['began']);
+    expect(fixture.confirmed).toEqual([clock.now() - 300]);
+    expect(fixture.confirmation.isActive()).toBe(true);
+    expect(fixture.seen).toEqual(['began']);
   });
 
-  // Entry and store are cut apart, and the other entry has not heard of the
-  // store for long or ever: a key may have been taken away meanwhile.
-  test('is none without evidence', async () => {
+  // If the other entry has had no news of the store either, a key may have been
+  // removed meanwhile.
+  test('is not given without evidence', async () => {
     const clock = createVirtualClock();
-    const word = coverOf(clock, () => ({...SAME, evidenceAgeMs: undefined}));
+    const fixture = createFixture(clock, () => ({
+      ...SAME,
+      evidenceAgeMs: undefined,
+    }));
     await clock.runFor(500);
-    expect(word.confirmed).toEqual([]);
-    expect(word.cover.isActive()).toBe(false);
+    expect(fixture.confirmed).toEqual([]);
+    expect(fixture.confirmation.isActive()).toBe(false);
   });
 
-  // Too old to lean on, but as true as ever: where the own calls fail, keys
-  // count on it until it is over the bound.
-  test('counts at any age, but covers only while it is young', async () => {
+  // Old evidence does not replace own calls, but it is still exact. Where own
+  // calls fail, keys are accepted on it up to the limit.
+  test('counts at any age, but replaces own calls only while it is recent', async () => {
     const clock = createVirtualClock();
-    const word = coverOf(clock, () => ({...SAME, evidenceAgeMs: 2_001}));
+    const fixture = createFixture(clock, () => ({
+      ...SAME,
+      evidenceAgeMs: 2_001,
+    }));
     await clock.runFor(500);
-    expect(word.confirmed).toEqual([clock.now() - 2_001]);
-    expect(word.cover.isActive()).toBe(false);
+    expect(fixture.confirmed).toEqual([clock.now() - 2_001]);
+    expect(fixture.confirmation.isActive()).toBe(false);
   });
 
-  // With a bound of 2.5 s an entry is unready from 1.5 s on. A word that is a
-  // second old would be older than that before the next one comes.
-  test('counts only if it keeps the entry ready until the next one', () => {
+  // With a limit of 2.5 s an entry is unready from 1.5 s on. Evidence that is a
+  // second old would be older than that before the next answer.
+  test('replaces own calls only if the entry stays ready until the next answer', () => {
     expect(maxPeerEvidenceAgeMs(READY_MS)).toBe(2_000);
     expect(maxPeerEvidenceAgeMs(1_500)).toBe(800);
   });
 
-  // A key was taken away in version 4. The other entry knows, this one does
-  // not: the other's fresh evidence says nothing of the keys of version 3.
-  test('is none for another configuration, which is read instead', async () => {
+  // A key was removed in version 4. The other entry's fresh evidence says
+  // nothing about the keys of version 3.
+  test('is not given for a different configuration, which is read instead', async () => {
     const clock = createVirtualClock();
     const other = {...SAME, configVersion: 4, evidenceAgeMs: 0};
-    const word = coverOf(clock, () => other);
+    const fixture = createFixture(clock, () => other);
     await clock.runFor(500);
-    expect(word.confirmed).toEqual([]);
-    expect(word.seen).toEqual(['config', 'uncovered']);
+    expect(fixture.confirmed).toEqual([]);
+    expect(fixture.seen).toEqual(['config', 'uncovered']);
   });
 
-  // The other entry's evidence is over what covers, as with a short bound on
-  // keys, and yet its version is the newer one.
-  test('tells of a newer configuration however old it is', async () => {
+  // With a short limit on removed keys, evidence may be too old to replace own
+  // calls although the version is newer.
+  test('reports a newer configuration at any age', async () => {
     const clock = createVirtualClock();
     const old = {...SAME, evidenceAgeMs: 2_500};
-    const newer = coverOf(clock, () => ({...old, configVersion: 4}));
-    const older = coverOf(clock, () => ({...old, configVersion: 2}));
+    const newer = createFixture(clock, () => ({...old, configVersion: 4}));
+    const older = createFixture(clock, () => ({...old, configVersion: 2}));
     await clock.runFor(500);
     expect(newer.seen).toContain('config');
     expect(older.seen).not.toContain('config');
   });
 
-  test('has replicas read anew when they differ twice', async () => {
+  test('causes a read of the replicas when they differ twice', async () => {
     const clock = createVirtualClock();
     const other = {...SAME, replicasDigest: 'b', evidenceAgeMs: 0};
-    const word = coverOf(clock, () => other);
+    const fixture = createFixture(clock, () => other);
     await clock.runFor(500);
-    expect(word.seen).toEqual(['began']);
+    expect(fixture.seen).toEqual(['began']);
     await clock.runFor(500);
-    expect(word.seen).toEqual(['began', 'replicas']);
+    expect(fixture.seen).toEqual(['began', 'replicas']);
   });
 
-  test('ends soon after the other fell silent', async () => {
+  test('ends soon after the other entry became silent', async () => {
     const clock = createVirtualClock();
-    let isThere = true;
-    const word = coverOf(clock, () =>
-      isThere ? {...SAME, evidenceAgeMs: 0} : undefined,
+    let isPeerAlive = true;
+    const fixture = createFixture(clock, () =>
+      isPeerAlive ? {...SAME, evidenceAgeMs: 0} : undefined,
     );
     await clock.runFor(500);
-    isThere = false;
+    isPeerAlive = false;
     await clock.runFor(1_000);
-    expect(word.seen).toEqual(['began']);
+    expect(fixture.seen).toEqual(['began']);
     await clock.runFor(500);
-    expect(word.cover.isActive()).toBe(false);
-    expect(word.seen).toEqual(['began', 'ended', 'uncovered']);
+    expect(fixture.confirmation.isActive()).toBe(false);
+    expect(fixture.seen).toEqual(['began', 'ended', 'uncovered']);
   });
 
-  // Two entries that are both cut off from the store ask each other. Each
-  // answer is older than the one it rests on: no key lives on between them.
-  test('grows old between two entries that lean on each other', async () => {
+  // Two entries that cannot reach the store query each other. The age grows
+  // with each answer, so no key stays accepted.
+  test('expires between two entries that rely on each other', async () => {
     const clock = createVirtualClock();
     const confirmedAt = [clock.now(), clock.now()];
-    const leanOn = (own: number, other: number) =>
+    const relyOn = (own: number, other: number) =>
       createPeerConfirmation({
         clock,
         maxAgeMs: maxPeerEvidenceAgeMs(READY_MS),
@@ -160,30 +168,33 @@
           confirmedAt[own] = Math.max(confirmedAt[own], sentAt);
         },
       });
-    const covers = [leanOn(0, 1), leanOn(1, 0)];
+    const confirmations = [relyOn(0, 1), relyOn(1, 0)];
     await clock.runFor(5_000);
     expect(confirmedAt).toEqual([0, 0]);
-    expect(covers.map(cover => cover.isActive())).toEqual([false, false]);
+    expect(confirmations.map(confirmation => confirmation.isActive())).toEqual([
+      false,
+      false,
+    ]);
   });
 });
 
-describe('a word that is wanted at once', () => {
-  // A request waits for its key to be confirmed. The next turn is up to half a
-  // second away, which is longer than a request waits.
-  test('is asked for before its turn', async () => {
+describe('a confirmation that is needed at once', () => {
+  // The next regular query may be half a second away, which is longer than a
+  // request waits for its key.
+  test('is requested before the next interval', async () => {
     const clock = createVirtualClock();
-    const word = coverOf(clock, () => ({...SAME, evidenceAgeMs: 0}));
-    word.cover.queryNow();
+    const fixture = createFixture(clock, () => ({...SAME, evidenceAgeMs: 0}));
+    fixture.confirmation.queryNow();
     await clock.settle();
-    expect(word.confirmed).toEqual([0]);
+    expect(fixture.confirmed).toEqual([0]);
   });
 
-  // A question is under way when a doubt about the clocks arises; its answer
-  // will be void. The wanted one is asked after it.
-  test('is asked for after the question that is under way', async () => {
+  // The running query was sent before a suspension was detected, so its answer
+  // will not count.
+  test('is requested again after the running query', async () => {
     const clock = createVirtualClock();
     let asked = 0;
-    const cover = createPeerConfirmation({
+    const confirmation = createPeerConfirmation({
       clock,
       maxAgeMs: maxPeerEvidenceAgeMs(READY_MS),
       queryPeer: () => {
@@ -196,7 +207,7 @@
       ...IGNORED_CALLBACKS,
     });
     await clock.runFor(500);
-    cover.queryNow();
+    confirmation.queryNow();
     expect(asked).toBe(1);
     await clock.runFor(100);
     expect(asked).toBe(2);
@@ -205,7 +216,7 @@
   });
 });
 
-describe('a question to another entry', () => {
+describe('a query to another entry', () => {
   const entry = (node: string) => ({
     node,
     incarnation: 'i',
@@ -213,27 +224,26 @@
     port: 1,
   });
 
-  // The first entry stands still. Its silence costs one question, and the next
-  // goes to another entry.
-  test('that is not answered goes to the next entry afterwards', async () => {
+  // The first entry is frozen. Its silence costs one query only.
+  test('goes to the next entry after one that was not answered', async () => {
     const clock = createVirtualClock();
     const sent: Array<{datagram: AskDatagram; to: string}> = [];
     const answers: Array<PeerAnswer | undefined> = [];
-    const questions = createPeerQueries({
+    const queries = createPeerQueries({
       clock,
       self: entry('c'),
       candidates: () => [entry('a'), entry('b')],
       send: (datagram, to) => sent.push({datagram, to: to.node}),
     });
-    questions.query(false, answer => answers.push(answer));
+    queries.query(false, answer => answers.push(answer));
     await clock.runFor(400);
     expect(answers).toEqual([undefined]);
-    questions.query(false, answer => answers.push(answer));
+    queries.query(false, answer => answers.push(answer));
     expect(sent.map(({to}) => to)).toEqual(['a', 'b']);
     const knowledge = {...SAME, evidenceAgeMs: 5};
     const {question} = sent[1].datagram;
-    questions.handleAnswer({kind: 'answer', question, knowledge});
-    questions.handleAnswer({kind: 'answer', question, knowledge});
+    queries.handleAnswer({kind: 'answer', question, knowledge});
+    queries.handleAnswer({kind: 'answer', question, knowledge});
     const from = {node: 'b', ip: '127.0.0.1', port: 1};
     expect(answers).toEqual([undefined, {...knowledge, askedAt: 400, ...from}]);
   });
--- a/test/direct/peer_queries.test.ts
+++ b/test/direct/peer_queries.test.ts
@@ -1,4 +1,4 @@
-/** Which other entry is asked what it knows of the store. */
+/** Which other entry is queried for its knowledge of the store. */
 import {describe, expect, test} from 'vitest';
 import {createPeerQueries} from '../../src/direct/peer_queries.js';
 import type {EntryAddress} from '../../src/direct/types.js';
@@ -10,11 +10,14 @@
 
 const NODES = ['a', 'b', 'c'];
 
-/** The entries asked in turn, each knowing the store as of so long ago. */
-function asked(ages: Readonly<Record<string, number | undefined>>) {
+/**
+ * Names of the entries queried in turn. `ages` gives the age of each one's
+ * evidence in milliseconds.
+ */
+function queriedNodes(ages: Readonly<Record<string, number | undefined>>) {
   const clock = createVirtualClock();
   const nodes: string[] = [];
-  const questions = createPeerQueries({
+  const queries = createPeerQueries({
     clock,
     self: entry('d'),
     candidates: () => NODES.map(entry),
@@ -26,23 +29,27 @@
         configVersion: 1,
         replicasDigest: '',
       };
-      questions.handleAnswer({kind: 'answer', question, knowledge});
+      queries.handleAnswer({kind: 'answer', question, knowledge});
     },
   });
-  for (let turn = 0; turn < 4; turn++) questions.query(false, () => undefined);
+  for (let turn = 0; turn < 4; turn++) queries.query(false, () => undefined);
   return nodes;
 }
 
-describe('an entry that asks others', () => {
-  test('stays with one whose evidence is new', () => {
-    expect(asked({a: 900, b: 900, c: 900})).toEqual(['a', 'a', 'a', 'a']);
+describe('an entry that queries others', () => {
+  test('stays with an entry whose evidence is recent', () => {
+    expect(queriedNodes({a: 900, b: 900, c: 900})).toEqual([
+      'a',
+      'a',
+      'a',
+      'a',
+    ]);
   });
 
-  // The store turns some machines away, the first entry by name among them, and
-  // serves the others. Callers with keys would get 503 from every entry that is
-  // turned away too and goes on asking the first, though others know the store.
-  test('goes to the next when the evidence is old or there is none', () => {
-    expect(asked({a: 9_000, b: undefined, c: 500})).toEqual([
+  // The store refuses some machines, the first entry among them. Entries that
+  // kept asking it would refuse all keys with 503.
+  test('goes to the next entry when the evidence is old or missing', () => {
+    expect(queriedNodes({a: 9_000, b: undefined, c: 500})).toEqual([
       'a',
       'b',
       'c',
--- a/test/direct/restored_store.test.ts
+++ b/test/direct/restored_store.test.ts
@@ -1,4 +1,4 @@
-/** What an entry does when the store comes back from an older copy. */
+/** What an entry does when the store is restored from an older copy. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createConfigProof} from '../../src/direct/config_proof.js';
@@ -30,11 +30,14 @@
 const byName = (...replicas: readonly DirectReplica[]) =>
   new Map(replicas.map(it => [it.name, it]));
 
-describe('replicas after the store came back from a copy', () => {
-  /** Longer than a replica takes to write again. */
+describe('replicas after the store was restored from a copy', () => {
+  /**
+   * Time in milliseconds that is longer than a replica takes to write its
+   * record again.
+   */
   const DOUBT_MS = 4_000;
 
-  function fleetOf(...replicas: readonly DirectReplica[]) {
+  function createTable(...replicas: readonly DirectReplica[]) {
     const clock = createVirtualClock();
     const fleet = createFleet({
       clock,
@@ -46,10 +49,10 @@
     return {clock, fleet, names};
   }
 
-  // A replica that is leaving is in the copy as it was before. It serves on for
-  // two seconds or so and then exits, with what it was sent meanwhile.
+  // The copy has a leaving replica as it was before. Requests sent to it would
+  // be lost when it exits about two seconds later.
   test('stay unused when they were leaving', async () => {
-    const {clock, fleet, names} = fleetOf(replica('a'), replica('b', true));
+    const {clock, fleet, names} = createTable(replica('a'), replica('b', true));
     await clock.runFor(100);
     fleet.restored();
     fleet.setAll(byName(replica('a'), replica('b')));
@@ -59,9 +62,9 @@
     expect(names()).toEqual(['a']);
   });
 
-  // One that had gone is alive by the copy until its record lapses there.
+  // The copy lists a replica that has gone, until its record expires there.
   test('stay gone when they were gone', async () => {
-    const {clock, fleet, names} = fleetOf(replica('a'), replica('b'));
+    const {clock, fleet, names} = createTable(replica('a'), replica('b'));
     fleet.change(new Map([['b', undefined]]));
     await clock.runFor(100);
     fleet.restored();
@@ -72,8 +75,8 @@
     expect(names()).toEqual(['a']);
   });
 
-  test('are used again as soon as they write so themselves', () => {
-    const {fleet, names} = fleetOf(replica('a'), replica('b'));
+  test('are used again as soon as they write their record themselves', () => {
+    const {fleet, names} = createTable(replica('a'), replica('b'));
     fleet.change(new Map([['b', undefined]]));
     fleet.restored();
     fleet.setAll(byName(replica('a'), replica('b')));
@@ -81,69 +84,72 @@
     expect(names().sort()).toEqual(['a', 'b']);
   });
 
-  // No write of its own comes; what the store goes on saying is the truth then.
-  test('are used again when the store says so for long', async () => {
-    const {clock, fleet, names} = fleetOf(replica('a'), replica('b', true));
+  // The replica does not write its record again, so what the store keeps
+  // reporting counts in the end.
+  test('are used again when the store keeps listing them', async () => {
+    const {clock, fleet, names} = createTable(replica('a'), replica('b', true));
     fleet.restored();
     fleet.setAll(byName(replica('a'), replica('b')));
     await clock.runFor(DOUBT_MS);
     expect(names().sort()).toEqual(['a', 'b']);
   });
 
-  // Its record is younger than the copy. It writes again within two seconds.
-  test('are used on for a while when the copy knows none of them', () => {
-    const {fleet, names} = fleetOf(replica('a'));
+  // The replica's record is newer than the copy, and the replica writes it
+  // again within two seconds.
+  test('stay in use for a while when the copy lists none of them', () => {
+    const {fleet, names} = createTable(replica('a'));
     fleet.restored();
     fleet.setAll(new Map());
     expect(names()).toEqual(['a']);
   });
 });
 
-describe('proof that a configuration is the newest', () => {
+describe('proof that the configuration is the newest', () => {
   const SOON_MS = 100;
   const LATER_MS = 2_000;
   const FIRST_WORD_MS = 600;
-  const proofOf = (tellsEra = true) => {
+  const createProof = (hasEra = true) => {
     const {runtime, clock, eventsOf} = createRecordingRuntime();
-    const proof = createConfigProof(clock, runtime.log, () => tellsEra);
+    const proof = createConfigProof(clock, runtime.log, () => hasEra);
     proof.versionListed(12);
     return {clock, proof, eventsOf};
   };
-  const runningProofOf = async () => {
-    const made = proofOf();
+  const createRunningProof = async () => {
+    const made = createProof();
     await made.clock.runFor(LATER_MS);
     return made;
   };
 
-  test('is each answer that shows it', async () => {
-    expect((await runningProofOf()).proof.provesNewest(12)).toBe(true);
+  test('is given by each answer with that version', async () => {
+    expect((await createRunningProof()).proof.provesNewest(12)).toBe(true);
   });
 
-  // An entry that starts may do so just after a return, of which it cannot know.
-  test('is none at the start, until another entry had time to tell', async () => {
-    const {clock, proof} = proofOf();
+  // An entry cannot know at its start whether the store was restored just
+  // before.
+  test('is not given at the start until another entry had time to answer', async () => {
+    const {clock, proof} = createProof();
     expect(proof.provesNewest(12)).toBe(false);
     await clock.runFor(FIRST_WORD_MS);
     expect(proof.provesNewest(12)).toBe(true);
   });
 
-  // Such a store cannot be known to come back from a copy.
-  test('is each answer at the start where the store tells no era', () => {
-    expect(proofOf(false).proof.provesNewest(12)).toBe(true);
+  // Such a store cannot be known to be restored from a copy.
+  test('is given at the start where the store reports no era', () => {
+    expect(createProof(false).proof.provesNewest(12)).toBe(true);
   });
 
-  test('is none while a newer configuration is fetched from another entry', async () => {
-    const {clock, proof} = await runningProofOf();
+  test('is not given while a newer configuration is fetched from another entry', async () => {
+    const {clock, proof} = await createRunningProof();
     proof.peerHasVersion(13);
     expect(proof.provesNewest(12)).toBe(false);
     await clock.runFor(LATER_MS);
     expect(proof.provesNewest(12)).toBe(true);
   });
 
-  // Version 13 takes a key away and is acknowledged; the store comes back
-  // without it. Answers that show 12 must not keep that key in use.
-  test('is none right after a return, until something is written', async () => {
-    const {clock, proof} = await runningProofOf();
+  // Version 13 removes a key and is acknowledged, but the restored store lacks
+  // it. Its answers with version 12 must not prove that key.
+  test('is not given right after a restore until something is written', async () => {
+    const {clock, proof} = await createRunningProof();
     proof.storeRestored();
     proof.versionListed(12);
     await clock.runFor(SOON_MS);
@@ -152,16 +158,16 @@
     expect(proof.provesNewest(13)).toBe(true);
   });
 
-  test('is an answer again when nothing was written for long', async () => {
-    const {clock, proof} = await runningProofOf();
+  test('is given again when nothing was written for long after a restore', async () => {
+    const {clock, proof} = await createRunningProof();
     proof.storeRestored();
     proof.versionListed(12);
     await clock.runFor(LATER_MS);
     expect(proof.provesNewest(12)).toBe(true);
   });
 
-  test('is never an older configuration', async () => {
-    const {clock, proof, eventsOf} = await runningProofOf();
+  test('is never given by an older configuration', async () => {
+    const {clock, proof, eventsOf} = await createRunningProof();
     proof.storeRestored();
     proof.versionListed(10);
     await clock.runFor(LATER_MS);
@@ -175,22 +181,22 @@
 });
 
 describe('the era of the store', () => {
-  test('rises, and never falls back', () => {
+  test('rises and never falls', () => {
     const {runtime, eventsOf} = createRecordingRuntime();
-    let risen = 0;
+    let restoredCount = 0;
     const {log, metrics} = runtime;
-    const eras = createStoreEraTracker({
+    const eraTracker = createStoreEraTracker({
       log,
       metrics,
-      onRestored: () => risen++,
+      onRestored: () => restoredCount++,
     });
-    for (const era of [3, 3, 4, 3, 3, 4]) eras.observe(era);
-    expect(eras.current()).toBe(4);
-    expect(risen).toBe(1);
+    for (const era of [3, 3, 4, 3, 3, 4]) eraTracker.observe(era);
+    expect(eraTracker.current()).toBe(4);
+    expect(restoredCount).toBe(1);
     expect(eventsOf(DIRECT_EVENTS.eraOlder)).toHaveLength(1);
   });
 
-  test('is missed once where it is not told', () => {
+  test('is logged once as missing where it is not reported', () => {
     const {runtime, eventsOf} = createRecordingRuntime();
     const {log, metrics} = runtime;
     const eras = createStoreEraTracker({
@@ -205,11 +211,11 @@
   });
 });
 
-describe('the word of an entry in another era', () => {
-  async function hear(era: number, configVersion = 3): Promise<string[]> {
+describe('the answer of an entry in another era', () => {
+  async function eventsFor(era: number, configVersion = 3): Promise<string[]> {
     const clock = createVirtualClock();
     const seen: string[] = [];
-    const cover = createPeerConfirmation({
+    const confirmation = createPeerConfirmation({
       clock,
       maxAgeMs: 2_000,
       queryPeer: async (): Promise<PeerAnswer> => ({
@@ -229,29 +235,29 @@
       onDifferentReplicas: () => seen.push('replicas'),
       onNewerEra: () => seen.push('newer era'),
       onUnconfirmed: () => undefined,
-      onChange: isCovered => seen.push(isCovered ? 'covered' : 'uncovered'),
+      onChange: isActive => seen.push(isActive ? 'covered' : 'uncovered'),
     });
     await clock.runFor(1_100);
-    cover.stop();
+    confirmation.stop();
     return [...new Set(seen)];
   }
 
-  // The other one has not heard of the return: its evidence, its digest of the
-  // replicas and its cover speak of what is gone.
+  // The other entry has not seen the restore, so its evidence and its digest
+  // describe a state that no longer exists.
   test('proves nothing when the era is older', async () => {
-    expect(await hear(1)).toEqual([]);
+    expect(await eventsFor(1)).toEqual([]);
   });
 
-  test('still brings a newer configuration', async () => {
-    expect(await hear(1, 4)).toEqual(['config']);
+  test('still reports a newer configuration', async () => {
+    expect(await eventsFor(1, 4)).toEqual(['config']);
   });
 
-  test('tells of the return when the era is newer', async () => {
-    expect(await hear(3)).toContain('newer era');
+  test('reports the restore when the era is newer', async () => {
+    expect(await eventsFor(3)).toContain('newer era');
   });
 });
 
-describe('an entry whose store comes back from a copy', () => {
+describe('an entry whose store is restored from a copy', () => {
   let fleet: DirectFleet;
   beforeEach(async () => {
     fleet = await startDirectFleet({pool: 3});
@@ -263,17 +269,17 @@
   const stream = () => callEntry(fleet, '/stream/a', {headers: HEADERS});
   const isRestored = () =>
     fleet.runtime.eventsOf(DIRECT_EVENTS.storeRestored).length > 0;
-  const known = () =>
+  const knownReplicas = () =>
     fleet.runtime.metrics.value('onyxloft_direct_replicas', {});
   const ownRecord = () => fleet.store.get('onyxloft-entries', 'entry-1');
 
-  // A replica left after the copy was made, and the store gave the revisions
-  // since out again. Callers' requests must not be sent to it any more.
+  // A replica left after the copy was made, and the store has assigned the
+  // later revisions again.
   test('sends nothing to a replica that had left', async () => {
     const [gone, ...others] = fleet.pool;
     const copy = fleet.store.copy();
     fleet.store.remove('servers', gone.id);
-    await until(() => known() === others.length + fleet.desk.length);
+    await until(() => knownReplicas() === others.length + fleet.desk.length);
     fleet.store.restore(copy);
     for (const it of others) announce(fleet.store, it, 'pool');
     await until(isRestored);
@@ -281,7 +287,7 @@
     expect(gone.arrivals).toEqual([]);
   });
 
-  // The record by which other entries find this one is younger than the copy.
+  // The record by which other entries find this one is newer than the copy.
   test('writes its own record again', async () => {
     const {revision, kinds} = fleet.store.copy();
     const without = new Map(kinds);
@@ -291,8 +297,8 @@
     await until(() => ownRecord() !== undefined);
   });
 
-  // A newer configuration was in force; the copy has the one before. It stays
-  // in force here, and the operators write it again.
+  // The copy has the previous configuration. The newer one stays in force here
+  // until operators write it again.
   test('keeps the newer configuration', async () => {
     const copy = fleet.store.copy();
     fleet.store.put('config', 'main', configOf(2));
@@ -310,36 +316,36 @@
   });
 });
 
-/** The bound on a key that was taken away, in the settings of these tests. */
+/** Limit on removed keys in the settings of these tests, in milliseconds. */
 const REVOKED_MS = 5_100;
 
-describe('an entry that starts just after the store came back from a copy', () => {
-  // The configuration that took the key away is gone with the copy, and only
-  // another entry knows it until operators write again.
-  test('serves no key that another entry knows was taken away', async () => {
-    const stands = await startDirectFleet({node: 'entry-2'});
-    stands.store.put('config', 'main', configOf(2, ['key-2']));
-    const {eventsOf} = stands.runtime;
+describe('an entry that starts just after the store was restored from a copy', () => {
+  // The copy lacks the configuration that removed the key. Only another entry
+  // knows it until operators write it again.
+  test('accepts no key that another entry knows was removed', async () => {
+    const running = await startDirectFleet({node: 'entry-2'});
+    running.store.put('config', 'main', configOf(2, ['key-2']));
+    const {eventsOf} = running.runtime;
     await until(() => eventsOf(DIRECT_EVENTS.configAdopted).length === 2);
-    const other = {node: 'entry-2', peers: stands.peers};
-    const starts = await startDirectFleet({node: 'entry-1', other});
-    const answer = await callEntry(starts, '/again/');
-    await starts.close();
-    await stands.close();
+    const other = {node: 'entry-2', peers: running.peers};
+    const starting = await startDirectFleet({node: 'entry-1', other});
+    const answer = await callEntry(starting, '/again/');
+    await starting.close();
+    await running.close();
     expect(answer.status).not.toBe(200);
   }, 30_000);
 
-  // All entries were killed as well, so that nobody knows what is lost.
-  test('serves no key that was taken away where no other entry is left', async () => {
+  // All entries were stopped as well, so nobody knows what was lost.
+  test('accepts no removed key where no other entry is left', async () => {
     const fleet = await startDirectFleet();
     const copy = fleet.store.copy();
     fleet.store.put('config', 'main', configOf(2, ['key-2']));
     await sleep(REVOKED_MS);
     await fleet.entry.kernel.stop();
     fleet.store.restore(copy);
-    const starts = await startDirectFleet({node: 'entry-2', beside: fleet});
-    const answer = await callEntry(starts, '/again/');
-    await starts.close();
+    const starting = await startDirectFleet({node: 'entry-2', beside: fleet});
+    const answer = await callEntry(starting, '/again/');
+    await starting.close();
     await fleet.close();
     expect(answer.status).not.toBe(200);
   }, 30_000);
--- a/test/direct/settled_era.test.ts
+++ b/test/direct/settled_era.test.ts
@@ -1,4 +1,7 @@
-/** The record of the newest era in which operators had time to write again. */
+/**
+ * The record of the newest era in which operators had time to repeat lost
+ * writes.
+ */
 import {Left, Right} from 'purify-ts/Either';
 import {describe, expect, test} from 'vitest';
 import {createSettledEra} from '../../src/direct/settled_era.js';
@@ -11,9 +14,9 @@
   unreadable: false,
   message: 'status 503',
 };
-const LONG_MS = 10_000;
+const ALL_DONE_MS = 10_000;
 
-function rig(options: {
+function createFixture(options: {
   readonly recorded?: number;
   readonly isBootstrap?: boolean;
   readonly failures?: number;
@@ -45,58 +48,64 @@
     settledEra,
     seen,
     recorded: () => recorded,
-    rise: () => current++,
+    raiseEra: () => current++,
   };
 }
 
-describe('the store at the start of an entry', () => {
+describe('the era of the store at the start of an entry', () => {
   test.each([
     ['settled', 'with a record of its era', {recorded: 4}],
     ['unsettled', 'with a record of an older era', {recorded: 3}],
     ['unsettled', 'without a record', {}],
-    ['settled', 'at the first start of all', {isBootstrap: true}],
+    ['settled', 'at the first start of the system', {isBootstrap: true}],
     [
       'unsettled',
-      'where the record is older',
+      'at the first start with an older record',
       {recorded: 3, isBootstrap: true},
     ],
-    ['settled', 'after calls that failed', {recorded: 4, failures: 3}],
+    ['settled', 'after failed calls', {recorded: 4, failures: 3}],
   ])('is %s %s', async (verdict, _where, options) => {
-    const {clock, settledEra, seen} = rig(options);
+    const {clock, settledEra, seen} = createFixture(options);
     settledEra.lookUp();
     expect(settledEra.isSettled()).toBe(false);
-    await clock.runFor(LONG_MS);
+    await clock.runFor(ALL_DONE_MS);
     expect(seen).toEqual([verdict]);
     expect(settledEra.isSettled()).toBe(verdict === 'settled');
   });
 });
 
 describe('the record of a settled era', () => {
-  test('is written when operators had their time', async () => {
-    const {clock, settledEra, recorded} = rig({recorded: 3});
+  test('is written after operators had time to repeat lost writes', async () => {
+    const {clock, settledEra, recorded} = createFixture({recorded: 3});
     settledEra.settleAfter(2_000);
     await clock.runFor(1_900);
     expect(recorded()).toBe(3);
-    await clock.runFor(LONG_MS);
+    await clock.runFor(ALL_DONE_MS);
     expect(recorded()).toBe(4);
     expect(settledEra.isSettled()).toBe(true);
   });
 
-  // The store came back once more: what that lost has not been written yet.
-  test('is not written for an era that is over', async () => {
-    const {clock, settledEra, recorded, rise} = rig({recorded: 3});
+  // The store was restored once more, and the writes that this lost have not
+  // been repeated yet.
+  test('is not written for an era that has ended', async () => {
+    const {
+      clock,
+      settledEra,
+      recorded,
+      raiseEra: rise,
+    } = createFixture({recorded: 3});
     settledEra.settleAfter(2_000);
     await clock.runFor(1_000);
     rise();
-    await clock.runFor(LONG_MS);
+    await clock.runFor(ALL_DONE_MS);
     expect(recorded()).toBe(3);
     expect(settledEra.isSettled()).toBe(false);
   });
 
-  test('is never set back', async () => {
-    const {clock, settledEra, recorded} = rig({recorded: 5});
+  test('is never replaced by an older era', async () => {
+    const {clock, settledEra, recorded} = createFixture({recorded: 5});
     settledEra.settleAfter(2_000);
-    await clock.runFor(LONG_MS);
+    await clock.runFor(ALL_DONE_MS);
     expect(recorded()).toBe(5);
   });
 });
--- a/test/direct/sharing.test.ts
+++ b/test/direct/sharing.test.ts
@@ -1,4 +1,4 @@
-/** The talk between entries, on sockets of its own. */
+/** Datagrams between entries, on real sockets. */
 import {createSocket} from 'node:dgram';
 import {Right} from 'purify-ts';
 import {afterEach, describe, expect, test} from 'vitest';
@@ -26,9 +26,10 @@
   announceEntry: async () => Right(undefined),
 } as unknown as DirectStore;
 
-describe('an entry that is asked while it starts', () => {
-  // Another entry knew it before its restart, and asks before it can answer.
-  test('tells that it could not answer, and lives', async () => {
+describe('an entry that is queried while it starts', () => {
+  // The other entry knows this one from before its restart, and sends a query
+  // before it can be answered.
+  test('logs that it could not answer, and keeps running', async () => {
     const [own, other] = await freeAddresses(2);
     const self = entryAt('entry-1', own);
     const recorded = createRecordingRuntime();
@@ -38,9 +39,9 @@
     const from = entryAt('entry-2', other);
     const question = encodeDatagram({kind: 'ask', from, question: 1});
     socket.send(question, self.port, self.ip);
-    const told = () => recorded.eventsOf(DIRECT_EVENTS.handoverFailed);
-    await until(() => told().length > 0);
+    const failures = () => recorded.eventsOf(DIRECT_EVENTS.handoverFailed);
+    await until(() => failures().length > 0);
     socket.close();
-    expect(told()[0].fields).toMatchObject({step: 'answer an entry'});
+    expect(failures()[0].fields).toMatchObject({step: 'answer an entry'});
   });
 });
--- a/test/direct/unsettled_era.test.ts
+++ b/test/direct/unsettled_era.test.ts
@@ -1,4 +1,6 @@
-/** What callers get from an entry that may have missed a return of the store. */
+/**
+ * What callers get from an entry that may have missed a restore of the store.
+ */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {isDeepStrictEqual} from 'node:util';
 import {describe, expect, test} from 'vitest';
@@ -6,11 +8,17 @@
 import {configOf} from '../../standins/users_platform/deployment.js';
 import {callEntry, startDirectFleet, until} from '../support/direct_fleet.js';
 
-describe('an entry that starts in an era that nobody has settled', () => {
-  /** From a start until the store's answers count, with a margin. */
+describe('an entry that starts in an era that is not settled', () => {
+  /**
+   * Time from a start until the store's answers count, in milliseconds, with a
+   * margin.
+   */
   const SETTLED_MS = 2_600;
-  /** All that was kept from the store's time before a change of its keys. */
-  async function returnWithoutChange() {
+  /**
+   * Restores the store to its state before a change of the keys, while no entry
+   * is running.
+   */
+  async function restoreWithoutChange() {
     const fleet = await startDirectFleet();
     const copy = fleet.store.copy();
     fleet.store.put('config', 'main', configOf(2, ['key-2']));
@@ -19,15 +27,16 @@
     return fleet;
   }
 
-  // Held until its key can be confirmed, a caller would wait in vain.
-  test('refuses keys at once and tells when to come back', async () => {
-    const fleet = await returnWithoutChange();
-    const starts = await startDirectFleet({node: 'entry-2', beside: fleet});
+  // The key cannot be confirmed in time, so holding the caller until then would
+  // be in vain.
+  test('refuses keys at once and states when to retry', async () => {
+    const fleet = await restoreWithoutChange();
+    const starting = await startDirectFleet({node: 'entry-2', beside: fleet});
     const sentAt = performance.now();
-    const answer = await callEntry(starts, '/again/');
+    const answer = await callEntry(starting, '/again/');
     const tookMs = performance.now() - sentAt;
-    const open = await callEntry(starts, '/open/');
-    await starts.close();
+    const open = await callEntry(starting, '/open/');
+    await starting.close();
     await fleet.close();
     expect(answer.status).toBe(503);
     expect(tookMs).toBeLessThan(200);
@@ -35,47 +44,47 @@
     expect(open.status).toBe(200);
   }, 30_000);
 
-  // Operators write the removal again; the key must not be served in between.
-  test('never serves a key whose removal is written again', async () => {
-    const fleet = await returnWithoutChange();
-    const starts = await startDirectFleet({node: 'entry-2', beside: fleet});
+  // Operators repeat the removal, and the key must not be accepted before that.
+  test('never accepts a key whose removal is written again', async () => {
+    const fleet = await restoreWithoutChange();
+    const starting = await startDirectFleet({node: 'entry-2', beside: fleet});
     const seen = new Set<number>();
     const startedAt = performance.now();
     let isWritten = false;
     while (performance.now() - startedAt < SETTLED_MS) {
-      seen.add((await callEntry(starts, '/again/')).status);
+      seen.add((await callEntry(starting, '/again/')).status);
       if (isWritten || performance.now() - startedAt < 1_200) continue;
       isWritten = true;
       fleet.store.put('config', 'main', configOf(2, ['key-2']));
     }
-    await starts.close();
+    await starting.close();
     await fleet.close();
     expect([...seen]).toEqual([503, 401]);
   }, 30_000);
 
-  test('serves keys when operators had their time', async () => {
-    const fleet = await returnWithoutChange();
-    const starts = await startDirectFleet({node: 'entry-2', beside: fleet});
+  test('accepts keys after operators had time to repeat lost writes', async () => {
+    const fleet = await restoreWithoutChange();
+    const starting = await startDirectFleet({node: 'entry-2', beside: fleet});
     await sleep(SETTLED_MS);
-    const answer = await callEntry(starts, '/again/');
-    await starts.close();
+    const answer = await callEntry(starting, '/again/');
+    await starting.close();
     await fleet.close();
     expect(answer.status).toBe(200);
   }, 30_000);
 
-  // Without the record each later start would refuse callers for seconds.
-  test('leaves a record by which the next one serves at once', async () => {
-    const fleet = await returnWithoutChange();
+  // Without the record, each later start would refuse callers for seconds.
+  test('writes a record that lets the next entry accept keys at once', async () => {
+    const fleet = await restoreWithoutChange();
     const record = () => fleet.store.get('onyxloft-eras', 'settled');
     const first = await startDirectFleet({node: 'entry-2', beside: fleet});
     await until(() => isDeepStrictEqual(record(), {era: 2}));
     await first.close();
     const next = await startDirectFleet({node: 'entry-3', beside: fleet});
     const answer = await callEntry(next, '/again/');
-    const doubted = next.runtime.eventsOf(DIRECT_EVENTS.eraUnsettled);
+    const unsettledEvents = next.runtime.eventsOf(DIRECT_EVENTS.eraUnsettled);
     await next.close();
     await fleet.close();
     expect(answer.status).toBe(200);
-    expect(doubted).toEqual([]);
+    expect(unsettledEvents).toEqual([]);
   }, 30_000);
 });
--- a/test/support/peer_confirmation.ts
+++ b/test/support/peer_confirmation.ts
@@ -1,4 +1,4 @@
-/** What an entry is told of another one's word, passed over. */
+/** Callbacks for a peer confirmation that ignore everything. */
 import type {PeerConfirmationOptions} from '../../src/direct/peer_confirmation.js';
 
 export const IGNORED_CALLBACKS = {
--- a/test/support/restorable_collection.ts
+++ b/test/support/restorable_collection.ts
@@ -1,6 +1,7 @@
 /**
- * One collection of a store that can come back from an older copy, on a virtual
- * clock: a simple reference for what a follower of it must come to know.
+ * One collection of a store that can be restored from an older copy, on a
+ * virtual clock. It is a simple reference for what a follower has to know in
+ * the end.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -23,24 +24,24 @@
   put(name: string, value: string): void;
   remove(name: string): void;
   copy(): void;
-  /** Comes back from the newest copy. */
+  /** Restores the newest copy. */
   restore(): void;
-  /** Answers take so long from now on. */
-  delay(ms: number): void;
-  /** No call is answered, or all are. */
+  /** Sets how long answers take from now on, in milliseconds. */
+  setDelay(ms: number): void;
+  /** Whether all later calls fail instead of being answered. */
   setAway(isAway: boolean): void;
   now(): ReadonlyMap<string, string>;
-  /** Tells an older era than before, and has forgotten its history. */
-  fallBack(): void;
+  /** Reports an older era than before, without any history. */
+  startOlderEra(): void;
   calls(): number;
 }
 
-/** Between looks of a watch at the history. */
-const LOOK_MS = 5;
+/** Interval at which a watch checks the history, in milliseconds. */
+const HISTORY_CHECK_MS = 5;
 
 export function createRestorableCollection(
   clock: VirtualClock,
-  tellsEra = true,
+  hasEra = true,
 ): RestorableCollection {
   let state: State = {items: new Map(), history: [], revision: 1};
   let copied = state;
@@ -66,16 +67,16 @@
     unreadable: false,
   });
   const position = () => ({
-    era: tellsEra ? era : undefined,
+    era: hasEra ? era : undefined,
     revision: state.revision,
   });
-  /** Made now, on its way for as long as answers take. */
+  /** Delivers a result that was made now after the time that answers take. */
   const answer = async <T>(
-    made: Either<StoreFault, T>,
+    result: Either<StoreFault, T>,
   ): Promise<Either<StoreFault, T>> => {
     const wasAway = away;
     await pause(delayMs);
-    return wasAway ? Left(fault('no answer')) : made;
+    return wasAway ? Left(fault('no answer')) : result;
   };
 
   return {
@@ -90,14 +91,14 @@
       state = copied;
       era += 1;
     },
-    delay: ms => {
+    setDelay: ms => {
       delayMs = ms;
     },
     setAway: isAway => {
       away = isAway;
     },
     now: () => state.items,
-    fallBack: () => {
+    startOlderEra: () => {
       era -= 1;
       state = {items: state.items, history: [], revision: 0};
     },
@@ -109,11 +110,11 @@
     },
     watch: async (from, waitMs) => {
       calls += 1;
-      const sentIn = era;
+      const eraWhenSent = era;
       const until = clock.now() + waitMs;
       for (;;) {
-        // A watch that waits is cut off when the store comes back.
-        if (era !== sentIn) return answer(Left(fault('cut')));
+        // A waiting watch breaks when the store is restored.
+        if (era !== eraWhenSent) return answer(Left(fault('cut')));
         if (from.revision > state.revision) {
           return answer(Left(fault('gone', true)));
         }
@@ -122,7 +123,7 @@
           const items = new Map(found.map(it => [it.name, it.value]));
           return answer(Right({position: position(), items}));
         }
-        await pause(LOOK_MS);
+        await pause(HISTORY_CHECK_MS);
       }
     },
   };
