--- a/src/direct/place_request.ts
+++ b/src/direct/place_request.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what is decided about a request that is to be placed: waits and
- * looks again, refuses, or takes the place.
+ * Places a streaming request at a replica. For engines it polls the placement
+ * decision: it places the request, refuses it, or waits and decides again.
  */
 import {DIRECT_EVENTS} from '../utils/events.js';
 import {isReadAlone} from './decide/choose_engines.js';
@@ -20,103 +20,121 @@
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica, EngineFigures} from './types.js';
 
-/** A request waits for memory for this share of its time limit at most. */
+/**
+ * A request waits for memory for at most this share of the time that it has
+ * left, then it is refused.
+ */
 const MEMORY_WAIT_SHARE = 0.3;
-/** Tries to hold a group; its members may be taken in between. */
-const GROUP_TRIES = 4;
-/** Refused callers come back drawn apart by this share, earlier or later. */
-const COME_BACK_SPREAD = 0.25;
+/**
+ * Attempts to reserve a group before the request waits. A member may refuse
+ * because other requests took its memory since the decision.
+ */
+const GROUP_ATTEMPTS = 4;
+/**
+ * Retry times are varied randomly by up to this share, earlier or later, so
+ * that refused callers do not all retry at the same instant.
+ */
+const RETRY_SPREAD = 0.25;
 
-/** Why there is no place. */
+/** The reason why a request was not placed. */
 export interface NotPlaced {
   readonly kind: 'none';
   readonly reason: string;
-  /** When the caller should come back, where that is known. */
+  /** Time after which the caller should retry; undefined when unknown. */
   readonly retryAfterMs: number | undefined;
 }
 
 export type PlacementResult =
-  {readonly kind: 'place'; readonly place: RequestPlacement} | NotPlaced;
+  {readonly kind: 'place'; readonly placement: RequestPlacement} | NotPlaced;
 
-/** Ends with the request's own end at the latest. */
+/**
+ * Places the request at a replica that is not in `tried`. Resolves at the
+ * latest when the request ends.
+ */
 export async function placeRequest(
   ctx: ServeContext,
   exchange: Exchange,
   tried: ReadonlySet<string>,
 ): Promise<PlacementResult> {
   const figures = exchange.config.services.get(exchange.service)?.engine;
-  if (figures === undefined) return openPlainPlace(ctx, exchange, tried);
-  const leave = ctx.pollPace.enter();
+  if (figures === undefined) return placeAtPlainService(ctx, exchange, tried);
+  const stopWaiting = ctx.pollPace.enter();
   try {
-    return await openEnginePlace(ctx, exchange, tried, figures);
+    return await placeAtEngine(ctx, exchange, tried, figures);
   } finally {
-    leave();
+    stopWaiting();
   }
 }
 
-function openPlainPlace(
+function placeAtPlainService(
   ctx: ServeContext,
   exchange: Exchange,
   tried: ReadonlySet<string>,
 ): PlacementResult {
-  const there = candidatesOf(ctx, exchange.service, tried);
-  const place = placeOnPlainService(
+  const untried = candidatesOf(ctx, exchange.service, tried);
+  const placement = placeOnPlainService(
     ctx,
     exchange,
-    withLoads(ctx, drawn(ctx, there)),
+    withLoads(ctx, sampled(ctx, untried)),
   );
-  return place === undefined
-    ? none('no replica is there')
-    : {kind: 'place', place};
+  return placement === undefined
+    ? notPlaced('no replica is there')
+    : {kind: 'place', placement};
 }
 
-async function openEnginePlace(
+async function placeAtEngine(
   ctx: ServeContext,
   exchange: Exchange,
   tried: ReadonlySet<string>,
   figures: EngineFigures,
 ): Promise<PlacementResult> {
   const {clock} = ctx;
-  const memoryUntil = clock.now() + exchange.timeLeftMs() * MEMORY_WAIT_SHARE;
-  const refusing = new Set<string>();
-  const noteWait = createWaitLog(ctx, exchange);
-  let groupTries = 0;
+  const memoryWaitEndsAt =
+    clock.now() + exchange.timeLeftMs() * MEMORY_WAIT_SHARE;
+  const refusedAddresses = new Set<string>();
+  const logWait = createWaitLog(ctx, exchange);
+  let groupAttempts = 0;
   while (!exchange.signal.aborted) {
-    const there = candidatesOf(ctx, exchange.service, tried).filter(
-      ({address}) => !refusing.has(address),
+    const candidates = candidatesOf(ctx, exchange.service, tried).filter(
+      ({address}) => !refusedAddresses.has(address),
     );
-    const decision = decide(ctx, exchange, figures, there);
+    const decision = decide(ctx, exchange, figures, candidates);
     if (decision.kind === 'refuse') {
-      return none(decision.reason, drawnApart(ctx, decision.comeBackMs));
+      return notPlaced(
+        decision.reason,
+        withRetrySpread(ctx, decision.comeBackMs),
+      );
     }
     if (decision.kind === 'place') {
-      const place = await acquirePlacement(ctx, exchange, decision.plan);
-      if ('replica' in place) return {kind: 'place', place};
-      refusing.add(place.refusedBy);
-      if (++groupTries < GROUP_TRIES) continue;
+      const placement = await acquirePlacement(ctx, exchange, decision.plan);
+      if ('replica' in placement) return {kind: 'place', placement};
+      refusedAddresses.add(placement.refusedBy);
+      if (++groupAttempts < GROUP_ATTEMPTS) continue;
     }
     const reason = decision.kind === 'wait' ? decision.reason : 'no memory';
-    noteWait(reason);
-    if (reason === 'no memory' && clock.now() > memoryUntil) {
-      return none('no room in time');
+    logWait(reason);
+    if (reason === 'no memory' && clock.now() > memoryWaitEndsAt) {
+      return notPlaced('no room in time');
     }
-    refusing.clear();
+    refusedAddresses.clear();
     await pause(ctx, ctx.pollPace.pauseMs(ctx.random.next()));
   }
-  return none('the request has ended');
+  return notPlaced('the request has ended');
 }
 
-/** One look at the engines, and what it says. */
+/** Decides once, by the engines' current load. */
 function decide(
   ctx: ServeContext,
   exchange: Exchange,
   figures: EngineFigures,
-  there: readonly DirectReplica[],
+  replicas: readonly DirectReplica[],
 ): PlacingDecision {
   const startedAt = ctx.clock.now();
   const req = requestOf(ctx, exchange);
-  const looked = isReadAlone(figures, req) ? drawn(ctx, there) : there;
-  const candidates = withLoads(ctx, looked);
+  const considered = isReadAlone(figures, req)
+    ? sampled(ctx, replicas)
+    : replicas;
+  const candidates = withLoads(ctx, considered);
   const pool = {
     figures,
     candidates,
@@ -128,7 +146,7 @@
   return decision;
 }
 
-function drawn(
+function sampled(
   {failureDomain, random}: ServeContext,
   replicas: readonly DirectReplica[],
 ): readonly DirectReplica[] {
@@ -150,24 +168,24 @@
   };
 }
 
-function none(reason: string, retryAfterMs?: number): NotPlaced {
+function notPlaced(reason: string, retryAfterMs?: number): NotPlaced {
   return {kind: 'none', reason, retryAfterMs};
 }
 
-function drawnApart({random}: ServeContext, ms: number): number {
-  return ms * (1 + COME_BACK_SPREAD * (2 * random.next() - 1));
+function withRetrySpread({random}: ServeContext, ms: number): number {
+  return ms * (1 + RETRY_SPREAD * (2 * random.next() - 1));
 }
 
 function pause({clock}: ServeContext, ms: number): Promise<void> {
   return new Promise(resolve => void clock.after(ms, resolve));
 }
 
-/** One line when a request begins to wait, and when the reason changes. */
+/** Logs a line when a request begins to wait and when the reason changes. */
 function createWaitLog({log}: ServeContext, {id, elapsedMs}: Exchange) {
-  let told: WaitReason | undefined;
+  let lastReason: WaitReason | undefined;
   return (reason: WaitReason): void => {
-    if (reason === told) return;
-    told = reason;
+    if (reason === lastReason) return;
+    lastReason = reason;
     const waitedMs = Math.round(elapsedMs());
     log(DIRECT_EVENTS.waiting, {requestId: id, reason, waitedMs});
   };
--- a/src/direct/ready_server.ts
+++ b/src/direct/ready_server.ts
@@ -1,4 +1,4 @@
-/** Answers the balancer's readiness checks, and serves the metrics. */
+/** HTTP endpoints for the load balancer's readiness checks and the metrics. */
 import {createServer} from 'node:http';
 import type {Server} from 'node:http';
 import type {ServiceContext, ServiceSpec} from '../types/kernel.js';
@@ -6,9 +6,9 @@
 import {splitAddress} from './settings.js';
 
 export interface ReadyOptions {
-  /** IP:PORT. */
+  /** IP:PORT of the readiness checks. */
   readonly ready: string;
-  /** IP:PORT. */
+  /** IP:PORT of the metrics. */
   readonly metrics: string;
 }
 
@@ -36,7 +36,7 @@
     }));
   const ready = createServer((_req, res) => {
     isReady()
-      .then(well => res.writeHead(well ? 200 : 503).end())
+      .then(isReadyNow => res.writeHead(isReadyNow ? 200 : 503).end())
       .catch(() => res.writeHead(503).end());
   });
   const metrics = createServer((req, res) => {
@@ -54,9 +54,9 @@
 }
 
 function listen(server: Server, address: string): Promise<void> {
-  const at = splitAddress(address);
+  const endpoint = splitAddress(address);
   return new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen(at?.port, at?.ip, resolve);
+    server.listen(endpoint?.port, endpoint?.ip, resolve);
   });
 }
--- a/src/direct/replica_health.ts
+++ b/src/direct/replica_health.ts
@@ -1,108 +1,121 @@
 /**
- * What this entry has seen of each replica: failures, which keep new work away
- * for a growing while, the share of its answers that broke off, and how its
- * time compares to what was expected. A grey replica passes its health check;
- * only its answers show it.
+ * Health of each replica as this entry observes it: recent failures, after
+ * which it gets no new work for a time that doubles, the share of failed
+ * attempts, and its response time relative to the expected one. A replica with
+ * a grey failure passes its health check, so only its answers show the fault.
  */
 import type {Clock} from '../types/runtime.js';
 
-/** Away after the first failure; doubles with each further one. */
-const SUSPECT_FIRST_MS = 250;
-const SUSPECT_MOST_MS = 4_000;
-/** Share of a new observation in the running mean. */
-const NEWEST_SHARE = 0.3;
-const SLOWEST = 10;
-/** What was seen is forgotten by half in this time, so that a replica is retried. */
-const FORGET_HALF_MS = 5_000;
-/** Good answers that a replica starts with: one failure is not its rule. */
-const TRUSTED_TRIES = 3;
+/** Time as suspect after the first failure; doubles with each further one. */
+const FIRST_SUSPECT_MS = 250;
+/** Longest time as suspect after one failure. */
+const MAX_SUSPECT_MS = 4_000;
+/** Weight of the newest observation in the moving average. */
+const NEWEST_WEIGHT = 0.3;
+/** Upper bound of one observed slowness; a slower answer counts as this. */
+const MAX_SLOWNESS = 10;
+/** Half-life of all observations. Through it an avoided replica is retried. */
+const HALF_LIFE_MS = 5_000;
+/**
+ * Successful attempts that are assumed for each replica, so that one failure
+ * does not make its failure share high.
+ */
+const ASSUMED_SUCCESSES = 3;
 
-interface Seen {
-  failures: number;
+interface Observations {
+  consecutiveFailures: number;
   suspectUntil: number;
   slowness: number;
-  seenAt: number;
-  /** Tries and broken ones among them, less what was forgotten until `triedAt`. */
-  tries: number;
-  broken: number;
-  triedAt: number;
+  answeredAt: number;
+  /** Attempts and failed ones among them, decayed until `triedAt`. */
+  attempts: number;
+  failedAttempts: number;
+  attemptedAt: number;
 }
 
 export interface ReplicaHealth {
-  /** An answer came in `tookMs` where `expectedMs` was expected. */
+  /** Records an answer after `tookMs`, where `expectedMs` was expected. */
   answered(replicaId: string, tookMs: number, expectedMs: number): void;
+  /** Records a failed attempt. */
   failed(replicaId: string): void;
+  /** Whether the replica should get no new work after recent failures. */
   isSuspect(replicaId: string): boolean;
-  /** Time taken over time expected; 1 when unknown. */
+  /** Time taken divided by time expected; 1 when unknown. */
   slowness(replicaId: string): number;
   /**
-   * Share of its tries that broke off without an answer. A success between two
-   * failures ends a suspicion; this remembers them.
+   * Share of failed attempts, from 0 to 1. A success resets the count of
+   * consecutive failures, but this share still includes the earlier ones.
    */
   brokenShare(replicaId: string): number;
+  /** Drops all observations of the replica. */
   forget(replicaId: string): void;
 }
 
 export function createReplicaHealth(clock: Clock): ReplicaHealth {
-  const seen = new Map<string, Seen>();
-  const of = (replicaId: string): Seen => {
-    const known = seen.get(replicaId);
+  const observations = new Map<string, Observations>();
+  const findOrCreate = (replicaId: string): Observations => {
+    const known = observations.get(replicaId);
     if (known !== undefined) return known;
-    const fresh: Seen = {
-      failures: 0,
+    const fresh: Observations = {
+      consecutiveFailures: 0,
       suspectUntil: 0,
       slowness: 1,
-      seenAt: 0,
-      tries: 0,
-      broken: 0,
-      triedAt: clock.now(),
+      answeredAt: 0,
+      attempts: 0,
+      failedAttempts: 0,
+      attemptedAt: clock.now(),
     };
-    seen.set(replicaId, fresh);
+    observations.set(replicaId, fresh);
     return fresh;
   };
-  const keptSince = (at: number): number =>
-    0.5 ** ((clock.now() - at) / FORGET_HALF_MS);
-  const slownessOf = ({slowness, seenAt}: Seen): number =>
-    1 + (slowness - 1) * keptSince(seenAt);
-  const countTry = (one: Seen, isBroken: boolean): void => {
-    const kept = keptSince(one.triedAt);
-    one.tries = one.tries * kept + 1;
-    one.broken = one.broken * kept + (isBroken ? 1 : 0);
-    one.triedAt = clock.now();
+  const decaySince = (at: number): number =>
+    0.5 ** ((clock.now() - at) / HALF_LIFE_MS);
+  const slownessOf = ({slowness, answeredAt}: Observations): number =>
+    1 + (slowness - 1) * decaySince(answeredAt);
+  const countAttempt = (observed: Observations, isFailure: boolean): void => {
+    const kept = decaySince(observed.attemptedAt);
+    observed.attempts = observed.attempts * kept + 1;
+    observed.failedAttempts =
+      observed.failedAttempts * kept + (isFailure ? 1 : 0);
+    observed.attemptedAt = clock.now();
   };
-  const brokenShareOf = ({tries, broken, triedAt}: Seen): number => {
-    const kept = keptSince(triedAt);
-    return (broken * kept) / (tries * kept + TRUSTED_TRIES);
+  const brokenShareOf = ({
+    attempts,
+    failedAttempts,
+    attemptedAt,
+  }: Observations): number => {
+    const kept = decaySince(attemptedAt);
+    return (failedAttempts * kept) / (attempts * kept + ASSUMED_SUCCESSES);
   };
   return {
     answered: (replicaId, tookMs, expectedMs) => {
-      const one = of(replicaId);
-      const ratio = Math.min(SLOWEST, tookMs / Math.max(1, expectedMs));
+      const one = findOrCreate(replicaId);
+      const ratio = Math.min(MAX_SLOWNESS, tookMs / Math.max(1, expectedMs));
       const before = slownessOf(one);
-      one.slowness = before + NEWEST_SHARE * (ratio - before);
-      one.seenAt = clock.now();
-      one.failures = 0;
-      countTry(one, false);
+      one.slowness = before + NEWEST_WEIGHT * (ratio - before);
+      one.answeredAt = clock.now();
+      one.consecutiveFailures = 0;
+      countAttempt(one, false);
     },
     failed: replicaId => {
-      const one = of(replicaId);
-      const awayMs = SUSPECT_FIRST_MS * 2 ** one.failures;
-      one.failures++;
-      one.suspectUntil = clock.now() + Math.min(SUSPECT_MOST_MS, awayMs);
-      countTry(one, true);
+      const one = findOrCreate(replicaId);
+      const suspectMs = FIRST_SUSPECT_MS * 2 ** one.consecutiveFailures;
+      one.consecutiveFailures++;
+      one.suspectUntil = clock.now() + Math.min(MAX_SUSPECT_MS, suspectMs);
+      countAttempt(one, true);
     },
     isSuspect: replicaId =>
-      (seen.get(replicaId)?.suspectUntil ?? 0) > clock.now(),
+      (observations.get(replicaId)?.suspectUntil ?? 0) > clock.now(),
     slowness: replicaId => {
-      const one = seen.get(replicaId);
+      const one = observations.get(replicaId);
       return one === undefined ? 1 : slownessOf(one);
     },
     brokenShare: replicaId => {
-      const one = seen.get(replicaId);
+      const one = observations.get(replicaId);
       return one === undefined ? 0 : brokenShareOf(one);
     },
     forget: replicaId => {
-      seen.delete(replicaId);
+      observations.delete(replicaId);
     },
   };
 }
--- a/src/direct/replica_losses.ts
+++ b/src/direct/replica_losses.ts
@@ -1,14 +1,15 @@
 /**
- * Tells those who wait for a replica that it will answer nothing more. A
- * replica that has started again holds nothing of before; a connection to its
- * earlier start may stay silent without a reset, and its callers would wait
- * until they give up.
+ * Notifies open attempts when their replica has ended. A restarted replica has
+ * lost its earlier requests, but a connection to the earlier process may stay
+ * open without a reset. Without the notice, callers would wait for an answer
+ * until their timeout.
  */
 import type {Cancel} from '../types/runtime.js';
 
 export interface ReplicaLosses {
-  /** `onLost` is called once, when this start of a replica has ended. */
+  /** Calls `onLost` once when the replica with this id has ended. */
   watch(replicaId: string, onLost: () => void): Cancel;
+  /** Calls the watchers of the replica and removes them. */
   notifyLost(replicaId: string): void;
 }
 
@@ -16,18 +17,18 @@
   const watchers = new Map<string, Set<() => void>>();
   return {
     watch: (replicaId, onLost) => {
-      const those = watchers.get(replicaId) ?? new Set();
-      watchers.set(replicaId, those.add(onLost));
+      const callbacks = watchers.get(replicaId) ?? new Set();
+      watchers.set(replicaId, callbacks.add(onLost));
       return () => {
-        those.delete(onLost);
-        const isCurrent = watchers.get(replicaId) === those;
-        if (isCurrent && those.size === 0) watchers.delete(replicaId);
+        callbacks.delete(onLost);
+        const isCurrent = watchers.get(replicaId) === callbacks;
+        if (isCurrent && callbacks.size === 0) watchers.delete(replicaId);
       };
     },
     notifyLost: replicaId => {
-      const those = watchers.get(replicaId);
+      const callbacks = watchers.get(replicaId);
       watchers.delete(replicaId);
-      for (const onLost of [...(those ?? [])]) onLost();
+      for (const onLost of [...(callbacks ?? [])]) onLost();
     },
   };
 }
--- a/src/direct/request_digest.ts
+++ b/src/direct/request_digest.ts
@@ -1,19 +1,20 @@
 /**
- * Tells whether two requests are the same, whatever ids they come under: same
- * host, path, organisation and body. The digest is cryptographic, since callers
- * choose the bodies: with another one's digest a request could be taken for it.
+ * Digests that identify equal requests, whatever their ids: the same host,
+ * path, organisation and body. The hash is cryptographic, since callers choose
+ * the bodies and could otherwise make a request that collides with another one
+ * and is treated like it.
  */
 import {createHash} from 'node:crypto';
 
-/** 128 bits, in hexadecimal digits. */
+/** Hexadecimal digits of a digest: 128 bits. */
 const DIGEST_DIGITS = 32;
-/** Of a digest in a log line; enough to tell the requests of a day apart. */
-const SHOWN_DIGITS = 12;
+/** Digits in a log line; enough to distinguish the requests of a day. */
+const SHORT_DIGITS = 12;
 
-/** What makes a request the same as another. */
+/** The fields in which two equal requests agree. */
 export interface RequestIdentity {
   readonly host: string;
-  /** With its query. */
+  /** Path with the query. */
   readonly path: string;
   readonly organisation: string | undefined;
   readonly body: Buffer;
@@ -28,7 +29,7 @@
     .slice(0, DIGEST_DIGITS);
 }
 
-/** As log lines have it. */
+/** The shortened digest for log lines. */
 export function shortDigest(digest: string): string {
-  return digest.slice(0, SHOWN_DIGITS);
+  return digest.slice(0, SHORT_DIGITS);
 }
--- a/src/direct/request_placement.ts
+++ b/src/direct/request_placement.ts
@@ -1,6 +1,7 @@
 /**
- * A place for a request at one engine or at a group: entered in the load book,
- * and with its reservations held.
+ * The placement of a request at one engine or at a group of engines. While it
+ * is open, its load counts at each replica and the reservations of a group are
+ * held.
  */
 import type {Cancel} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
@@ -18,36 +19,49 @@
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica, GroupMember} from './types.js';
 
-/** First event of a stream without published figures. */
-const UNKNOWN_FIRST_EVENT_MS = 200;
-/** Why nothing more will come: sure where a member has started again. */
+/** Expected time to the first event where no figures are published. */
+const DEFAULT_FIRST_EVENT_MS = 200;
+/**
+ * Why no answer is expected from a placement any more. A restart is certain,
+ * since the restarted replica has lost the request; the other reasons are
+ * inferred.
+ */
 export type PlacementLoss = 'a member restarted' | GroupLoss;
 
 export interface RequestPlacement {
+  /** The replica that gets the request; the lead of a group. */
   readonly replica: DirectReplica;
+  /** The other members of a group; empty at one engine. */
   readonly helpers: readonly GroupMember[];
   /** Expected time to the first event, in milliseconds. */
   readonly firstEventMs: number;
-  /** Something came from the replica. */
+  /** Records that the replica sent data just now. */
   noteActivity(): void;
-  /** `onLost` is called when no answer can come from here any more. */
+  /** Calls `onLost` when no answer is expected any more. */
   watchLoss(onLost: (loss: PlacementLoss) => void): Cancel;
-  /** The first event came after `tookMs`. */
+  /** Records that the first event came after `tookMs`. */
   firstEventReceived(tookMs: number): void;
-  /** The replica refused; `faultAt` is the member at fault, if it said so. */
+  /**
+   * Records that the replica refused the request. `faultAt` is the address of
+   * the member at fault, if the replica named one.
+   */
   refused(faultAt: string | undefined): void;
+  /** Removes the load and releases the reservations. */
   close(): void;
 }
 
-/** Holds the plan's place; a refusal names the member's address. */
+/**
+ * Counts the plan's load and reserves the memory that it needs. A refusal names
+ * the address of the member that refused.
+ */
 export async function acquirePlacement(
   ctx: ServeContext,
   exchange: Exchange,
   plan: EnginePlan,
 ): Promise<RequestPlacement | {readonly refusedBy: string}> {
   const {helpers, partTokens, first} = plan;
-  const works = enterWorks(ctx, exchange, plan);
-  const endWorks = () => works.forEach(work => work.end());
+  const openWork = addWork(ctx, exchange, plan);
+  const endWork = () => openWork.forEach(work => work.end());
   let group: Group | undefined;
   if (partTokens > 0 && helpers.length > 0) {
     const opened = await ctx.groups.open({
@@ -57,7 +71,7 @@
       tokens: partTokens,
     });
     if ('refusedBy' in opened) {
-      endWorks();
+      endWork();
       return opened;
     }
     group = opened;
@@ -79,7 +93,7 @@
       addresses.map(address => ({address, reservation: undefined})),
     firstEventMs: plan.firstEventMs,
     firstEventReceived: tookMs => {
-      works.forEach(work => work.hasRead());
+      openWork.forEach(work => work.hasRead());
       if (helpers.length > 0) return;
       ctx.health.answered(first.replica.id, tookMs, plan.firstEventMs);
     },
@@ -88,7 +102,7 @@
       if (helper !== undefined) ctx.health.failed(helper.replica.id);
     },
     close: () => {
-      endWorks();
+      endWork();
       group?.close();
     },
   };
@@ -105,14 +119,14 @@
   return () => cancels.forEach(cancel => cancel());
 }
 
-function enterWorks(
+function addWork(
   ctx: ServeContext,
   exchange: Exchange,
   plan: EnginePlan,
 ): readonly EnteredWork[] {
   const {facts, route} = exchange;
   const {first, helpers, partReadMs, partTokens} = plan;
-  const total = facts.promptTokens + answerTokens(facts);
+  const totalTokens = facts.promptTokens + answerTokens(facts);
   const shared = {
     readMs: partReadMs,
     expectedMs: plan.firstEventMs,
@@ -120,24 +134,24 @@
     aimMarginMs: aimMarginMs(route.aimMs),
     pauseAimMs: route.pauseAimMs,
   };
-  const main = ctx.book.enter({
+  const leadWork = ctx.book.enter({
     ...shared,
     replicaId: first.replica.id,
     places: 1,
-    tokens: total - partTokens * helpers.length,
+    tokens: totalTokens - partTokens * helpers.length,
     weight: exchange.weight,
   });
-  const parts = helpers.map(({replica}) =>
+  const helperWork = helpers.map(({replica}) =>
     ctx.book.enter({
       ...shared,
       replicaId: replica.id,
       places: 0,
       tokens: partTokens,
-      // Most of a group's delay is seen at each member that is held up.
+      // A delay at any one member delays most of the group.
       weight: exchange.weight / Math.sqrt(1 + helpers.length),
     }),
   );
-  return [main, ...parts];
+  return [leadWork, ...helperWork];
 }
 
 function logPlan(
@@ -162,7 +176,7 @@
   });
 }
 
-/** A place at a replica without published figures. */
+/** Places a request at a replica of a service without published figures. */
 export function placeOnPlainService(
   ctx: ServeContext,
   exchange: Exchange,
@@ -178,9 +192,9 @@
     noteActivity: () => undefined,
     watchLoss: onLost => watchRestarts(ctx, [chosen], onLost),
     helpers: [],
-    firstEventMs: UNKNOWN_FIRST_EVENT_MS,
+    firstEventMs: DEFAULT_FIRST_EVENT_MS,
     firstEventReceived: tookMs =>
-      ctx.health.answered(replica.id, tookMs, UNKNOWN_FIRST_EVENT_MS),
+      ctx.health.answered(replica.id, tookMs, DEFAULT_FIRST_EVENT_MS),
     refused: () => undefined,
     close: () => work.end(),
   };
--- a/src/direct/route_table.ts
+++ b/src/direct/route_table.ts
@@ -1,9 +1,9 @@
-/** Finds the route of a request, and the service that its split gives it. */
+/** Finds the route of a request, and picks one of the route's services. */
 import type {DirectConfig, Route} from './types.js';
 
 /**
- * The route with the longest prefix that begins the path, among those of the
- * host. Undefined when there is none.
+ * Returns the host's route with the longest path prefix that matches, or
+ * undefined when none matches.
  */
 export function findRoute(
   config: DirectConfig,
@@ -15,12 +15,12 @@
   let best: Route | undefined;
   for (const route of config.routes) {
     if (route.host !== host || !path.startsWith(route.pathPrefix)) continue;
-    if (best === undefined || longer(route, best)) best = route;
+    if (best === undefined || hasLongerPrefix(route, best)) best = route;
   }
   return best;
 }
 
-function longer(a: Route, b: Route): boolean {
+function hasLongerPrefix(a: Route, b: Route): boolean {
   return a.pathPrefix.length > b.pathPrefix.length;
 }
 
@@ -33,13 +33,13 @@
   return end < 0 ? url : url.slice(0, end);
 }
 
-/** Draws a service by the weights; `drawn` is uniform in [0, 1). */
+/** Picks a service at random by the weights; `drawn` is uniform in [0, 1). */
 export function pickService(route: Route, drawn: number): string | undefined {
-  const total = route.targets.reduce((sum, {weight}) => sum + weight, 0);
-  let left = drawn * total;
+  const totalWeight = route.targets.reduce((sum, {weight}) => sum + weight, 0);
+  let remaining = drawn * totalWeight;
   for (const {service, weight} of route.targets) {
-    left -= weight;
-    if (left < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return undefined;
 }
--- a/src/direct/serve_call.ts
+++ b/src/direct/serve_call.ts
@@ -1,7 +1,7 @@
 /**
- * Serves a request whose answer comes at once: at a plain service, or at an
- * engine without events. The answer is held until it is whole, so that a
- * replica that breaks off can be replaced before the caller saw a byte.
+ * Serves a request whose answer is not a stream of events, at a plain service
+ * or at an engine. The answer is buffered until it is complete, so that another
+ * replica can be tried after a failure before the caller has received a byte.
  */
 import {DIRECT_EVENTS} from '../utils/events.js';
 import {attemptCall} from './call_attempt.js';
@@ -22,44 +22,47 @@
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica} from './types.js';
 
-/** Replicas that were tried, and those among them that were sent the request. */
-interface Tried {
-  readonly any: Set<string>;
+/** Ids of replicas that were tried, and of those that got the request. */
+interface TriedReplicas {
+  readonly all: Set<string>;
   readonly sent: Set<string>;
 }
 
-/** Serves the request to its final answer. */
+/** Serves the request until its final answer. */
 export async function serveCall(
   ctx: ServeContext,
   exchange: Exchange,
 ): Promise<void> {
-  const tried: Tried = {any: new Set(), sent: new Set()};
+  const tried: TriedReplicas = {all: new Set(), sent: new Set()};
   let failure: BufferedAnswer | undefined;
   ctx.budget.onFirstAttempt(ctx.retryRatio);
   while (!exchange.signal.aborted) {
-    const replica = choose(ctx, exchange, tried);
+    const replica = chooseReplica(ctx, exchange, tried);
     if (replica === undefined || !mayAttempt(ctx, exchange)) {
-      endUnserved(ctx, exchange, failure, replica);
+      endWithoutAttempt(ctx, exchange, failure, replica);
       return;
     }
     logChoice(ctx, exchange, replica);
-    tried.any.add(replica.id);
+    tried.all.add(replica.id);
     const outcome = await attemptCall(ctx, exchange, replica);
     if (outcome.kind !== 'not-sent') tried.sent.add(replica.id);
-    if (settle(ctx, exchange, replica, outcome)) return;
+    if (handleOutcome(ctx, exchange, replica, outcome)) return;
     if (outcome.kind === 'answered') failure = outcome;
   }
 }
 
-/** A replica's own failure is the caller's answer where no try is left. */
-function endUnserved(
+/**
+ * Ends a request that has no attempt left. The caller gets the failure that a
+ * replica answered with, if there is one.
+ */
+function endWithoutAttempt(
   ctx: ServeContext,
   exchange: Exchange,
   failure: BufferedAnswer | undefined,
   replica: DirectReplica | undefined,
 ): void {
   if (failure !== undefined) {
-    answer(ctx, exchange, failure.head, failure.body);
+    sendAnswer(ctx, exchange, failure.head, failure.body);
     return;
   }
   const none = replica === undefined;
@@ -67,17 +70,18 @@
 }
 
 /**
- * A replica that has not had the request; where there is none, one that had it
- * and may get it again. What failed by itself once is often answered at the
- * second try, at the same replica as well, and seldom at a third.
+ * Chooses a replica that was not tried yet. If there is none, an idempotent
+ * request may go to a replica that got it before: a request that failed once
+ * often succeeds at the second attempt, even at the same replica, and seldom
+ * only at a third.
  */
-function choose(
+function chooseReplica(
   ctx: ServeContext,
   exchange: Exchange,
-  {any, sent}: Tried,
+  {all, sent}: TriedReplicas,
 ): DirectReplica | undefined {
   const {service, route} = exchange;
-  const untried = candidatesOf(ctx, service, any);
+  const untried = candidatesOf(ctx, service, all);
   const candidates =
     untried.length > 0 || route.kind !== 'idempotent'
       ? untried
@@ -100,8 +104,8 @@
   });
 }
 
-/** True when the request has its final answer, or needs none. */
-function settle(
+/** Returns true when the request has its final answer or needs none. */
+function handleOutcome(
   ctx: ServeContext,
   exchange: Exchange,
   replica: DirectReplica,
@@ -110,10 +114,15 @@
   switch (outcome.kind) {
     case 'answered':
       if (isRetriable(exchange, outcome.head)) {
-        logFailed(ctx, exchange, replica, `status ${outcome.head.status}`);
+        logFailedAttempt(
+          ctx,
+          exchange,
+          replica,
+          `status ${outcome.head.status}`,
+        );
         return false;
       }
-      answer(ctx, exchange, outcome.head, outcome.body);
+      sendAnswer(ctx, exchange, outcome.head, outcome.body);
       return true;
     case 'passed-on':
     case 'ended':
@@ -123,22 +132,22 @@
       return true;
     case 'not-run':
     case 'not-sent':
-      logFailed(ctx, exchange, replica, outcome.kind);
+      logFailedAttempt(ctx, exchange, replica, outcome.kind);
       return false;
     case 'broken':
-      logFailed(ctx, exchange, replica, outcome.reason, outcome.kind);
+      logFailedAttempt(ctx, exchange, replica, outcome.reason, outcome.kind);
       if (exchange.route.kind === 'idempotent') return false;
       giveUp(ctx, exchange, 'the replica broke off');
       return true;
   }
 }
 
-/** A replica's own failure may be that replica's alone. */
+/** A server error may concern this replica only, so another one is tried. */
 function isRetriable(exchange: Exchange, {status}: AnswerHead): boolean {
   return status >= 500 && exchange.route.kind === 'idempotent';
 }
 
-function logFailed(
+function logFailedAttempt(
   ctx: ServeContext,
   exchange: Exchange,
   replica: DirectReplica,
@@ -155,7 +164,7 @@
   });
 }
 
-function answer(
+function sendAnswer(
   ctx: ServeContext,
   exchange: Exchange,
   head: AnswerHead,
--- a/src/direct/serve_context.ts
+++ b/src/direct/serve_context.ts
@@ -1,4 +1,4 @@
-/** What serving a request needs of the entry, and steps that all kinds share. */
+/** State of the entry that serving a request needs, and shared steps of it. */
 import type {ServerResponse} from 'node:http';
 import type {RetryBudget} from '../limits/retry_budget.js';
 import type {Clock, Log, Metrics, Random} from '../types/runtime.js';
@@ -47,15 +47,18 @@
   readonly pollPace: LookPace;
   readonly groups: Groups;
   readonly budget: RetryBudget;
-  /** Share of the budget that each request adds. */
+  /** Retries that each request adds to the budget. */
   readonly retryRatio: number;
   isDraining(): boolean;
 }
 
-/** Priority of a request that names none. */
-const MOST_PRIORITY = 9;
+/**
+ * Largest priority value, the least urgent, which also counts for a request
+ * that names none. Larger values are sent as this.
+ */
+const MAX_PRIORITY = 9;
 
-/** Replicas for the next try: those that are well, or else any. */
+/** Untried replicas for the next attempt: the healthy ones, or else all. */
 export function candidatesOf(
   ctx: ServeContext,
   service: string,
@@ -64,11 +67,11 @@
   const untried = ctx.replicas
     .availableFor(service)
     .filter(({id}) => !tried.has(id));
-  const well = untried.filter(({id}) => !ctx.health.isSuspect(id));
-  return well.length > 0 ? well : untried;
+  const healthy = untried.filter(({id}) => !ctx.health.isSuspect(id));
+  return healthy.length > 0 ? healthy : untried;
 }
 
-/** The replicas with what is known of their load and their pace. */
+/** Adds to each replica its known load, slowness and share of failures. */
 export function withLoads(
   {book, health}: ServeContext,
   replicas: readonly DirectReplica[],
@@ -81,7 +84,7 @@
   }));
 }
 
-/** The request as the choice of a plain service's replica takes it. */
+/** The request's parameters for choosing a replica of a plain service. */
 export function callRequestOf(
   {callTimes, failureDomain, random}: ServeContext,
   {route, service}: Exchange,
@@ -96,8 +99,8 @@
 }
 
 /**
- * For the log line of a try that broke off: requests that ask the same bear the
- * same digest under all their ids.
+ * The digest for the log line of a broken attempt; undefined for other
+ * outcomes. Equal requests have the same digest under all their ids.
  */
 export function brokenRunDigest(
   exchange: Exchange,
@@ -106,7 +109,10 @@
   return outcome === 'broken' ? shortDigest(exchange.digest()) : undefined;
 }
 
-/** Whether the request may be sent once more. */
+/**
+ * Whether the request may be sent to a replica. Each attempt after the first
+ * takes a retry from the budget.
+ */
 export function mayAttempt(
   ctx: ServeContext,
   {attempts, route}: Exchange,
@@ -115,7 +121,7 @@
   return attempts < route.maxAttempts && ctx.budget.take();
 }
 
-/** The request as the replica gets it. */
+/** Builds the request that is sent to the replica. */
 export function buildDispatch(
   ctx: ServeContext,
   exchange: Exchange,
@@ -129,11 +135,11 @@
     replicaName: replica.name,
     organisation: owner?.organisation,
     timeLeftMs: exchange.timeLeftMs(),
-    priority: Math.min(MOST_PRIORITY, Math.max(0, priority)),
+    priority: Math.min(MAX_PRIORITY, Math.max(0, priority)),
     lastEventId,
     helpers,
   });
-  const framed =
+  const needsContentLength =
     body.length > 0 ||
     req.headers['content-length'] !== undefined ||
     req.headers['transfer-encoding'] !== undefined;
@@ -141,62 +147,71 @@
     address: replica.address,
     method: req.method ?? 'GET',
     path: req.url ?? '/',
-    headers: framed
+    headers: needsContentLength
       ? [...headers, 'Content-Length', String(body.length)]
       : headers,
     body,
   };
 }
 
-/** What the head of an answer says of the request. */
+/** Class of an answer, by its status and headers. */
 export type HeadVerdict =
   | {readonly kind: 'success'}
   | {readonly kind: 'failure'}
+  /** The replica states that it did not run the request. */
   | {readonly kind: 'not-run'; readonly faultAt: string | undefined}
-  /** Not this request's answer, or none that may be passed on. */
+  /** An answer to another request, or one that must not be forwarded. */
   | {readonly kind: 'foreign'; readonly reason: string};
 
-/** Judges a head; but for a refusal, the request may have run. */
+/**
+ * Classifies an answer by its head. Unless the replica states that it did not
+ * run the request, the request is marked as possibly run.
+ */
 export function classifyHead(
   {codec}: ServeContext,
   exchange: Exchange,
   {status, headers}: AnswerHead,
 ): HeadVerdict {
   const facts = codec.readAnswer(status, headers);
-  const isOurs = facts.requestId === exchange.id && !facts.encoded;
-  if (isOurs && facts.notRun) return {kind: 'not-run', faultAt: facts.faultAt};
+  const isOwnAnswer = facts.requestId === exchange.id && !facts.encoded;
+  if (isOwnAnswer && facts.notRun)
+    return {kind: 'not-run', faultAt: facts.faultAt};
   exchange.mayHaveRun = true;
-  if (!isOurs) return {kind: 'foreign', reason: 'an answer to another request'};
+  if (!isOwnAnswer)
+    return {kind: 'foreign', reason: 'an answer to another request'};
   if (status >= 300) return {kind: 'failure'};
   return facts.signed
     ? {kind: 'success'}
     : {kind: 'foreign', reason: 'an unsigned success'};
 }
 
-/** Sends a replica's status and headers to the caller. */
+/**
+ * Sends a replica's status and headers to the caller. `length` is the length of
+ * a complete body, in bytes.
+ */
 export function writeHead(
   ctx: ServeContext,
   res: ServerResponse,
   head: AnswerHead,
   length?: number,
 ): void {
-  const headers = [...keptHeaders(head)];
+  const headers = [...endToEndHeaders(head)];
   const {'content-length': declared, 'transfer-encoding': coding} =
     head.headers;
-  // An answer without a length ends with its connection, and so one that a
-  // replica breaks off looks whole. Given a length or chunks here, the caller
-  // would take half an answer for all of it; it keeps the replica's framing.
-  const unframed = declared === undefined && coding === undefined;
-  if (unframed) res.removeHeader('Transfer-Encoding');
+  // An answer without a length ends when its connection closes, so a truncated
+  // one looks complete. If a length or chunked coding were added here, the
+  // caller would trust a truncated answer. The replica's framing is kept.
+  const hasNoFraming = declared === undefined && coding === undefined;
+  if (hasNoFraming) res.removeHeader('Transfer-Encoding');
   else if (declared === undefined && length !== undefined) {
     headers.push('Content-Length', String(length));
   }
-  if (ctx.isDraining() || unframed) headers.push('Connection', 'close');
+  if (ctx.isDraining() || hasNoFraming) headers.push('Connection', 'close');
   res.writeHead(head.status, headers);
 }
 
-/** All but what concerns the replica's connection. */
-function keptHeaders({rawHeaders}: AnswerHead): HeadersOut {
+/** The replica's headers without those of its connection. */
+function endToEndHeaders({rawHeaders}: AnswerHead): HeadersOut {
   const dropped = namedByConnection(rawHeaders);
   const kept: string[] = [];
   for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
@@ -207,7 +222,7 @@
   return kept;
 }
 
-/** Ends a request of a kind that crashes replicas; it is not sent on. */
+/** Refuses a quarantined request, which is not sent to a replica. */
 export function refuseQuarantined(ctx: ServeContext, exchange: Exchange): void {
   const reason = 'requests like this one crash replicas';
   if (exchange.mayHaveRun) {
@@ -228,7 +243,7 @@
   });
 }
 
-/** Ends a request that no replica answered. */
+/** Ends a request that no replica answered, with an error for the caller. */
 export function giveUp(
   ctx: ServeContext,
   exchange: Exchange,
@@ -246,16 +261,16 @@
     comeBackMs: retryAfterMs && Math.round(retryAfterMs),
   });
   ctx.metrics.count('onyxloft_direct_given_up_total', {ran, reason});
-  const timeUp = exchange.signal.reason === 'time is up';
+  const isTimeUp = exchange.signal.reason === 'time is up';
   exchange.end('answered');
   if (res.headersSent) {
-    // A cut that the caller sees; an end would look like a whole answer.
+    // Cuts the connection, since a normal end would look like a whole answer.
     res.destroy();
     return;
   }
-  const failed = timeUp ? 504 : 502;
+  const errorStatus = isTimeUp ? 504 : 502;
   sendLocalAnswer(res, {
-    status: exchange.mayHaveRun ? failed : 503,
+    status: exchange.mayHaveRun ? errorStatus : 503,
     message: reason,
     close: ctx.isDraining(),
     retryAfterMs,
--- a/src/direct/serve_stream.ts
+++ b/src/direct/serve_stream.ts
@@ -1,7 +1,7 @@
 /**
- * Serves a request whose answer is a series of events. A stream that breaks or
- * falls silent goes on at another replica from the event after the last one
- * that the caller has, inside the same answer.
+ * Serves a request whose answer is a stream of events. When the stream breaks
+ * or stalls, another replica resumes it within the same answer, after the last
+ * event that the caller has received.
  */
 import {DIRECT_EVENTS} from '../utils/events.js';
 import type {Exchange} from './exchange.js';
@@ -20,7 +20,7 @@
 import {startProgress} from './stream_progress.js';
 import type {StreamProgress} from './stream_progress.js';
 
-/** Serves the request to its final answer. */
+/** Serves the request until its final answer. */
 export async function serveStream(
   ctx: ServeContext,
   exchange: Exchange,
@@ -33,39 +33,44 @@
       giveUp(ctx, exchange, 'no more attempts');
       return;
     }
-    const opened = await placeRequest(ctx, exchange, tried);
-    if (opened.kind === 'none') {
-      const {reason, retryAfterMs} = opened;
+    const result = await placeRequest(ctx, exchange, tried);
+    if (result.kind === 'none') {
+      const {reason, retryAfterMs} = result;
       if (!exchange.signal.aborted) giveUp(ctx, exchange, reason, retryAfterMs);
       return;
     }
-    const {place} = opened;
-    tried.add(place.replica.id);
-    const outcome = await tryAt(ctx, exchange, place, progress);
-    if (settle(ctx, exchange, place, outcome, progress)) return;
+    const {placement} = result;
+    tried.add(placement.replica.id);
+    const outcome = await attemptAtPlacement(
+      ctx,
+      exchange,
+      placement,
+      progress,
+    );
+    if (handleOutcome(ctx, exchange, placement, outcome, progress)) return;
   }
 }
 
-/** Gives the place back also when the entry fails by a fault of its own. */
-async function tryAt(
+/** Runs one attempt and closes its placement, also after an internal error. */
+async function attemptAtPlacement(
   ctx: ServeContext,
   exchange: Exchange,
-  place: RequestPlacement,
+  placement: RequestPlacement,
   progress: StreamProgress,
 ): Promise<StreamOutcome> {
   try {
     if (exchange.signal.aborted) return {kind: 'ended'};
-    return await attemptStream(ctx, exchange, place, progress);
+    return await attemptStream(ctx, exchange, placement, progress);
   } finally {
-    place.close();
+    placement.close();
   }
 }
 
-/** True when the request has its final answer, or needs none. */
-function settle(
+/** Returns true when the request has its final answer or needs none. */
+function handleOutcome(
   ctx: ServeContext,
   exchange: Exchange,
-  place: RequestPlacement,
+  placement: RequestPlacement,
   outcome: StreamOutcome,
   progress: StreamProgress,
 ): boolean {
@@ -73,7 +78,7 @@
   switch (outcome.kind) {
     case 'whole':
       logAnswered(ctx, exchange, 200, progress);
-      // A stream that is resumed after its last event has none left to write.
+      // A stream that is resumed after its last event had no event to write.
       if (!res.headersSent) writeHead(ctx, res, outcome.head);
       res.end();
       return true;
@@ -93,7 +98,7 @@
   const reason = 'reason' in outcome ? outcome.reason : outcome.kind;
   ctx.log(DIRECT_EVENTS.tryFailed, {
     requestId: exchange.id,
-    replica: place.replica.id,
+    replica: placement.replica.id,
     reason,
     faultAt: 'faultAt' in outcome ? outcome.faultAt : undefined,
     events: progress.events,
--- a/src/direct/serving.ts
+++ b/src/direct/serving.ts
@@ -1,7 +1,7 @@
 /**
- * Serves admitted requests at replicas: owns what is known of the replicas and
- * what is assigned to them. Apart from the front, so that a whole fleet of
- * entries also runs before modelled engines on a virtual clock.
+ * Serves admitted requests at replicas. It owns the table of replicas, their
+ * health and their load. It is separate from the HTTP front end, so that a
+ * model can run many entries against simulated engines on a virtual clock.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {createRetryBudget} from '../limits/retry_budget.js';
@@ -36,13 +36,20 @@
 import type {HeaderCodec, ReadReport, Reservations} from './types.js';
 
 /**
- * New work is told to the other entries at once, but for what comes in the same
- * instant: two that choose within this time may choose the same replica.
+ * New load is sent to the other entries after this delay, which batches what
+ * arrives at the same instant. Within it, two entries may choose the same
+ * replica.
+ */
+const SHARE_ADDED_LOAD_MS = 2;
+/**
+ * Load that has ended is sent after this delay, in larger batches. A late
+ * report of it only hides free capacity for a moment.
+ */
+const SHARE_ENDED_LOAD_MS = 25;
+/**
+ * This share of the retry budget is used. The rest covers errors in its
+ * division by the number of entries.
  */
-const SHARE_MORE_MS = 2;
-/** Work that has ended only leaves room; it is told in batches. */
-const SHARE_LESS_MS = 25;
-/** Of the budget for retries, for errors in the share by entries. */
 const BUDGET_SHARE = 0.8;
 
 export interface ServingOptions {
@@ -59,18 +66,24 @@
   readonly readReport: ReadReport;
   readonly failureDomain: string;
   readonly retries: DirectSettings['retries'];
-  /** Prefix of reservations' ids, unique to this process. */
+  /** Prefix of the reservations' ids, unique to this process. */
   readonly idPrefix: string;
-  /** Time of one lease on a replica's memory, in milliseconds. */
+  /** Duration of one lease on a replica's memory, in milliseconds. */
   readonly holdMs: number;
-  /** Memory of a group without a sign of use for this long is released. */
+  /**
+   * Time after which a group's memory is released when nothing shows that it is
+   * used, in milliseconds.
+   */
   readonly unusedMs: number;
-  /** How full the engines are. @default as `placeOrWait` has it */
+  /** How full the engines are. @default that of `placeOrWait` */
   readonly fullness?: Fullness;
   isDraining(): boolean;
-  /** Tells the other entries what this one has assigned, a long read among it. */
+  /**
+   * Sends this entry's load to the other entries. `isLong` is true when a long
+   * prefill was added since the last call.
+   */
   shareLoads(loads: readonly ReplicaLoad[], isLong: boolean): void;
-  /** Tells them of requests that may crash replicas. */
+  /** Sends crash reports to the other entries. */
   shareCrashReports(reports: readonly CrashReport[]): void;
   /** See `CrashWatchOptions`. */
   readonly quarantine: Pick<
@@ -83,17 +96,18 @@
   readonly replicas: ReplicaTable;
   readonly book: LoadBook;
   readonly crashes: Pick<CrashWatch, 'merge' | 'release' | 'nextReports'>;
-  /** Serves to the final answer. */
+  /** Serves a request until its final answer; `arrivedAt` is its arrival. */
   serve(
     admitted: AdmittedRequest,
     req: IncomingMessage,
     res: ServerResponse,
     arrivedAt: number,
   ): void;
-  /** Entries that are there, with this one. */
+  /** Sets the number of known entries, including this one. */
   setEntryCount(count: number): void;
-  /** Requests without a final answer. */
+  /** Number of requests without a final answer. */
   openRequests(): number;
+  /** Values for the gauges; see `GaugeReadings`. */
   state(): {
     readonly entries: number;
     readonly retriesLeft: number;
@@ -105,8 +119,8 @@
 
 export function createServing(options: ServingOptions): Serving {
   const {clock, log, metrics, random, codec, dispatch, retries} = options;
-  let entries = 1;
-  const open = new Set<Exchange>();
+  let entryCount = 1;
+  const openExchanges = new Set<Exchange>();
   const worth = createRequestWorth();
   const health = createReplicaHealth(clock);
   const losses = createReplicaLosses();
@@ -123,10 +137,10 @@
       losses.notifyLost(id);
     },
   });
-  const news = new Map<string, CrashReport>();
-  const tellCrashes = createBatcher(clock, () => {
-    options.shareCrashReports([...news.values()]);
-    news.clear();
+  const changedReports = new Map<string, CrashReport>();
+  const scheduleReports = createBatcher(clock, () => {
+    options.shareCrashReports([...changedReports.values()]);
+    changedReports.clear();
   });
   const crashes = createCrashWatch({
     clock,
@@ -135,19 +149,21 @@
     node: options.node,
     isLeaving: replicas.isLeaving,
     shareReport: report => {
-      news.set(report.digest, report);
-      tellCrashes(SHARE_MORE_MS);
+      changedReports.set(report.digest, report);
+      scheduleReports(SHARE_ADDED_LOAD_MS);
     },
     ...options.quarantine,
   });
-  let isLong = false;
-  const shareLater = createBatcher(clock, () => {
-    options.shareLoads(book.own(), isLong);
-    isLong = false;
+  let hasLongPrefill = false;
+  const scheduleLoads = createBatcher(clock, () => {
+    options.shareLoads(book.own(), hasLongPrefill);
+    hasLongPrefill = false;
   });
   const book = createLoadBook(clock, change => {
-    isLong ||= change === 'long';
-    shareLater(change === 'less' ? SHARE_LESS_MS : SHARE_MORE_MS);
+    hasLongPrefill ||= change === 'long';
+    scheduleLoads(
+      change === 'less' ? SHARE_ENDED_LOAD_MS : SHARE_ADDED_LOAD_MS,
+    );
   });
   const ctx: ServeContext = {
     clock,
@@ -175,12 +191,19 @@
       holdMs: options.holdMs,
       unusedMs: options.unusedMs,
     }),
-    budget: createRetryBudget(() => (retries.slack * BUDGET_SHARE) / entries),
+    budget: createRetryBudget(
+      () => (retries.slack * BUDGET_SHARE) / entryCount,
+    ),
     retryRatio: retries.ratio * BUDGET_SHARE,
     isDraining: options.isDraining,
   };
 
-  const weigh = ({config, service, route, facts}: AdmittedRequest): number => {
+  const weightOf = ({
+    config,
+    service,
+    route,
+    facts,
+  }: AdmittedRequest): number => {
     const figures = config.services.get(service)?.engine;
     const ms =
       figures === undefined ? 0 : readMs(figures, facts.promptTokens, 1);
@@ -207,14 +230,14 @@
       req,
       res,
       admitted,
-      weight: weigh(admitted),
+      weight: weightOf(admitted),
       onTimeUp: late => giveUp(ctx, late, 'time is up'),
       onCallerLeft: ({id, elapsedMs}) => {
         const waitedMs = Math.round(elapsedMs());
         log(DIRECT_EVENTS.callerLeft, {requestId: id, waitedMs});
       },
     });
-    open.add(exchange);
+    openExchanges.add(exchange);
     void serveOrRefuse(exchange)
       .catch(err => {
         log(DIRECT_EVENTS.faulted, {
@@ -226,7 +249,7 @@
       })
       .finally(() => {
         exchange.end('answered');
-        open.delete(exchange);
+        openExchanges.delete(exchange);
       });
   };
 
@@ -236,11 +259,11 @@
     crashes,
     serve,
     setEntryCount: count => {
-      entries = count;
+      entryCount = count;
     },
-    openRequests: () => open.size,
+    openRequests: () => openExchanges.size,
     state: () => ({
-      entries,
+      entries: entryCount,
       retriesLeft: ctx.budget.left(),
       memoryLeases: ctx.groups.reservationCount(),
       suspects: crashes.suspectCount(),
--- a/src/direct/stream_attempt.ts
+++ b/src/direct/stream_attempt.ts
@@ -1,6 +1,7 @@
 /**
- * One try of a stream at one replica or group. Only whole events are handed on,
- * so that the stream can go on elsewhere after the last of them.
+ * Sends a streaming request to one replica or group and forwards its events.
+ * Only complete events are forwarded, so that another replica can resume the
+ * stream after the last one.
  */
 import type {AnswerHead} from './dispatch.js';
 import {createEventSplitter} from './event_splitter.js';
@@ -13,25 +14,34 @@
 import type {StreamProgress} from './stream_progress.js';
 import {watchSilence} from './stream_silence.js';
 
-/** A failure's body is small; a larger one is not kept. */
-const FAILURE_BYTES = 1024 * 1024;
+/**
+ * Largest body of a failure, in bytes. Such bodies are small; beyond this bound
+ * the attempt ends as broken.
+ */
+const MAX_FAILURE_BYTES = 1024 * 1024;
 
-/** How one try ended. */
+/** How one attempt ended. */
 export type StreamOutcome =
+  /** The stream is complete. */
   | {readonly kind: 'whole'; readonly head: AnswerHead}
+  /** The replica answered with an error status. */
   | {readonly kind: 'failure'; readonly head: AnswerHead; readonly body: Buffer}
+  /** The replica refused the request and did not run it. */
   | {readonly kind: 'not-run'; readonly faultAt: string | undefined}
+  /** No connection was established, so the replica received nothing. */
   | {readonly kind: 'not-sent'; readonly reason: string}
+  /** The stream failed or stalled before its end; the request may have run. */
   | {readonly kind: 'broken'; readonly reason: string}
-  /** Requests like it crash replicas: it was not sent. */
+  /** The request was not sent, because equal requests crashed replicas. */
   | {readonly kind: 'quarantined'}
+  /** The request ended before the answer: its time is up or the caller left. */
   | {readonly kind: 'ended'};
 
-/** Sends the request and hands events on until the try ends. */
+/** Sends the request and forwards events until the attempt has ended. */
 export function attemptStream(
   ctx: ServeContext,
   exchange: Exchange,
-  place: RequestPlacement,
+  placement: RequestPlacement,
   progress: StreamProgress,
 ): Promise<StreamOutcome> {
   const {isTrial} = exchange;
@@ -40,7 +50,7 @@
   }
   const {health, clock, metrics} = ctx;
   const {res, signal} = exchange;
-  const {replica} = place;
+  const {replica} = placement;
   const startedAt = clock.now();
   const splitter = createEventSplitter();
   exchange.attempts++;
@@ -49,7 +59,7 @@
     let head: AnswerHead | undefined;
     let failure: Buffer[] | undefined;
     let failureBytes = 0;
-    let eventsHere = 0;
+    let eventCount = 0;
 
     const finish = (outcome: StreamOutcome) => {
       silence.stop();
@@ -57,23 +67,24 @@
       signal.removeEventListener('abort', onAbort);
       resolve(outcome);
     };
-    const breakOff = (reason: string) => {
+    const failAtReplica = (reason: string) => {
       health.failed(replica.id);
       ctx.crashes.runBroken(exchange, replica);
-      leave(reason);
+      endBroken(reason);
     };
-    const leave = (reason: string) => {
+    const endBroken = (reason: string) => {
       exchange.mayHaveRun = true;
       dispatch.cancel();
       finish({kind: 'broken', reason});
     };
     const onLost = (loss: PlacementLoss) => {
-      // An engine that begins without the group's memory refuses as not run,
-      // and only such a refusal lets a stream go on that may run once.
-      const isOnce = exchange.route.kind !== 'resumable-stream';
-      if (loss !== 'a member restarted' && isOnce) return;
+      // A lead that starts after the group's memory was released refuses the
+      // request as not run. A stream that may run only once waits for that
+      // refusal, because only after it another replica may be tried.
+      const mayRunOnlyOnce = exchange.route.kind !== 'resumable-stream';
+      if (loss !== 'a member restarted' && mayRunOnlyOnce) return;
       ctx.crashes.runCancelled(exchange, replica);
-      leave(loss);
+      endBroken(loss);
     };
     const onAbort = () => {
       exchange.mayHaveRun = true;
@@ -81,17 +92,17 @@
       dispatch.cancel();
       finish({kind: 'ended'});
     };
-    const onHead = (came: AnswerHead) => {
-      const verdict = classifyHead(ctx, exchange, came);
-      head = came;
+    const onHead = (received: AnswerHead) => {
+      const verdict = classifyHead(ctx, exchange, received);
+      head = received;
       if (verdict.kind === 'failure') failure = [];
-      if (verdict.kind === 'foreign') breakOff(verdict.reason);
+      if (verdict.kind === 'foreign') failAtReplica(verdict.reason);
       if (verdict.kind !== 'not-run') return;
       dispatch.cancel();
-      place.refused(verdict.faultAt);
+      placement.refused(verdict.faultAt);
       finish(verdict);
     };
-    const writeEvent = ({bytes, id}: StreamEvent) => {
+    const forwardEvent = ({bytes, id}: StreamEvent) => {
       if (hasEvent(progress, id)) return;
       if (!res.headersSent && head !== undefined) writeHead(ctx, res, head);
       recordEvent(metrics, exchange, progress, id, clock.now());
@@ -102,7 +113,8 @@
     const keepFailure = (kept: Buffer[], chunk: Buffer) => {
       kept.push(chunk);
       failureBytes += chunk.length;
-      if (failureBytes > FAILURE_BYTES) breakOff('a failure without end');
+      if (failureBytes > MAX_FAILURE_BYTES)
+        failAtReplica('a failure without end');
     };
     const onData = (chunk: Buffer) => {
       if (failure !== undefined) {
@@ -110,12 +122,12 @@
         return;
       }
       for (const event of splitter.push(chunk)) {
-        if (eventsHere++ === 0)
-          place.firstEventReceived(clock.now() - startedAt);
-        writeEvent(event);
+        if (eventCount++ === 0)
+          placement.firstEventReceived(clock.now() - startedAt);
+        forwardEvent(event);
       }
       silence.onEvent();
-      place.noteActivity();
+      placement.noteActivity();
     };
     const onEnd = () => {
       if (head === undefined) return;
@@ -123,7 +135,7 @@
         health.failed(replica.id);
         finish({kind: 'failure', head, body: Buffer.concat(failure)});
       } else if (splitter.pendingBytes() > 0) {
-        breakOff('ended within an event');
+        failAtReplica('ended within an event');
       } else {
         ctx.crashes.runSucceeded(exchange);
         finish({kind: 'whole', head});
@@ -142,17 +154,17 @@
     };
 
     const silence = watchSilence(ctx, exchange, replica.id, () =>
-      breakOff('silent'),
+      failAtReplica('silent'),
     );
     const lastEventId =
       progress.events > 0 ? String(progress.lastId) : undefined;
     const dispatch = ctx.dispatch(
-      buildDispatch(ctx, exchange, replica, lastEventId, place.helpers),
+      buildDispatch(ctx, exchange, replica, lastEventId, placement.helpers),
       clock,
       {onHead, onData, onEnd, onBroken},
     );
-    const stopWatching = place.watchLoss(onLost);
+    const stopWatching = placement.watchLoss(onLost);
     signal.addEventListener('abort', onAbort);
-    silence.awaitFirst(place.firstEventMs);
+    silence.awaitFirst(placement.firstEventMs);
   });
 }
--- a/src/direct/stream_progress.ts
+++ b/src/direct/stream_progress.ts
@@ -1,17 +1,21 @@
-/** What of a stream its caller has, and how its latency is counted. */
+/** Tracks which events of a stream the caller has, and measures its latency. */
 import type {Metrics} from '../types/runtime.js';
 import type {Exchange} from './exchange.js';
 
 export interface StreamProgress {
-  /** Number of the last event that the caller has. */
+  /** Id of the last event that the caller has; undefined when it has none. */
   lastId: number | undefined;
+  /** Number of events that were forwarded. */
   events: number;
+  /** Time of the last event on this process's clock; at first the arrival. */
   lastEventAt: number;
+  /** Time from the arrival to the first event, in milliseconds. */
   firstEventMs: number;
+  /** Longest time between two events, in milliseconds. */
   longestPauseMs: number;
 }
 
-/** A caller that resumes a stream says which event it has last. */
+/** Starts after the last event that a resuming caller names, if it does. */
 export function startProgress({facts, arrivedAt}: Exchange): StreamProgress {
   const lastId = Number(facts.lastEventId);
   return {
@@ -23,7 +27,7 @@
   };
 }
 
-/** Whether the caller has an event of this number already. */
+/** Whether the caller already has the event with this id. */
 export function hasEvent(
   {lastId}: StreamProgress,
   id: number | undefined,
@@ -31,7 +35,7 @@
   return id !== undefined && lastId !== undefined && id <= lastId;
 }
 
-/** Enters an event that goes to the caller now. */
+/** Records an event that is forwarded to the caller now. */
 export function recordEvent(
   metrics: Metrics,
   {facts}: Exchange,
@@ -52,7 +56,7 @@
   metrics.observe('onyxloft_direct_pause_ms', {length}, ms);
 }
 
-/** Bounds of the lengths by which latency is shown, in prompt tokens. */
+/** Length classes of the latency metrics: upper bound in prompt tokens, label. */
 const LENGTHS: readonly (readonly [number, string])[] = [
   [10_000, 'to-10k'],
   [50_000, 'to-50k'],
--- a/src/direct/stream_silence.ts
+++ b/src/direct/stream_silence.ts
@@ -1,35 +1,42 @@
 /**
- * Notices that a replica has fallen silent in the middle of a stream. A replica
- * that reads a long prompt is silent to all that write there. Given up for
- * that, their streams would be read anew elsewhere and gain nothing, so what is
- * known to be read there is waited for, as long as the caller does.
+ * Detects that a replica has stopped sending events in the middle of a stream.
+ * A replica that prefills a long prompt also pauses all its other streams. If
+ * these were moved to another replica, their prompts would be prefilled again
+ * and nothing gained. So the known prefill time at the replica is added to the
+ * limit, as far as the caller waits.
  */
 import type {Exchange} from './exchange.js';
 import {patienceMs} from './decide/patience.js';
 import type {ServeContext} from './serve_context.js';
 
-/** Silence is waited for so many times as long as a first event should take. */
-const TIMES_EXPECTED = 4;
-/** Silence is waited for so many times as long as the aim allows. */
-const TIMES_AIM = 2;
-/** Added to it, for pauses that others' work brings. */
+/** The limit for a first event is at least its expected time times this. */
+const EXPECTED_TIME_FACTOR = 4;
+/** The limit for an event is at least its latency objective times this. */
+const AIM_FACTOR = 2;
+/** Added to each limit, for pauses that other requests cause. */
 const GRACE_MS = 300;
-/** Share of the caller's patience that a known long read may use up. */
-const PATIENCE_SHARE = 0.8;
+/**
+ * Known prefill work may extend a limit up to this share of the time that the
+ * caller waits for an event.
+ */
+const CALLER_TIMEOUT_SHARE = 0.8;
 
-/** A rest that rounding leaves would be waited for without end. */
-const LEAST_WAIT_MS = 1;
+/**
+ * Shortest timer. Rounding may leave a shorter rest, for which the timer would
+ * fire early again and again.
+ */
+const MIN_WAIT_MS = 1;
 
 export interface SilenceWatch {
-  /** Waits for the first event, which should come within `expectedMs`. */
+  /** Starts the timer for the first event, expected within `expectedMs`. */
   awaitFirst(expectedMs: number): void;
-  /** An event came; waits for the next. */
+  /** Restarts the timer after an event. */
   onEvent(): void;
   stop(): void;
 }
 
-/** Whether another replica may be tried in place of one that is silent. */
-function mayGoOn({route, attempts}: Exchange): boolean {
+/** Whether another replica may be tried instead of a silent one. */
+function mayRetry({route, attempts}: Exchange): boolean {
   return route.kind === 'resumable-stream' && attempts < route.maxAttempts;
 }
 
@@ -40,19 +47,19 @@
   replicaId: string,
   onSilent: () => void,
 ): SilenceWatch {
-  // A last attempt may still come; silence alone ends no answer.
-  const canGoOn = mayGoOn(exchange);
+  // The last attempt is not ended for silence, since its answer may still come.
+  const canRetry = mayRetry(exchange);
   const {route} = exchange;
-  const mostMs = patienceMs(route) * PATIENCE_SHARE;
+  const maxMs = patienceMs(route) * CALLER_TIMEOUT_SHARE;
   let stop = () => {};
 
   const allowedMs = (limitMs: number): number =>
-    Math.max(limitMs, Math.min(limitMs + book.of(replicaId).readMs, mostMs));
+    Math.max(limitMs, Math.min(limitMs + book.of(replicaId).readMs, maxMs));
   const wait = (limitMs: number, since: number): void => {
     stop();
-    if (!canGoOn) return;
+    if (!canRetry) return;
     const leftMs = since + limitMs - clock.now();
-    stop = clock.after(Math.max(LEAST_WAIT_MS, leftMs), () => {
+    stop = clock.after(Math.max(MIN_WAIT_MS, leftMs), () => {
       const allowed = allowedMs(limitMs);
       if (clock.now() - since < allowed) wait(allowed, since);
       else onSilent();
@@ -62,12 +69,12 @@
   return {
     awaitFirst: expectedMs => {
       const limitMs = Math.max(
-        TIMES_EXPECTED * expectedMs,
-        TIMES_AIM * route.aimMs,
+        EXPECTED_TIME_FACTOR * expectedMs,
+        AIM_FACTOR * route.aimMs,
       );
       wait(limitMs + GRACE_MS, clock.now());
     },
-    onEvent: () => wait(TIMES_AIM * route.pauseAimMs + GRACE_MS, clock.now()),
+    onEvent: () => wait(AIM_FACTOR * route.pauseAimMs + GRACE_MS, clock.now()),
     stop: () => stop(),
   };
 }
--- a/src/direct/suspects.ts
+++ b/src/direct/suspects.ts
@@ -1,49 +1,61 @@
 /**
- * Which requests crash the replicas that run them ("queries of death"). Such a
- * request comes again under new ids and at any entry; unrecognised, it ends one
- * replica after another, with all that runs there.
+ * Finds requests that crash the replicas which run them ("queries of death").
+ * Such a request is repeated under new ids and at any entry. Undetected, it
+ * crashes one replica after another, with all requests that run there.
  *
- * A replica that ends while it runs a request speaks against that request, and
- * a run that ends well speaks for it: replicas also crash by themselves, and a
- * request that is asked often runs at many of them. What entries know merges to
- * the same in any order.
+ * A replica that ends during a run counts against the request, and a successful
+ * run counts for it. Replicas also crash for other reasons, and a frequent
+ * request runs at many of them. The merge of the entries' reports is
+ * commutative, so all entries reach the same result.
  */
 import type {Clock} from '../types/runtime.js';
 import {MAX_ENDED_REPLICAS} from './crash_reports.js';
 import type {CrashReport} from './crash_reports.js';
 
-/** Replicas that a request may end before it is refused. */
-const ENDED_ALLOWED = 3;
-/** One more is allowed for each run that ended well, times this. */
-const ENDED_PER_GOOD = 2;
+/** Number of ended replicas at which a request is quarantined. */
+const QUARANTINE_THRESHOLD = 3;
+/** Each successful run raises the threshold by this. */
+const THRESHOLD_PER_SUCCESS = 2;
 /**
- * One request of a digest may run so long after it was quarantined, and one
- * more later. What ran beside a request that crashes replicas looks like it,
- * and only a run by itself tells them apart.
+ * Times after the quarantine at which one request of the digest may run as a
+ * trial. A harmless request that ran beside a crashing one looks the same; only
+ * a run by itself distinguishes them.
+ */
+const TRIAL_DELAYS_MS = [1_000, 10_000];
+/** Time until a trial is claimed again when its claim was not answered. */
+const CLAIM_RETRY_MS = 1_000;
+/**
+ * Duration of a quarantine, from the last end of a replica. After it the
+ * request may run again.
  */
-const TRIALS_AFTER_MS = [1_000, 10_000];
-/** Until a trial is asked for again whose claim was not answered. */
-const CLAIM_AGAIN_MS = 1_000;
-/** A request that was refused for so long may run again. */
 export const QUARANTINE_MS = 3_600_000;
-/** Suspects that are kept; the oldest is dropped for a new one. */
-const SUSPECTS_MOST = 1_000;
-/** Good runs are remembered for so long before a first replica ends. */
-const GOOD_KEPT_MS = 60_000;
-/** Requests with good runs that are remembered. */
-const GOOD_MOST = 1_000;
-/** A report that was on its way at a release does not undo it. */
-const RELEASED_MS = 5_000;
+/**
+ * Most suspects that are kept. Beyond it the oldest one that is not quarantined
+ * is dropped, or else the oldest.
+ */
+const MAX_SUSPECTS = 1_000;
+/** Time for which successful runs of a request that is no suspect are kept. */
+const SUCCESSES_KEPT_MS = 60_000;
+/** Most requests whose successful runs are kept; the oldest is dropped. */
+const MAX_SUCCESSFUL_REQUESTS = 1_000;
+/**
+ * Reports of a released request are ignored for this long, so that one that was
+ * on its way does not undo the release.
+ */
+const RELEASE_GRACE_MS = 5_000;
 
 interface Suspect {
+  /** Ids of replicas that ended during a run. */
   readonly ended: Set<string>;
+  /** Number of successful runs, by the entry that observed them. */
   readonly good: Map<string, number>;
-  /** When the newest replica ended, or was told of. */
+  /** Time at which this entry last learned of an ended replica. */
   endedAt: number;
-  /** Undefined while it is served. */
+  /** Undefined while the request is not quarantined. */
   quarantinedAt: number | undefined;
-  /** Trials that are over or under way, at whatever entry. */
+  /** Number of trials that are known to be claimed, by any entry. */
   trials: number;
+  /** Earliest time of the next trial; infinite when none is planned. */
   nextTrialAt: number;
 }
 
@@ -51,31 +63,43 @@
   readonly clock: Clock;
   /** Name of this entry. */
   readonly self: string;
-  /** Something is known here that the other entries should hear of. */
+  /** Called with a report that the other entries should get. */
   onChanged(report: CrashReport): void;
-  /** It is refused from now on; `isOwn` where this entry saw the last crash. */
+  /**
+   * A request is refused from now on. `isOwn` is true when this entry observed
+   * the last crash.
+   */
   onQuarantined(report: CrashReport, isOwn: boolean): void;
-  /** It is refused no longer; `isOwn` where the last good run was here. */
+  /**
+   * A request is no longer refused. `isOwn` is true when the last successful
+   * run was at this entry.
+   */
   onCleared(digest: string, isOwn: boolean): void;
 }
 
 export interface Suspects {
-  /** A replica, named by its start, ended while it ran the request. */
+  /** Records that a replica ended while it ran the request. */
   replicaEnded(digest: string, replicaId: string): void;
-  /** A run of it ended well. */
+  /** Records a successful run of the request. */
   runSucceeded(digest: string): void;
-  /** A replica has ended under it. */
+  /** Whether a replica has ended during a run of the request. */
   isSuspect(digest: string): boolean;
   isQuarantined(digest: string): boolean;
-  /** Number of the trial that is due, from 0; undefined for none. */
+  /**
+   * Number of the trial that is due, from 0; undefined when none is due. The
+   * trial is not due again until `trialSettled` is called.
+   */
   dueTrial(digest: string): number | undefined;
-  /** `false`: the claim was not answered, and the trial may still be free. */
+  /**
+   * Ends the claim of a trial. `isAnswered` is false when the claim was not
+   * answered, so that the trial may still be free.
+   */
   trialSettled(digest: string, isAnswered: boolean): void;
-  /** Takes what another entry, or the store, tells. */
+  /** Merges reports of another entry or of the store. */
   merge(reports: readonly CrashReport[]): void;
-  /** An operator has released it. */
+  /** Ends the quarantine that an operator has released. */
   release(digest: string): void;
-  /** The next few, in turn, to tell another entry. */
+  /** The next `count` reports, in rotation, to send to another entry. */
   nextReports(count: number): readonly CrashReport[];
   suspectCount(): number;
   quarantinedCount(): number;
@@ -83,16 +107,17 @@
 
 export function createSuspects(options: SuspectsOptions): Suspects {
   const {clock, self} = options;
-  /** By digest, the oldest first. */
+  /** Suspects by digest, the oldest first. */
   const suspects = new Map<string, Suspect>();
   const released = new Map<string, number>();
-  const good = createGoodRuns(clock);
-  let told = 0;
+  const earlierSuccesses = createSuccessCounts(clock);
+  let nextIndex = 0;
 
-  const isOver = ({endedAt}: Suspect) => clock.now() - endedAt > QUARANTINE_MS;
-  const of = (digest: string): Suspect | undefined => {
+  const isExpired = ({endedAt}: Suspect) =>
+    clock.now() - endedAt > QUARANTINE_MS;
+  const findCurrent = (digest: string): Suspect | undefined => {
     const suspect = suspects.get(digest);
-    if (suspect === undefined || !isOver(suspect)) return suspect;
+    if (suspect === undefined || !isExpired(suspect)) return suspect;
     suspects.delete(digest);
     return undefined;
   };
@@ -106,11 +131,11 @@
     suspects.delete(oldest);
   };
   const add = (digest: string): Suspect => {
-    if (suspects.size >= SUSPECTS_MOST) dropOldest();
-    const known = good.take(digest);
+    if (suspects.size >= MAX_SUSPECTS) dropOldest();
+    const successes = earlierSuccesses.take(digest);
     const suspect: Suspect = {
       ended: new Set(),
-      good: new Map(known > 0 ? [[self, known]] : []),
+      good: new Map(successes > 0 ? [[self, successes]] : []),
       endedAt: clock.now(),
       quarantinedAt: undefined,
       trials: 0,
@@ -121,15 +146,19 @@
   };
   const drop = (digest: string): void => {
     suspects.delete(digest);
-    released.set(digest, clock.now() + RELEASED_MS);
+    released.set(digest, clock.now() + RELEASE_GRACE_MS);
     for (const [key, until] of released) {
       if (until <= clock.now()) released.delete(key);
     }
   };
-  const judge = (digest: string, suspect: Suspect, isOwn: boolean): void => {
-    const was = suspect.quarantinedAt !== undefined;
-    if (isTooMany(suspect) === was) return;
-    if (was) {
+  const updateQuarantine = (
+    digest: string,
+    suspect: Suspect,
+    isOwn: boolean,
+  ): void => {
+    const wasQuarantined = suspect.quarantinedAt !== undefined;
+    if (reachesThreshold(suspect) === wasQuarantined) return;
+    if (wasQuarantined) {
       suspect.quarantinedAt = undefined;
       options.onCleared(digest, isOwn);
       return;
@@ -137,39 +166,39 @@
     const now = clock.now();
     suspect.quarantinedAt = now;
     suspect.trials = 0;
-    suspect.nextTrialAt = now + TRIALS_AFTER_MS[0];
+    suspect.nextTrialAt = now + TRIAL_DELAYS_MS[0];
     options.onQuarantined(reportOf(digest, suspect), isOwn);
   };
   const mergeOne = (report: CrashReport): void => {
     const {digest} = report;
     if ((released.get(digest) ?? -Infinity) > clock.now()) return;
     if (report.ended.length === 0) return;
-    const before = of(digest);
-    const suspect = before ?? add(digest);
+    const known = findCurrent(digest);
+    const suspect = known ?? add(digest);
     for (const id of report.ended) addEnded(suspect, id, clock.now());
     for (const [node, count] of Object.entries(report.good)) {
       suspect.good.set(node, Math.max(suspect.good.get(node) ?? 0, count));
     }
-    // Runs that ended well here are unknown to the one that told of it.
-    const isNews = before === undefined && suspect.good.has(self);
-    if (isNews) options.onChanged(reportOf(digest, suspect));
-    judge(digest, suspect, false);
+    // The sender of the report does not know of successful runs at this entry.
+    const isNewHere = known === undefined && suspect.good.has(self);
+    if (isNewHere) options.onChanged(reportOf(digest, suspect));
+    updateQuarantine(digest, suspect, false);
   };
 
   return {
     replicaEnded: (digest, replicaId) => {
-      const suspect = of(digest) ?? add(digest);
+      const suspect = findCurrent(digest) ?? add(digest);
       if (!addEnded(suspect, replicaId, clock.now())) return;
       options.onChanged(reportOf(digest, suspect));
-      judge(digest, suspect, true);
+      updateQuarantine(digest, suspect, true);
     },
     runSucceeded: digest => {
-      const suspect = of(digest);
+      const suspect = findCurrent(digest);
       if (suspect === undefined) {
-        good.add(digest);
+        earlierSuccesses.add(digest);
         return;
       }
-      // It ran by itself: what crashes replicas would have crashed this one.
+      // The run was a trial, and a crashing request would have failed it.
       if (suspect.quarantinedAt !== undefined) {
         drop(digest);
         options.onCleared(digest, true);
@@ -177,38 +206,41 @@
       }
       const count = (suspect.good.get(self) ?? 0) + 1;
       suspect.good.set(self, count);
-      // A request that is asked often would be told of at each of its runs.
+      // Limits the reports of a frequent request: not one for each run.
       if (isPowerOfTwo(count)) options.onChanged(reportOf(digest, suspect));
-      judge(digest, suspect, true);
+      updateQuarantine(digest, suspect, true);
     },
-    isSuspect: digest => of(digest) !== undefined,
-    isQuarantined: digest => of(digest)?.quarantinedAt !== undefined,
+    isSuspect: digest => findCurrent(digest) !== undefined,
+    isQuarantined: digest => findCurrent(digest)?.quarantinedAt !== undefined,
     dueTrial: digest => {
-      const suspect = of(digest);
+      const suspect = findCurrent(digest);
       if (suspect === undefined || clock.now() < suspect.nextTrialAt) {
         return undefined;
       }
-      // Others of its like are refused while this one is claimed.
+      // Equal requests are refused while this one claims the trial.
       suspect.nextTrialAt = Infinity;
       return suspect.trials;
     },
     trialSettled: (digest, isAnswered) => {
-      const suspect = of(digest);
+      const suspect = findCurrent(digest);
       if (suspect?.quarantinedAt === undefined) return;
       if (isAnswered) suspect.trials++;
-      const afterMs = TRIALS_AFTER_MS[suspect.trials] ?? Infinity;
+      const afterMs = TRIAL_DELAYS_MS[suspect.trials] ?? Infinity;
       suspect.nextTrialAt = isAnswered
         ? suspect.quarantinedAt + afterMs
-        : clock.now() + CLAIM_AGAIN_MS;
+        : clock.now() + CLAIM_RETRY_MS;
     },
     merge: reports => reports.forEach(mergeOne),
     release: drop,
     nextReports: count => {
-      const all = [...suspects].filter(([, suspect]) => !isOver(suspect));
-      const from = all.length === 0 ? 0 : told % all.length;
-      const some = [...all.slice(from), ...all.slice(0, from)].slice(0, count);
-      told = from + some.length;
-      return some.map(([digest, suspect]) => reportOf(digest, suspect));
+      const all = [...suspects].filter(([, suspect]) => !isExpired(suspect));
+      const start = all.length === 0 ? 0 : nextIndex % all.length;
+      const selected = [...all.slice(start), ...all.slice(0, start)].slice(
+        0,
+        count,
+      );
+      nextIndex = start + selected.length;
+      return selected.map(([digest, suspect]) => reportOf(digest, suspect));
     },
     suspectCount: () => suspects.size,
     quarantinedCount: () =>
@@ -217,12 +249,12 @@
   };
 }
 
-function isTooMany({ended, good}: Suspect): boolean {
+function reachesThreshold({ended, good}: Suspect): boolean {
   const runs = [...good.values()].reduce((sum, count) => sum + count, 0);
-  return ended.size >= ENDED_ALLOWED + ENDED_PER_GOOD * runs;
+  return ended.size >= QUARANTINE_THRESHOLD + THRESHOLD_PER_SUCCESS * runs;
 }
 
-/** False when it was known, or there are enough. */
+/** Returns false when the replica is known or the report is full. */
 function addEnded(suspect: Suspect, replicaId: string, at: number): boolean {
   const {ended} = suspect;
   if (ended.has(replicaId) || ended.size >= MAX_ENDED_REPLICAS) return false;
@@ -239,14 +271,14 @@
   return (count & (count - 1)) === 0;
 }
 
-/** Good runs of requests under which no replica has ended so far. */
-function createGoodRuns(clock: Clock) {
-  /** By digest, the newest last. */
+/** Counts successful runs of requests that are no suspects so far. */
+function createSuccessCounts(clock: Clock) {
+  /** Counts by digest, the newest last. */
   const runs = new Map<string, {readonly count: number; readonly at: number}>();
   const countOf = (digest: string): number => {
     const known = runs.get(digest);
     const isKept =
-      known !== undefined && clock.now() - known.at <= GOOD_KEPT_MS;
+      known !== undefined && clock.now() - known.at <= SUCCESSES_KEPT_MS;
     return isKept ? known.count : 0;
   };
   const take = (digest: string): number => {
@@ -260,7 +292,7 @@
       const count = take(digest) + 1;
       runs.set(digest, {count, at: clock.now()});
       const [oldest] = runs.keys();
-      if (runs.size > GOOD_MOST) runs.delete(oldest);
+      if (runs.size > MAX_SUCCESSFUL_REQUESTS) runs.delete(oldest);
     },
   };
 }
--- a/src/direct_main.ts
+++ b/src/direct_main.ts
@@ -1,6 +1,6 @@
 /**
- * The life of a direct entry's process: starts its services, and on SIGTERM
- * drains before it ends.
+ * Process of a direct entry: starts its services, and on SIGTERM drains open
+ * requests before it exits.
  */
 import type {DirectSettings} from './direct/settings.js';
 import {wireDirectEntry} from './direct_wiring.js';
@@ -13,18 +13,18 @@
 import {createProcessLog} from './utils/logger.js';
 import {createMetrics} from './utils/metrics.js';
 
-/** Pause for the last log lines to be written. */
-const FLUSH_MS = 20;
+/** Delay before the process exits, so that the last log lines are written. */
+const LOG_FLUSH_MS = 20;
 
-/** Makes what the platform brings, with the process's clock and metrics. */
+/** Creates the platform's adapters, with the process's clock and metrics. */
 export type CreateDependencies = (
   runtime: Runtime,
 ) => Omit<DirectDependencies, 'settings'>;
 
-/** Runs until SIGTERM. */
+/** Runs the entry until SIGTERM. */
 export function runDirectEntry(
   settings: DirectSettings,
-  makeParts: CreateDependencies,
+  createDependencies: CreateDependencies,
 ): void {
   const metrics = createMetrics();
   const log = createProcessLog({
@@ -38,8 +38,8 @@
     metrics,
     invariant: createProcessInvariant(log, metrics),
   };
-  const parts = {...makeParts(runtime), settings};
-  wireDirectEntry(parts, runtime)
+  const dependencies = {...createDependencies(runtime), settings};
+  wireDirectEntry(dependencies, runtime)
     .then(wired => {
       log(KERNEL_EVENTS.processStarted, {
         role: 'direct-entry',
@@ -52,7 +52,7 @@
         void wired.drain().then(async () => {
           const open = await wired.openRequests();
           log(KERNEL_EVENTS.drainEnded, {why: 'drained', open});
-          runtime.clock.after(FLUSH_MS, () => process.exit(0));
+          runtime.clock.after(LOG_FLUSH_MS, () => process.exit(0));
         });
       });
       process.on('SIGHUP', () => log(KERNEL_EVENTS.reloaded, {changed: false}));
--- a/src/direct_wiring.ts
+++ b/src/direct_wiring.ts
@@ -1,6 +1,6 @@
 /**
- * Wires the services of an entry that serves upstreams without sides. The
- * platform's protocol comes in as functions.
+ * Creates and connects the services of a direct entry, which serves upstreams
+ * without side processes. The platform's protocol is injected as functions.
  */
 import {createDirectFront} from './direct/front.js';
 import {readyAgeMs} from './direct/evidence.js';
@@ -20,22 +20,27 @@
 import type {Kernel} from './kernel/kernel.js';
 import type {Runtime} from './types/runtime.js';
 
+/** Random bytes that distinguish this process from earlier ones of its name. */
 const INCARNATION_BYTES = 6;
-/** Lease on a member's memory, where the platform sets no bound. */
-const HOLD_MS = 3_500;
-/** Replicas that leave serve on for so long where the settings say nothing. */
-const LEAVING_MS = 1_500;
-/** A lease of a dead entry must lapse before the platform's bound on it. */
+/** Longest lease on a member's memory; the settings may bound it further. */
+const MAX_HOLD_MS = 3_500;
+/** Default time for which leaving replicas still serve. */
+const DEFAULT_LEAVING_MS = 1_500;
+/**
+ * A lease is shorter than the platform's bound on unused memory by this, so
+ * that the lease of a dead entry expires in time.
+ */
 const HOLD_MARGIN_MS = 500;
-/** Memory without a sign of use is released then, where the settings say nothing. */
-const UNUSED_MS = 2_000;
+/** Longest time after which unused memory is released. */
+const MAX_UNUSED_MS = 2_000;
 /**
- * Of the bounds on unused memory. Use is looked for before each renewal, so
- * that one more period of it may pass, and the release takes its time.
+ * Unused memory is released after this share of the platform's bounds. The use
+ * is checked before each renewal, so one more renewal period may pass, and the
+ * release itself takes time.
  */
 const UNUSED_SHARE = 0.5;
 
-/** What the platform's folder brings. */
+/** Settings, and the adapters to the platform. */
 export interface DirectDependencies {
   readonly settings: DirectSettings;
   readonly store: DirectStore;
@@ -48,17 +53,18 @@
 
 export interface DirectProcess {
   readonly kernel: Kernel;
-  /** Takes no new work; resolves when what is in progress has ended. */
+  /** Stops accepting requests; resolves when all open ones have ended. */
   drain(): Promise<void>;
+  /** Number of requests without a final answer. */
   openRequests(): Promise<number>;
 }
 
 /** Starts all services of a direct entry. */
 export async function wireDirectEntry(
-  parts: DirectDependencies,
+  dependencies: DirectDependencies,
   runtime: Runtime,
 ): Promise<DirectProcess> {
-  const {settings, store} = parts;
+  const {settings, store} = dependencies;
   const kernel = createKernel(runtime);
   const incarnation = runtime.random.hex(INCARNATION_BYTES);
   const self: EntryAddress = {
@@ -72,12 +78,12 @@
     createDirectFront({
       settings,
       incarnation,
-      codec: parts.codec,
-      orders: parts.orders,
-      readReport: parts.readReport,
+      codec: dependencies.codec,
+      orders: dependencies.orders,
+      readReport: dependencies.readReport,
       holdMs: holdMsOf(settings),
       unusedMs: unusedMsOf(settings),
-      wallMs: parts.wallMs,
+      wallMs: dependencies.wallMs,
     }),
   );
   await kernel.start(createSharing({self, store}));
@@ -86,9 +92,9 @@
     createFollowed({
       store,
       readyMs: readyAgeMs(settings.timing.revokeMs),
-      leavingMs: settings.timing.leavingMs ?? LEAVING_MS,
+      leavingMs: settings.timing.leavingMs ?? DEFAULT_LEAVING_MS,
       isBootstrap: settings.bootstrap ?? false,
-      wallMs: parts.wallMs,
+      wallMs: dependencies.wallMs,
     }),
   );
   await kernel.start(
@@ -114,10 +120,10 @@
 
 function holdMsOf({timing}: DirectSettings): number {
   const {maxHoldMs = Infinity, freeMs = Infinity} = timing;
-  return Math.min(HOLD_MS, maxHoldMs, freeMs - HOLD_MARGIN_MS);
+  return Math.min(MAX_HOLD_MS, maxHoldMs, freeMs - HOLD_MARGIN_MS);
 }
 
 function unusedMsOf({timing}: DirectSettings): number {
   const {freeMs = Infinity, unusedMs = Infinity} = timing;
-  return Math.min(UNUSED_MS, UNUSED_SHARE * Math.min(freeMs, unusedMs));
+  return Math.min(MAX_UNUSED_MS, UNUSED_SHARE * Math.min(freeMs, unusedMs));
 }
