--- a/src/direct/catch_up.ts
+++ b/src/direct/catch_up.ts
@@ -1,8 +1,8 @@
 /**
- * Decides when an entry takes over what another entry knows about the store.
- * While its own calls are answered, the store is the more current source, so
- * another entry is used only after this entry's own calls have failed to bring
- * the change.
+ * Decides when an entry takes over what a peer (another entry) knows about the
+ * store. While its own calls are answered, the store is the more current
+ * source, so a peer is used only after this entry's own calls have failed to
+ * bring the change.
  *
  * A version of the configuration is the same wherever it comes from, and the
  * newest one replaces all others, so the configuration may be taken over at any
@@ -14,7 +14,7 @@
 
 /**
  * Consecutive answers with a newer version after which the configuration is
- * fetched from the other entry.
+ * fetched from the peer.
  */
 const NEWER_ANSWERS_BEFORE_FETCH = 2;
 
@@ -41,8 +41,8 @@
 export interface CatchUp {
   /**
    * Handles an answer with a different configuration. Returns true when the
-   * configuration is fetched from the other entry, so that the store need not
-   * be asked as well.
+   * configuration is fetched from the peer, so that the store need not be asked
+   * as well.
    */
   handleDifferentConfig(answer: PeerAnswer): boolean;
   /** Handles an answer with the same configuration. */
--- a/src/direct/config_proof.ts
+++ b/src/direct/config_proof.ts
@@ -8,8 +8,8 @@
  * again until the removal is repeated.
  *
  * An entry that starts cannot know whether the store was restored a moment ago.
- * It first waits for another entry to report a newer configuration. Where no
- * record says that the store's era is settled, it waits for as long as
+ * It first waits for a peer (another entry) to report a newer configuration.
+ * Where no record says that the store's era is settled, it waits for as long as
  * operators need.
  */
 import type {Clock, Log} from '../types/runtime.js';
@@ -23,13 +23,13 @@
 export const REWRITE_GRACE_MS = 2_000;
 
 /**
- * Time in milliseconds within which another entry has answered, even if the
- * first one queried does not.
+ * Time in milliseconds within which a peer has answered, even if the first one
+ * queried does not.
  */
 export const FIRST_PEER_ANSWER_MS = 600;
 /**
- * Time in milliseconds within which a newer configuration that another entry
- * reported has been fetched.
+ * Time in milliseconds within which a newer configuration that a peer reported
+ * has been fetched.
  */
 const CONFIG_FETCH_GRACE_MS = 2_000;
 
@@ -38,10 +38,7 @@
   storeRestored(): void;
   /** The store listed this version, or no configuration. */
   versionListed(version: number | undefined): void;
-  /**
-   * Another entry knows this version, which is newer than the one in force
-   * here.
-   */
+  /** A peer knows this version, which is newer than the one in force here. */
   peerHasVersion(version: number): void;
   /** A watch reported that this version has been written. */
   versionWritten(version: number): void;
--- a/src/direct/datagrams.ts
+++ b/src/direct/datagrams.ts
@@ -23,7 +23,7 @@
   readonly loads: readonly ReplicaLoad[];
 }
 
-/** Asks another entry what it knows about the store. */
+/** Asks a peer what it knows about the store. */
 export interface AskDatagram {
   readonly kind: 'ask';
   readonly from: EntryAddress;
--- a/src/direct/decide/judge_engine.ts
+++ b/src/direct/decide/judge_engine.ts
@@ -4,7 +4,7 @@
  * not depend on the part is worked out once for each engine, since a prompt is
  * judged for groups of many sizes, and an entry may have a quarter of a core.
  */
-import type {Reader, ReplicaLoad} from '../replica_load.js';
+import type {PrefillingRequest, ReplicaLoad} from '../replica_load.js';
 import type {DirectReplica, EngineFigures} from '../types.js';
 import {passMs} from './engine_timing.js';
 import {firstEventLoss, pauseLoss, slackRisk} from './waiting_loss.js';
@@ -36,7 +36,7 @@
   /** Reading ahead, in milliseconds. */
   readonly aheadMs: number;
   /** Who is read there, or waits for it. */
-  readonly readers: readonly Reader[];
+  readonly readers: readonly PrefillingRequest[];
   /** One pass with the newcomer writing, in milliseconds. */
   readonly passMs: number;
   /** Until it has a place, in milliseconds. */
@@ -151,7 +151,10 @@
 }
 
 /** Lateness of those whose reading a group's part goes before. */
-function readersLoss(readers: readonly Reader[], addedMs: number): number {
+function readersLoss(
+  readers: readonly PrefillingRequest[],
+  addedMs: number,
+): number {
   let sum = 0;
   for (const {slackMs, marginMs, weight} of readers) {
     const before = slackRisk(slackMs, marginMs);
--- a/src/direct/evidence.ts
+++ b/src/direct/evidence.ts
@@ -42,11 +42,11 @@
   /**
    * Records that every write acknowledged before `asOf` is known, from an
    * answer to a query sent at `askedAt`. For this entry's own call to the
-   * store, both are the time at which the call was sent. For another entry's
-   * answer, `asOf` is earlier by the age that the answer states. That age was
-   * measured elsewhere, so a suspension of this process cannot falsify it: such
-   * an answer counts even if `asOf` lies before a suspension, as long as
-   * `askedAt` lies after it.
+   * store, both are the time at which the call was sent. For a peer's answer,
+   * `asOf` is earlier by the age that the answer states. That age was measured
+   * elsewhere, so a suspension of this process cannot falsify it: such an
+   * answer counts even if `asOf` lies before a suspension, as long as `askedAt`
+   * lies after it.
    */
   confirm(asOf: number, askedAt: number): void;
   /** Age of the newest evidence, in milliseconds; infinite without any. */
--- a/src/direct/front.ts
+++ b/src/direct/front.ts
@@ -123,7 +123,7 @@
     unusedMs: options.unusedMs,
     isDraining: () => draining,
     share: (loads, isLong) =>
-      ctx.send('sharing', {kind: 'load', loads, hasLongRead: isLong}),
+      ctx.send('sharing', {kind: 'load', loads, hasLongPrefill: isLong}),
     tellCrashes: reports =>
       ctx.send('sharing', {kind: 'crash-reports', reports, toAll: true}),
     quarantine: {
--- a/src/direct/handover.ts
+++ b/src/direct/handover.ts
@@ -1,10 +1,10 @@
 /**
  * The service `handover`, which serves what this entry knows about the store to
- * other entries, and fetches the same from them. The store may refuse some
- * machines and serve the others. Without the handover, an entry that is refused
- * would stay on its old configuration. After the next change it would refuse
- * every request with a key as soon as nine tenths of the limit on removed keys
- * have passed.
+ * its peers, the other entries, and fetches the same from them. The store may
+ * refuse some machines and serve the others. Without the handover, an entry
+ * that is refused would stay on its old configuration. After the next change it
+ * would refuse every request with a key as soon as nine tenths of the limit on
+ * removed keys have passed.
  */
 import {createServer} from 'node:http';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
@@ -51,8 +51,7 @@
       kind: 'state',
       reply,
     }));
-  // A configuration contains the callers' keys, so it is served to entries
-  // only.
+  // A configuration contains the callers' keys, so it is served to peers only.
   const isKnownEntry = (ip = '') =>
     ctx.ask('sharing', (reply: (is: boolean) => void) => ({
       kind: 'is-entry',
--- a/src/direct/load_broadcast.ts
+++ b/src/direct/load_broadcast.ts
@@ -1,13 +1,13 @@
 /**
- * Decides when an entry sends its load to the others. If each entry sent every
- * change to all others, traffic would grow with the square of the number of
- * entries.
+ * Decides when an entry sends its load to its peers, the other entries. If each
+ * entry sent every change to all of them, traffic would grow with the square of
+ * the number of entries.
  *
  * Entries in the same failure domain choose among the same engines first, so
  * they receive every change at once. Entries in other domains receive changes
  * within a budget of datagrams: at once while there are few entries, and less
- * often the more there are. A long prompt read is sent to all entries at once,
- * because two long reads on one engine delay each other, and every stream
+ * often the more there are. A long prefill is sent to all peers at once,
+ * because two long prefills on one engine delay each other, and every stream
  * there, for seconds.
  */
 import type {Cancel, Clock} from '../types/runtime.js';
@@ -22,19 +22,19 @@
 /**
  * Budget of datagrams per second to other failure domains; changes beyond it
  * are delayed. Reading as many takes less than a hundredth of a core. With a
- * much smaller budget, long prompts would go to engines that other entries have
- * filled in the meantime.
+ * much smaller budget, long prompts would go to engines that peers have filled
+ * in the meantime.
  */
 const OTHER_DOMAIN_DATAGRAMS_PER_S = 200;
 
 export interface LoadBroadcast {
   /**
-   * Call at each change of the load. `hasLongRead` is true where a long prompt
-   * read was added.
+   * Call at each change of the load. `hasLongPrefill` is true where a long
+   * prefill was added.
    */
-  loadChanged(hasLongRead: boolean): void;
+  loadChanged(hasLongPrefill: boolean): void;
   /**
-   * Sends the load to entries that have received nothing recently, so that they
+   * Sends the load to peers that have received nothing recently, so that they
    * know that this entry is alive.
    */
   heartbeat(): void;
@@ -43,7 +43,7 @@
 
 export interface LoadBroadcastOptions<Peer> {
   readonly clock: Clock;
-  /** Entries in this entry's failure domain. */
+  /** Peers in this entry's failure domain. */
   sameDomainPeers(): readonly Peer[];
   otherDomainPeers(): readonly Peer[];
   /** Sends the current load. */
@@ -81,12 +81,12 @@
       sendToOtherDomains(otherDomainPeers()),
     );
   };
-  const sendToOtherDomainsInBudget = (hasLongRead: boolean): void => {
+  const sendToOtherDomainsInBudget = (hasLongPrefill: boolean): void => {
     const peers = otherDomainPeers();
     accrue(Math.max(OTHER_DOMAIN_DATAGRAMS_PER_S, peers.length));
-    // A long read may overdraw the budget by one round only, so that a burst of
-    // long prompts cannot exceed it by more.
-    const requiredBudget = hasLongRead ? 0 : peers.length;
+    // A long prefill may overdraw the budget by one round only, so that a burst
+    // of long prompts cannot exceed it by more.
+    const requiredBudget = hasLongPrefill ? 0 : peers.length;
     if (budget >= requiredBudget) sendToOtherDomains(peers);
     else
       scheduleOtherDomains(
@@ -99,9 +99,9 @@
   };
 
   return {
-    loadChanged: hasLongRead => {
+    loadChanged: hasLongPrefill => {
       sendToSameDomain();
-      sendToOtherDomainsInBudget(hasLongRead);
+      sendToOtherDomainsInBudget(hasLongPrefill);
     },
     heartbeat: () => {
       const now = clock.now();
--- a/src/direct/load_tracker.ts
+++ b/src/direct/load_tracker.ts
@@ -1,27 +1,27 @@
 /**
  * Tracks the work assigned to each replica: assignments of this entry, and the
- * loads that the other entries last reported. Both are known long before a
- * replica's own report. Without them, a batch that arrives at several entries
- * at once would go to the same replica.
+ * loads that its peers (the other entries) last reported. Both are known long
+ * before a replica's own report. Without them, a batch that arrives at several
+ * entries at once would go to the same replica.
  */
 import type {Clock} from '../types/runtime.js';
-import {addWriterGroup, emptyLoad} from './replica_load.js';
-import type {LoadSum, Reader, ReplicaLoad} from './replica_load.js';
+import {addDecodingGroup, emptyLoad} from './replica_load.js';
+import type {LoadSum, PrefillingRequest, ReplicaLoad} from './replica_load.js';
 import {createPeerLoads} from './peer_loads.js';
 
 /** One request's share of work at one replica. */
 export interface Assignment {
   readonly replicaId: string;
   /**
-   * Places that the request takes; 0 for a group member that only reads and
+   * Slots that the request takes; 0 for a group member that only prefills and
    * holds memory.
    */
   readonly places: 0 | 1;
   /** KV cache memory that the request needs, in tokens. */
   readonly tokens: number;
-  /** Expected time for reading the prompt, in milliseconds. */
-  readonly readMs: number;
-  /** Time from now until the reading should be finished, in milliseconds. */
+  /** Expected duration of the prefill, in milliseconds. */
+  readonly prefillMs: number;
+  /** Time from now until the prefill should be finished, in milliseconds. */
   readonly expectedMs: number;
   /** Time left until the latency objective, in milliseconds. */
   readonly aimLeftMs: number;
@@ -30,7 +30,7 @@
   /** Longest pause between events that counts as on time, in milliseconds. */
   readonly pauseAimMs: number;
   /**
-   * Cost of a late first token and, where the request takes a place, of a late
+   * Cost of a late first token and, where the request takes a slot, of a late
    * event.
    */
   readonly weight: number;
@@ -38,8 +38,8 @@
 
 /** An assignment that has not ended yet. */
 export interface OpenAssignment {
-  /** Records that the first token arrived, so that no reading is left. */
-  markPromptRead(): void;
+  /** Records that the first token arrived, so that the prefill is complete. */
+  markPrefilled(): void;
   end(): void;
 }
 
@@ -55,7 +55,7 @@
     replicaId,
     places: 1,
     tokens: 0,
-    readMs: 0,
+    prefillMs: 0,
     expectedMs: 0,
     aimLeftMs: 0,
     aimMarginMs: 0,
@@ -66,7 +66,7 @@
 
 export interface LoadTracker {
   assign(work: Assignment): OpenAssignment;
-  /** Replaces the load that another entry reported. */
+  /** Replaces the load that a peer reported. */
   setPeerLoad(
     node: string,
     loads: readonly ReplicaLoad[],
@@ -77,32 +77,33 @@
   ): void;
   /** Load of a replica from all entries together. */
   totalLoad(replicaId: string): ReplicaLoad;
-  /** Load from this entry alone, to be reported to the others. */
+  /** Load from this entry alone, to be reported to its peers. */
   ownLoads(): readonly ReplicaLoad[];
 }
 
 /**
- * What changed in this entry's own load: a long prompt read was added, other
- * work was added, or work ended.
+ * What changed in this entry's own load: a long prefill was added, other work
+ * was added, or work ended.
  */
 export type OwnLoadChange = 'long' | 'more' | 'less';
 
 /**
- * Prompt reads that take at least this long delay the streams on the same
- * replica by a large part of their allowed pause, so the other entries are
- * informed of them at once.
+ * Prefills that take at least this long delay the streams on the same replica
+ * by a large part of their allowed pause, so peers are informed of them at
+ * once.
  */
-const LONG_READ_MIN_MS = 100;
+const LONG_PREFILL_MIN_MS = 100;
 /**
- * Share of the expected reading time that still counts as ahead for a read that
- * is overdue. Without it the replica would look idle while it is still reading.
+ * Share of the expected duration that still counts as remaining for an overdue
+ * prefill. Without it, the replica would look idle while it is still
+ * prefilling.
  */
-const OVERDUE_READ_SHARE = 0.2;
+const OVERDUE_PREFILL_SHARE = 0.2;
 
 interface AssignmentState {
   readonly assignment: Assignment;
   readonly assignedAt: number;
-  isPromptRead: boolean;
+  isPrefilled: boolean;
 }
 
 /** `onChange` is called at each change of this entry's own load. */
@@ -119,11 +120,11 @@
       const {assignment} = state;
       sum.running += assignment.places;
       sum.tokens += assignment.tokens;
-      if (!state.isPromptRead) {
-        sum.readMs += remainingReadMs(state, now);
-        sum.readers.push(toReader(state, now));
+      if (!state.isPrefilled) {
+        sum.readMs += remainingPrefillMs(state, now);
+        sum.readers.push(toPrefillingRequest(state, now));
       }
-      if (assignment.places > 0) addWriterGroup(sum, assignment);
+      if (assignment.places > 0) addDecodingGroup(sum, assignment);
     }
   };
   const ownLoad = (replicaId: string): ReplicaLoad => {
@@ -137,16 +138,16 @@
       const state: AssignmentState = {
         assignment,
         assignedAt: clock.now(),
-        isPromptRead: false,
+        isPrefilled: false,
       };
       const states = ownByReplica.get(assignment.replicaId) ?? new Set();
       states.add(state);
       ownByReplica.set(assignment.replicaId, states);
-      onChange(assignment.readMs >= LONG_READ_MIN_MS ? 'long' : 'more');
+      onChange(assignment.prefillMs >= LONG_PREFILL_MIN_MS ? 'long' : 'more');
       return {
-        markPromptRead: () => {
-          if (state.isPromptRead) return;
-          state.isPromptRead = true;
+        markPrefilled: () => {
+          if (state.isPrefilled) return;
+          state.isPrefilled = true;
           onChange('less');
         },
         end: () => {
@@ -167,18 +168,18 @@
   };
 }
 
-function remainingReadMs(
+function remainingPrefillMs(
   {assignment, assignedAt}: AssignmentState,
   now: number,
 ): number {
   const share = 1 - (now - assignedAt) / Math.max(1, assignment.expectedMs);
-  return assignment.readMs * Math.max(OVERDUE_READ_SHARE, share);
+  return assignment.prefillMs * Math.max(OVERDUE_PREFILL_SHARE, share);
 }
 
-function toReader(
+function toPrefillingRequest(
   {assignment, assignedAt}: AssignmentState,
   now: number,
-): Reader {
+): PrefillingRequest {
   const elapsedMs = now - assignedAt;
   const expectedLeftMs = Math.max(0, assignment.expectedMs - elapsedMs);
   return {
--- a/src/direct/messages.ts
+++ b/src/direct/messages.ts
@@ -29,7 +29,7 @@
       readonly kind: 'replica-changes';
       readonly replicas: ReadonlyMap<string, DirectReplica | undefined>;
     }
-  /** Until this time only another entry's answer can confirm keys. */
+  /** Until this time only a peer's answer can confirm keys. */
   | {readonly kind: 'keys-unconfirmed'; readonly until: number}
   | {readonly kind: 'store-failed'}
   /** The store was restored from an older copy. */
@@ -43,7 +43,7 @@
       /** See `LoadTracker.setPeerLoad`. */
       readonly keepMs: number;
     }
-  /** Another entry or the store reports requests that crash replicas. */
+  /** A peer or the store reports requests that crash replicas. */
   | {
       readonly kind: 'crash-reports';
       readonly reports: readonly CrashReport[];
@@ -58,8 +58,8 @@
 /** Messages to the service that follows the store. */
 export type StoreFollowerMessage =
   /**
-   * Asks the store and another entry at once whether the configuration is still
-   * the newest.
+   * Asks the store and a peer at once whether the configuration is still the
+   * newest.
    */
   | {readonly kind: 'confirm'}
   /** The front restarted and needs the current state again. */
@@ -126,18 +126,15 @@
       ) => void;
     };
 
-/** Messages to the service that exchanges datagrams with other entries. */
+/** Messages to the service that exchanges datagrams with peers. */
 export type SharingMessage =
   | {
       readonly kind: 'load';
       readonly loads: readonly ReplicaLoad[];
-      /** Whether the change added a long prompt read. */
-      readonly hasLongRead: boolean;
+      /** Whether the change added a long prefill. */
+      readonly hasLongPrefill: boolean;
     }
-  /**
-   * Sends crash reports to all other entries, or to one live entry chosen at
-   * random.
-   */
+  /** Sends crash reports to all peers, or to one live peer chosen at random. */
   | {
       readonly kind: 'crash-reports';
       readonly reports: readonly CrashReport[];
@@ -150,26 +147,24 @@
   | {readonly kind: 'store-restored'}
   /** The front restarted and needs the current state again. */
   | {readonly kind: 'resend-state'}
-  /**
-   * This entry takes no new work and must no longer be found by other entries.
-   */
+  /** This entry takes no new work and must no longer be found by peers. */
   | {readonly kind: 'draining'}
-  /** Asks whether a known entry has this IP address. */
+  /** Asks whether a known peer has this IP address. */
   | {
       readonly kind: 'is-entry';
       readonly ip: string;
       readonly reply: (is: boolean) => void;
     }
   /**
-   * Queries another entry's knowledge of the store; replies with undefined when
-   * none answers.
+   * Queries a peer's knowledge of the store; replies with undefined when none
+   * answers.
    */
   | {
       readonly kind: 'query-peer';
       /**
-       * Whether entries may be asked that in turn rely on this entry's answers.
-       * This is wanted when the store refuses this entry, because the entries
-       * that it would usually ask may be gone.
+       * Whether peers may be queried that in turn rely on this entry's answers.
+       * This is needed when the store refuses this entry, because the peers
+       * that it usually queries may be gone.
        */
       readonly anyPeer: boolean;
       readonly reply: (answer: PeerAnswer | undefined) => void;
--- a/src/direct/peer_confirmation.ts
+++ b/src/direct/peer_confirmation.ts
@@ -1,19 +1,20 @@
 /**
- * Lets another entry's answers replace this entry's own calls to the store.
- * Logs and metrics call an entry covered while such a confirmation is active.
+ * Lets a peer's answers replace this entry's own calls to the store. A peer is
+ * another entry. Logs and metrics call an entry covered while such a
+ * confirmation is active.
  *
  * Evidence for keys is needed about once a second, and each call to the store
- * has a cost. An entry therefore queries another one, in a datagram, for what
- * it knows. While the answers show that both know the same, this entry's own
+ * has a cost. An entry therefore queries a peer, in a datagram, for what the
+ * peer knows. While the answers show that both know the same, this entry's own
  * watches may wait long; they still return at each change.
  *
- * The evidence from such an answer is exact. The other entry answered after the
- * query was sent, so the store call behind its evidence was sent no earlier
- * than that time minus the evidence's age. It counts only if both entries have
- * the same version of the configuration. If two entries rely on each other, the
- * age grows with each answer until neither is confirmed. Without a
- * confirmation, watches are short again. Until a long watch that is still
- * running has returned, the collections are listed instead.
+ * The evidence from such an answer is exact. The peer answered after the query
+ * was sent, so the store call behind its evidence was sent no earlier than that
+ * time minus the evidence's age. It counts only if both entries have the same
+ * version of the configuration. If two entries rely on each other, the age
+ * grows with each answer until neither is confirmed. Without a confirmation,
+ * watches are short again. Until a long watch that is still running has
+ * returned, the collections are listed instead.
  */
 import type {Cancel, Clock} from '../types/runtime.js';
 import {isOlderEra} from './store_position.js';
@@ -26,8 +27,8 @@
  */
 const QUERY_INTERVAL_MS = 500;
 /**
- * Evidence of another entry that is older than this, in milliseconds, does not
- * replace own calls, although keys may still be accepted on it.
+ * Evidence of a peer that is older than this, in milliseconds, does not replace
+ * own calls, although keys may still be accepted on it.
  */
 const MAX_EVIDENCE_AGE_MS = 2_000;
 /**
@@ -48,11 +49,11 @@
 const DIFFERENT_DIGESTS_BEFORE_REREAD = 2;
 
 /**
- * Largest age of another entry's evidence that replaces own calls, in
- * milliseconds. Evidence older than `maxReadyAgeMs` makes this entry unready,
- * and evidence ages further until the next answer. Without regard to that, an
- * entry with a short limit on removed keys would switch between ready and
- * unready while nothing is wrong.
+ * Largest age of a peer's evidence that replaces own calls, in milliseconds.
+ * Evidence older than `maxReadyAgeMs` makes this entry unready, and evidence
+ * ages further until the next answer. Without regard to that, an entry with a
+ * short limit on removed keys would switch between ready and unready while
+ * nothing is wrong.
  */
 export function maxPeerEvidenceAgeMs(maxReadyAgeMs: number): number {
   return Math.min(MAX_EVIDENCE_AGE_MS, maxReadyAgeMs - NEXT_ANSWER_MAX_MS);
@@ -60,8 +61,7 @@
 
 export interface PeerConfirmationOptions {
   /**
-   * Largest age of another entry's evidence that replaces own calls, in
-   * milliseconds.
+   * Largest age of a peer's evidence that replaces own calls, in milliseconds.
    */
   readonly maxAgeMs: number;
   readonly clock: Clock;
@@ -73,21 +73,18 @@
     readonly replicasDigest: string;
   };
   /**
-   * The other entry was queried at `askedAt`, and its evidence is a call to the
-   * store that was sent no earlier than `asOf`.
+   * The peer was queried at `askedAt`, and its evidence is a call to the store
+   * that was sent no earlier than `asOf`.
    */
   onConfirmed(asOf: number, askedAt: number): void;
   /**
-   * The other entry has a different configuration: a newer one, or any other on
-   * recent evidence.
+   * The peer has a different configuration: a newer one, or any other on recent
+   * evidence.
    */
   onDifferentConfig(answer: PeerAnswer): void;
   onSameConfig(): void;
   onDifferentReplicas(answer: PeerAnswer): void;
-  /**
-   * The other entry knows of a restore of the store that this entry has not
-   * seen.
-   */
+  /** The peer knows of a restore of the store that this entry has not seen. */
   onNewerEra(answer: PeerAnswer): void;
   /** Called after each query that leaves this entry without a confirmation. */
   onUnconfirmed(): void;
@@ -97,12 +94,11 @@
 
 export interface PeerConfirmation {
   isActive(): boolean;
-  /** Whether another entry answers queries, whatever it knows. */
+  /** Whether a peer answers queries, whatever it knows. */
   isPeerAnswering(): boolean;
   /**
    * Sends a query before the next interval. Otherwise a request that waits for
-   * its key to be confirmed would be refused although another entry could
-   * confirm it.
+   * its key to be confirmed would be refused although a peer could confirm it.
    */
   queryNow(): void;
   stop: Cancel;
--- a/src/direct/peer_loads.ts
+++ b/src/direct/peer_loads.ts
@@ -1,7 +1,7 @@
 /**
- * Loads that the other entries reported, indexed by replica. Of sixty entries
- * only a few have work at any one replica, so a replica's load is added up
- * without visiting every entry.
+ * Loads that the peers (the other entries) reported, indexed by replica. Of
+ * sixty entries only a few have work at any one replica, so a replica's load is
+ * added up without visiting every entry.
  */
 import type {Clock} from '../types/runtime.js';
 import {addPeerLoad} from './replica_load.js';
@@ -18,14 +18,14 @@
  */
 const SWEEP_INTERVAL_MS = 10_000;
 
-/** The load of one replica that one other entry reported. */
+/** The load of one replica that one peer reported. */
 interface ReportedLoad {
   readonly receivedAt: number;
   readonly keepMs: number;
   readonly load: ReplicaLoad;
 }
 
-/** The last report of one other entry. */
+/** The last report of one peer. */
 interface PeerReport {
   readonly validUntil: number;
   readonly loads: readonly ReplicaLoad[];
--- a/src/direct/peer_queries.ts
+++ b/src/direct/peer_queries.ts
@@ -1,22 +1,21 @@
 /**
- * Queries between entries and their answers, each in a datagram of its own. A
- * lost datagram leaves a query without an answer; the next query then goes to
- * another entry.
+ * Queries to peers, which are the other entries, and their answers, each in a
+ * datagram of its own. A lost datagram leaves a query without an answer; the
+ * next query then goes to another peer.
  */
 import type {Clock} from '../types/runtime.js';
 import type {AnswerDatagram, AskDatagram} from './datagrams.js';
 import type {EntryAddress, PeerAnswer, StoreKnowledge} from './types.js';
 
 /**
- * Evidence older than this, in milliseconds, means that the entry that answered
- * does not reach the store itself. The next query then goes to another entry:
+ * Evidence older than this, in milliseconds, means that the peer that answered
+ * does not reach the store itself. The next query then goes to another peer:
  * the store may refuse some machines and serve the others.
  */
 const MAX_USEFUL_EVIDENCE_AGE_MS = 3_000;
 /**
  * How long an answer is awaited, in milliseconds. Answers take a few
- * milliseconds; after this time the other entry is considered disconnected or
- * frozen.
+ * milliseconds; after this time the peer is considered disconnected or frozen.
  */
 const ANSWER_TIMEOUT_MS = 400;
 
@@ -24,8 +23,8 @@
   readonly clock: Clock;
   readonly self: EntryAddress;
   /**
-   * Entries that may be queried, in an order that is the same on all entries.
-   * With `anyPeer`, they include entries that may in turn rely on this one.
+   * Peers that may be queried, in an order that is the same on all entries.
+   * With `anyPeer`, they include peers that may in turn rely on this one.
    */
   candidates(anyPeer: boolean): readonly EntryAddress[];
   send(datagram: AskDatagram, to: EntryAddress): void;
--- a/src/direct/place.ts
+++ b/src/direct/place.ts
@@ -79,7 +79,7 @@
       addresses.map(address => ({address, reservation: undefined})),
     firstEventMs: plan.firstEventMs,
     hasRead: tookMs => {
-      works.forEach(work => work.markPromptRead());
+      works.forEach(work => work.markPrefilled());
       if (helpers.length > 0) return;
       ctx.health.answered(first.replica.id, tookMs, plan.firstEventMs);
     },
@@ -114,7 +114,7 @@
   const {first, helpers, partReadMs, partTokens} = plan;
   const total = facts.promptTokens + answerTokens(facts);
   const shared = {
-    readMs: partReadMs,
+    prefillMs: partReadMs,
     expectedMs: plan.firstEventMs,
     aimLeftMs: route.aimMs - exchange.elapsedMs(),
     aimMarginMs: aimMarginMs(route.aimMs),
--- a/src/direct/placement_poll_pace.ts
+++ b/src/direct/placement_poll_pace.ts
@@ -1,10 +1,10 @@
 /**
- * Decides how soon a request that waits for a place polls for one again. One
- * poll over a hundred engines takes an entry with a quarter of a core up to ten
- * milliseconds. A few requests that poll every 25 ms would take all of its time
- * and delay every response that passes through the entry. All waiting requests
- * therefore share a part of the entry's time, and poll less often the more of
- * them there are.
+ * Decides how soon a request that waits for a slot at a replica polls for one
+ * again. One poll over a hundred engines takes an entry with a quarter of a
+ * core up to ten milliseconds. A few requests that poll every 25 ms would take
+ * all of its time and delay every response that passes through the entry. All
+ * waiting requests therefore share a part of the entry's time, and poll less
+ * often the more of them there are.
  */
 
 /**
--- a/src/direct/quarantine_records.ts
+++ b/src/direct/quarantine_records.ts
@@ -13,14 +13,13 @@
 import type {DirectStore, StoreFault} from './types.js';
 
 /**
- * The entry that saw the last crash writes the record at once. The other
- * entries write it after this time, in milliseconds, if the store does not show
- * it by then.
+ * The entry that saw the last crash writes the record at once. Its peers write
+ * it after this time, in milliseconds, if the store does not show it by then.
  */
 const REPORTER_WRITE_GRACE_MS = 1_000;
 /**
- * The other entries write at random times within this period, in milliseconds,
- * and so do all entries after a restore of the store.
+ * The peers write at random times within this period, in milliseconds, and so
+ * do all entries after a restore of the store.
  */
 const WRITE_SPREAD_MS = 2_000;
 /** Pause before a failed write or removal is repeated, in milliseconds. */
@@ -80,7 +79,7 @@
   const {store, clock, random, log, wallMs} = options;
   const storedRecords = new Map<string, QuarantineRecord>();
   /**
-   * Records that this entry has written or leaves to another entry to write
+   * Records that this entry has written, or will write unless a peer does so
    * first.
    */
   const recordsToStore = new Map<string, QuarantineRecord>();
--- a/src/direct/replica_load.ts
+++ b/src/direct/replica_load.ts
@@ -1,18 +1,18 @@
 /** The load of one replica, and functions that add up parts of it. */
 
 /**
- * Requests at a replica that are writing and have the same limit on pauses
+ * Requests that a replica is decoding and that have the same limit on pauses
  * between events.
  */
-export interface WriterGroup {
+export interface DecodingGroup {
   /** Longest pause between events that counts as on time, in milliseconds. */
   readonly pauseAimMs: number;
   /** Combined cost of late events for these requests; see `weightOf`. */
   readonly weight: number;
 }
 
-/** A request whose prompt a replica is reading or will read. */
-export interface Reader {
+/** A request whose prompt a replica is prefilling or will prefill. */
+export interface PrefillingRequest {
   /**
    * Milliseconds between the expected first token and the latency objective;
    * negative when the objective will be missed.
@@ -23,18 +23,18 @@
   readonly weight: number;
 }
 
-/** Load of one replica, as one entry reports it to the others. */
+/** Load of one replica, as one entry reports it to its peers. */
 export interface ReplicaLoad {
   readonly replicaId: string;
-  /** Number of requests that hold a place. */
+  /** Number of requests that hold a slot. */
   readonly running: number;
   /** KV cache memory in use, in tokens. */
   readonly tokens: number;
-  /** Prompt reading that is still to be done, in milliseconds. */
+  /** Prefill that is still to be done, in milliseconds. */
   readonly readMs: number;
-  /** Requests that further prompt reading at the replica would delay. */
-  readonly readers: readonly Reader[];
-  readonly writers: readonly WriterGroup[];
+  /** Requests that another prefill at the replica would delay. */
+  readonly readers: readonly PrefillingRequest[];
+  readonly writers: readonly DecodingGroup[];
 }
 
 /** A load that is being added up. */
@@ -42,8 +42,8 @@
   running: number;
   tokens: number;
   readMs: number;
-  readonly readers: Reader[];
-  readonly writers: WriterGroup[];
+  readonly readers: PrefillingRequest[];
+  readonly writers: DecodingGroup[];
 }
 
 export function emptyLoad(replicaId: string): LoadSum {
@@ -66,13 +66,16 @@
   sum.tokens += load.tokens;
   sum.readMs += Math.max(0, load.readMs - ageMs);
   for (const reader of load.readers) sum.readers.push(reader);
-  for (const writers of load.writers) addWriterGroup(sum, writers);
+  for (const writers of load.writers) addDecodingGroup(sum, writers);
 }
 
-/** Adds a group of writers; groups with the same limit on pauses are merged. */
-export function addWriterGroup(
+/**
+ * Adds a group of decoding requests; groups with the same limit on pauses are
+ * merged.
+ */
+export function addDecodingGroup(
   {writers}: LoadSum,
-  {pauseAimMs, weight}: WriterGroup,
+  {pauseAimMs, weight}: DecodingGroup,
 ): void {
   const index = writers.findIndex(it => it.pauseAimMs === pauseAimMs);
   if (index < 0) writers.push({pauseAimMs, weight});
--- a/src/direct/settings.ts
+++ b/src/direct/settings.ts
@@ -40,7 +40,7 @@
    * lost. @default false
    */
   bootstrap: optional(boolean),
-  /** UDP ports on which other entries reach this one. */
+  /** UDP ports on which peers reach this one. */
   peerPorts: array(number),
   store: Codec.interface({address: string}),
   limits: Codec.interface({memoryMb: number, maxDescriptors: number}),
--- a/src/direct/settled_era.ts
+++ b/src/direct/settled_era.ts
@@ -3,10 +3,9 @@
  * have had time to repeat the writes that a restore from an older copy lost.
  *
  * A running entry notices a restore by itself. An entry that starts afterwards
- * cannot. Where no other entry is left to report the restore, only this record
- * shows it, because its era is then older than the one in the store's answers.
- * The configuration in the store may then lack an acknowledged removal of a
- * key.
+ * cannot. Where no peer is left to report the restore, only this record shows
+ * it, because its era is then older than the one in the store's answers. The
+ * configuration in the store may then lack an acknowledged removal of a key.
  */
 import type {Either} from 'purify-ts';
 import type {Cancel, Clock, Log, Random} from '../types/runtime.js';
--- a/src/direct/sharing.ts
+++ b/src/direct/sharing.ts
@@ -1,8 +1,8 @@
 /**
- * The service `sharing`, which exchanges datagrams with the other entries. Each
- * load datagram contains the entry's complete load: the next one makes up for
- * one that is lost, and there is no connection that could fail silently. The
- * service also queries other entries for what they know about the store.
+ * The service `sharing`, which exchanges datagrams with the peers, the other
+ * entries. Each load datagram contains the entry's complete load: the next one
+ * makes up for one that is lost, and there is no connection that could fail
+ * silently. The service also queries peers for what they know about the store.
  */
 import {createSocket} from 'node:dgram';
 import type {Socket} from 'node:dgram';
@@ -18,7 +18,7 @@
 import type {DirectStore, EntryAddress, StoreKnowledge} from './types.js';
 
 /**
- * Silence in milliseconds after which an entry in the same failure domain is no
+ * Silence in milliseconds after which a peer in the same failure domain is no
  * longer counted as alive.
  */
 const SAME_DOMAIN_SILENCE_MS = 1_500;
@@ -134,7 +134,7 @@
   const queries = createPeerQueries({
     clock,
     self,
-    // Only entries whose names sort before this one, so that the first entry
+    // Only peers whose names sort before this entry's, so that the first entry
     // always asks the store itself.
     candidates: anyPeer =>
       [...peers.values()]
@@ -296,11 +296,11 @@
         return;
       case 'load':
         loads = message.loads;
-        return loadBroadcast.loadChanged(message.hasLongRead);
+        return loadBroadcast.loadChanged(message.hasLongPrefill);
     }
   });
-  // Keys cannot be confirmed before another entry has answered, so one is
-  // queried at once instead of after the first interval.
+  // Keys cannot be confirmed before a peer has answered, so one is queried at
+  // once instead of after the first interval.
   void announce()
     .then(refreshPeers)
     .then(() => ctx.send('followed', {kind: 'confirm'}));
--- a/src/direct/store_follower.ts
+++ b/src/direct/store_follower.ts
@@ -1,8 +1,8 @@
 /**
  * The service `followed`, which follows the configuration, the replicas and the
  * quarantine records in the platform's store and sends each change to the
- * front. While another entry confirms that the configuration is the newest, it
- * calls the store less often.
+ * front. While a peer (another entry) confirms that the configuration is the
+ * newest, it calls the store less often.
  */
 import type {ServiceContext, ServiceSpec} from '../types/kernel.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
@@ -49,7 +49,7 @@
  */
 const REPLICAS_WATCH_MS = 2_000;
 /**
- * How long both watches wait while another entry confirms what is known, in
+ * How long both watches wait while a peer confirms what is known, in
  * milliseconds. The store allows 30 s.
  */
 const LONG_WATCH_MS = 20_000;
@@ -61,26 +61,25 @@
  */
 const REPLICAS_CHANGE_PAUSE_SHARE = 0.3;
 /**
- * How long a watch of the quarantine records waits while other entries are
- * alive, in milliseconds. Other entries report requests that crash replicas as
- * well, so a connection that fails silently does no harm.
+ * How long a watch of the quarantine records waits while peers are alive, in
+ * milliseconds. Peers report requests that crash replicas as well, so a
+ * connection that fails silently does no harm.
  */
 const QUARANTINE_WATCH_MS = 25_000;
 /**
- * Longest pause between attempts while the store fails and no other entry
- * answers, in milliseconds.
+ * Longest pause between attempts while the store fails and no peer answers, in
+ * milliseconds.
  */
 const MAX_RETRY_WITHOUT_PEER_MS = 500;
 /**
- * The same while another entry answers. The first entry by name still attempts
- * often, and its answer arrives half a second after the store is back. If all
- * entries attempted as often, the store would receive several times as many
- * calls.
+ * The same while a peer answers. The first entry by name still attempts often,
+ * and its answer arrives half a second after the store is back. If all entries
+ * attempted as often, the store would receive several times as many calls.
  */
 const MAX_RETRY_WITH_PEER_MS = 2_000;
 /**
  * For this long after its own start, and after a restore of the store, the
- * entry may query any other entry, in milliseconds.
+ * entry may query any peer, in milliseconds.
  */
 const QUERY_ANY_PEER_MS = 3_000;
 
@@ -340,7 +339,7 @@
     onNewerEra: ({era}) => {
       if (reportedEra === era) return;
       reportedEra = era;
-      // Replicas may be fetched from that entry before this entry's own calls
+      // Replicas may be fetched from that peer before this entry's own calls
       // show the restore.
       sendRestored();
       observeEra(era);
--- a/src/direct/types.ts
+++ b/src/direct/types.ts
@@ -52,31 +52,31 @@
 }
 
 /**
- * Published performance figures of a pool's model engines. An engine reads a
- * prompt (prefill) and then writes the response (decode); it does both in steps
- * that all of its requests share.
+ * Published performance figures of a pool's model engines. An engine first
+ * prefills a prompt and then decodes the response token by token. It does both
+ * in steps that all of its requests share.
  */
 export interface EngineFigures {
-  /** Requests that one engine reads or writes at the same time. */
+  /** Slots: requests that one engine prefills or decodes at the same time. */
   readonly places: number;
   /** Size of the KV cache, in tokens. */
   readonly memoryTokens: number;
-  /** Number of steps in one pass while at least one request is writing. */
+  /** Number of steps in one pass while at least one request is decoding. */
   readonly stepsPerPass: number;
   readonly stepMs: number;
-  /** Milliseconds added to a step for each request that is writing. */
+  /** Milliseconds added to a step for each request that is decoding. */
   readonly stepMsPerWriter: number;
   readonly readTokensPerMs: number;
   /**
-   * Milliseconds of reading for each million pairs of a token and an earlier
+   * Milliseconds of prefill for each million pairs of a token and an earlier
    * token.
    */
   readonly pairsMsPerMillion: number;
-  /** Largest number of prompt tokens that one step reads. */
+  /** Largest number of prompt tokens that one step prefills. */
   readonly chunkTokens: number;
   /**
    * Milliseconds added to a step for each 1,000 tokens in the context of a
-   * writing request.
+   * decoding request.
    */
   readonly contextMsPerThousand: number;
 }
@@ -121,9 +121,9 @@
 /** One start of a replica, as the replica announced it. */
 export interface DirectReplica {
   /**
-   * Identifies this start of the replica. Load, suspicion and reports of other
-   * entries refer to this id, so that nothing known about an earlier start
-   * counts against a later one.
+   * Identifies this start of the replica. Load, suspicion and reports of peers
+   * refer to this id, so that nothing known about an earlier start counts
+   * against a later one.
    */
   readonly id: string;
   /**
@@ -154,7 +154,7 @@
   readonly failureDomain?: string;
 }
 
-/** What an entry knows about the store, as it reports it to other entries. */
+/** What an entry knows about the store, as it reports it to peers. */
 export interface StoreKnowledge {
   /**
    * Era of the store's history; undefined where the store does not report it.
@@ -173,7 +173,9 @@
   readonly replicasDigest: string;
 }
 
-/** Another entry's answer to a query. */
+/**
+ * A peer's answer to a query. A peer is another entry of the same deployment.
+ */
 export interface PeerAnswer extends StoreKnowledge {
   /**
    * Name of the entry that answered. `ip` and `port` are where it serves what
@@ -300,11 +302,13 @@
   readonly timeLeftMs: number;
   readonly priority: number;
   readonly lastEventId: string | undefined;
-  /** Replicas that read parts of the prompt, with their reservations. */
+  /** Replicas that prefill parts of the prompt, with their reservations. */
   readonly helpers: readonly GroupMember[];
 }
 
-/** A replica that reads a part of a prompt, with or without a reservation. */
+/**
+ * A replica that prefills a part of a prompt, with or without a reservation.
+ */
 export interface GroupMember {
   readonly address: string;
   readonly reservation: string | undefined;
--- a/test/direct/evidence.test.ts
+++ b/test/direct/evidence.test.ts
@@ -37,8 +37,8 @@
     expect(evidence.isFresh()).toBe(false);
   });
 
-  // The age in the answer was measured by the other entry. If it were
-  // discarded, keys would be refused until that entry's next call.
+  // The age in the answer was measured by the peer. If it were discarded, keys
+  // would be refused until the peer's next call.
   test('counts when another entry was queried after a suspension', async () => {
     const {clock, evidence, step} = setUp();
     await clock.runFor(1_000);
--- a/test/direct/handover.test.ts
+++ b/test/direct/handover.test.ts
@@ -162,8 +162,8 @@
     expect(taken.slice(0, 2)).toEqual(['Error: not running', 'config 4']);
   });
 
-  // The other entry may be behind. While the store answers here, its answers
-  // are more current.
+  // The peer may be behind. While the store answers here, its answers are more
+  // current.
   test('about replicas counts only while the store is lost', async () => {
     const connected = createFixture(false);
     connected.catchUp.handleDifferentReplicas(answer);
--- a/test/direct/load_broadcast.test.ts
+++ b/test/direct/load_broadcast.test.ts
@@ -1,4 +1,4 @@
-/** When an entry sends its load to the others. */
+/** When an entry sends its load to its peers. */
 import {describe, expect, test} from 'vitest';
 import {
   HEARTBEAT_MS,
@@ -15,7 +15,7 @@
 async function sentPerS(
   {near, far}: {readonly near: number; readonly far: number},
   changesPerS: number,
-  hasLongRead = false,
+  hasLongPrefill = false,
 ) {
   const clock = createVirtualClock();
   const peers = (count: number, kind: string) =>
@@ -33,7 +33,9 @@
   });
   clock.every(HEARTBEAT_MS, broadcast.heartbeat);
   if (changesPerS > 0) {
-    clock.every(1_000 / changesPerS, () => broadcast.loadChanged(hasLongRead));
+    clock.every(1_000 / changesPerS, () =>
+      broadcast.loadChanged(hasLongPrefill),
+    );
   }
   await clock.runFor(SECONDS * 1_000);
   broadcast.stop();
@@ -42,7 +44,7 @@
 }
 
 describe('an entry whose load changes', () => {
-  test('sends every change while there are few other entries', async () => {
+  test('sends every change while there are few peers', async () => {
     const {perS} = await sentPerS({near: 1, far: 3}, 15);
     expect(perS).toBeGreaterThan(55);
   });
@@ -73,7 +75,7 @@
   });
 });
 
-describe('a long prompt read', () => {
+describe('a long prefill', () => {
   // Two entries of different domains place long prompts within a second.
   // Without the report, both would use the same engines.
   test('is sent to other domains at once, also beyond the budget', () => {
--- a/test/direct/peer_confirmation.test.ts
+++ b/test/direct/peer_confirmation.test.ts
@@ -1,4 +1,4 @@
-/** Confirmation by another entry in place of own calls to the store. */
+/** Confirmation by a peer in place of own calls to the store. */
 import {describe, expect, test} from 'vitest';
 import {
   maxPeerEvidenceAgeMs,
@@ -60,7 +60,7 @@
     expect(fixture.seen).toEqual(['began']);
   });
 
-  // If the other entry has had no news of the store either, a key may have been
+  // If the peer has had no news of the store either, a key may have been
   // removed meanwhile.
   test('is not given without evidence', async () => {
     const clock = createVirtualClock();
@@ -93,8 +93,8 @@
     expect(maxPeerEvidenceAgeMs(1_500)).toBe(800);
   });
 
-  // A key was removed in version 4. The other entry's fresh evidence says
-  // nothing about the keys of version 3.
+  // A key was removed in version 4. The peer's fresh evidence says nothing
+  // about the keys of version 3.
   test('is not given for a different configuration, which is read instead', async () => {
     const clock = createVirtualClock();
     const other = {...SAME, configVersion: 4, evidenceAgeMs: 0};
@@ -224,7 +224,7 @@
     port: 1,
   });
 
-  // The first entry is frozen. Its silence costs one query only.
+  // The first peer is frozen. Its silence costs one query only.
   test('goes to the next entry after one that was not answered', async () => {
     const clock = createVirtualClock();
     const sent: Array<{datagram: AskDatagram; to: string}> = [];
--- a/test/direct/peer_queries.test.ts
+++ b/test/direct/peer_queries.test.ts
@@ -1,4 +1,4 @@
-/** Which other entry is queried for its knowledge of the store. */
+/** Which peer is queried for its knowledge of the store. */
 import {describe, expect, test} from 'vitest';
 import {createPeerQueries} from '../../src/direct/peer_queries.js';
 import type {EntryAddress} from '../../src/direct/types.js';
--- a/test/direct/placement_poll_pace.test.ts
+++ b/test/direct/placement_poll_pace.test.ts
@@ -1,4 +1,4 @@
-/** How soon waiting requests poll for a place again. */
+/** How soon waiting requests poll for a slot again. */
 import {describe, expect, test} from 'vitest';
 import {createPlacementPollPace} from '../../src/direct/placement_poll_pace.js';
 
--- a/test/direct/restored_store.test.ts
+++ b/test/direct/restored_store.test.ts
@@ -242,8 +242,8 @@
     return [...new Set(seen)];
   }
 
-  // The other entry has not seen the restore, so its evidence and its digest
-  // describe a state that no longer exists.
+  // The peer has not seen the restore, so its evidence and its digest describe
+  // a state that no longer exists.
   test('proves nothing when the era is older', async () => {
     expect(await eventsFor(1)).toEqual([]);
   });
@@ -287,7 +287,7 @@
     expect(gone.arrivals).toEqual([]);
   });
 
-  // The record by which other entries find this one is newer than the copy.
+  // The record by which peers find this one is newer than the copy.
   test('writes its own record again', async () => {
     const {revision, kinds} = fleet.store.copy();
     const without = new Map(kinds);
@@ -320,8 +320,8 @@
 const REVOKED_MS = 5_100;
 
 describe('an entry that starts just after the store was restored from a copy', () => {
-  // The copy lacks the configuration that removed the key. Only another entry
-  // knows it until operators write it again.
+  // The copy lacks the configuration that removed the key. Only a peer knows it
+  // until operators write it again.
   test('accepts no key that another entry knows was removed', async () => {
     const running = await startDirectFleet({node: 'entry-2'});
     running.store.put('config', 'main', configOf(2, ['key-2']));
--- a/test/direct/sharing.test.ts
+++ b/test/direct/sharing.test.ts
@@ -27,8 +27,8 @@
 } as unknown as DirectStore;
 
 describe('an entry that is queried while it starts', () => {
-  // The other entry knows this one from before its restart, and sends a query
-  // before it can be answered.
+  // The peer knows this entry from before its restart, and sends a query before
+  // this entry can answer.
   test('logs that it could not answer, and keeps running', async () => {
     const [own, other] = await freeAddresses(2);
     const self = entryAt('entry-1', own);
