--- a/bench/direct/model_caller.ts
+++ b/bench/direct/model_caller.ts
@@ -4,8 +4,8 @@
  */
 import {EventEmitter} from 'node:events';
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import {patienceMs} from '../../src/direct/decide/patience.js';
-import type {Admitted} from '../../src/direct/exchange.js';
+import {callerTimeoutMs} from '../../src/direct/decide/caller_timeout.js';
+import type {AdmittedRequest} from '../../src/direct/exchange.js';
 import type {DirectConfig, Route} from '../../src/direct/types.js';
 import type {Cancel, Clock} from '../../src/types/runtime.js';
 import type {LoadRequest} from './load.js';
@@ -27,7 +27,7 @@
 /** Where a caller sends a try. */
 export interface CallerTarget {
   serve(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     req: IncomingMessage,
     res: ServerResponse,
     arrivedAt: number,
@@ -66,7 +66,7 @@
   };
   const startedAt = clock.now();
   const limitAt = startedAt + route.timeLimitMs;
-  const patience = patienceMs(route);
+  const patience = callerTimeoutMs(route);
   let lastAt = startedAt;
 
   const again = (waitMs: number, end: CallerRecord['end']): void => {
@@ -147,7 +147,7 @@
   {request, route, config}: CallerOptions,
   record: CallerRecord,
   timeLeftMs: number,
-): Admitted {
+): AdmittedRequest {
   return {
     config,
     route,
--- a/bench/direct/model_fleet.ts
+++ b/bench/direct/model_fleet.ts
@@ -110,8 +110,8 @@
   const tellAll = (tell: (serving: Serving) => void) =>
     entries.forEach(({serving}) => tell(serving));
   tellAll(serving => {
-    serving.setEntries(options.entries);
-    serving.fleet.setAll(
+    serving.setEntryCount(options.entries);
+    serving.replicas.setAll(
       new Map(engines.map((it, at) => [it.name, replicaOf(at)])),
     );
   });
@@ -123,7 +123,9 @@
       const engine = engines[at];
       engine.goDark();
       const removed = clock.after(RECORD_MS, () =>
-        tellAll(({fleet}) => fleet.change(new Map([[engine.name, undefined]]))),
+        tellAll(({replicas}) =>
+          replicas.applyChanges(new Map([[engine.name, undefined]])),
+        ),
       );
       clock.after(forMs, () => {
         removed();
@@ -131,8 +133,8 @@
         starts[at]++;
       });
       clock.after(forMs + RECORD_AGAIN_MS, () =>
-        tellAll(({fleet}) =>
-          fleet.change(new Map([[engine.name, replicaOf(at)]])),
+        tellAll(({replicas}) =>
+          replicas.applyChanges(new Map([[engine.name, replicaOf(at)]])),
         ),
       );
     },
@@ -182,7 +184,7 @@
     random: createSeededRandom(options.seed * 1_000 + at),
     codec: MODEL_CODEC,
     dispatch: createModelDispatch(options, engines),
-    dial: () => Promise.resolve('silent'),
+    probePort: () => Promise.resolve('silent'),
     node: `entry-${at}`,
     orders,
     readReport: async address => {
@@ -199,8 +201,8 @@
     unusedMs: UNUSED_MS,
     fullness: options.fullness,
     isDraining: () => false,
-    share: (_loads, isLong) => telling.loadChanged(isLong),
-    tellCrashes: () => undefined,
+    shareLoads: (_loads, isLong) => telling.loadChanged(isLong),
+    shareCrashReports: () => undefined,
     quarantine: {
       onQuarantined: () => undefined,
       onCleared: () => undefined,
--- a/src/direct/call_attempt.ts
+++ b/src/direct/call_attempt.ts
@@ -1,37 +1,46 @@
 /**
- * One try of a call at one replica. The answer is held until it is whole, but
- * for large ones, which are passed on as they come.
+ * Sends a call to one replica and receives the answer. The answer is buffered
+ * until it is complete, so that a call which fails midway can be retried. A
+ * large answer is streamed to the caller instead, which bounds memory use.
  */
 import type {AnswerHead} from './dispatch.js';
 import type {Exchange} from './exchange.js';
 import {plainCallAssignment} from './load_tracker.js';
-import {dispatchRequest, judgeHead, writeHead} from './serve_context.js';
+import {buildDispatch, classifyHead, writeHead} from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica} from './types.js';
 
-/** Larger answers go on as they come, once so much of them is there. */
-const HELD_BYTES = 1024 * 1024;
+/**
+ * Largest answer that is buffered, in bytes. Once more has arrived, the answer
+ * is streamed to the caller and the call can no longer be retried.
+ */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 
-/** A whole answer. */
-export interface Answered {
+/** A complete answer. */
+export interface BufferedAnswer {
   readonly kind: 'answered';
   readonly head: AnswerHead;
   readonly body: Buffer;
 }
 
-/** How one try ended. */
+/** How one attempt ended. */
 export type CallOutcome =
-  | Answered
+  | BufferedAnswer
+  /** The answer was streamed to the caller. */
   | {readonly kind: 'passed-on'}
+  /** The replica refused the request and did not run it. */
   | {readonly kind: 'not-run'; readonly faultAt: string | undefined}
+  /** No connection was established, so the replica received nothing. */
   | {readonly kind: 'not-sent'; readonly reason: string}
+  /** The answer failed midway or was invalid; the request may have run. */
   | {readonly kind: 'broken'; readonly reason: string}
-  /** Requests like it crash replicas: it was not sent. */
+  /** The request was not sent, because equal requests crashed replicas. */
   | {readonly kind: 'quarantined'}
+  /** The request ended before the answer: its time is up or the caller left. */
   | {readonly kind: 'ended'};
 
-/** Sends the request and takes its answer until the try ends. */
-export function tryCall(
+/** Sends the request to the replica and resolves when the attempt has ended. */
+export function attemptCall(
   ctx: ServeContext,
   exchange: Exchange,
   replica: DirectReplica,
@@ -44,12 +53,12 @@
   const {service} = exchange;
   const startedAt = clock.now();
   const work = book.assign(plainCallAssignment(replica.id, Infinity));
-  exchange.sent++;
+  exchange.attempts++;
   return new Promise(resolve => {
     let head: AnswerHead | undefined;
-    let held: Buffer[] = [];
+    let buffered: Buffer[] = [];
     let bytes = 0;
-    let passing = false;
+    let isStreaming = false;
 
     const finish = (outcome: CallOutcome) => {
       work.end();
@@ -59,19 +68,19 @@
     };
     const onAbort = () => {
       exchange.mayHaveRun = true;
-      ctx.crashes.left(exchange, replica);
+      ctx.crashes.runCancelled(exchange, replica);
       dispatch.cancel();
       finish({kind: 'ended'});
     };
-    const startPassing = (of: AnswerHead) => {
-      passing = true;
-      writeHead(ctx, exchange.res, of);
-      for (const piece of held) exchange.res.write(piece);
-      held = [];
+    const startStreaming = (answerHead: AnswerHead) => {
+      isStreaming = true;
+      writeHead(ctx, exchange.res, answerHead);
+      for (const chunk of buffered) exchange.res.write(chunk);
+      buffered = [];
     };
-    const onHead = (came: AnswerHead) => {
-      head = came;
-      const verdict = judgeHead(ctx, exchange, came);
+    const onHead = (received: AnswerHead) => {
+      head = received;
+      const verdict = classifyHead(ctx, exchange, received);
       if (verdict.kind === 'success' || verdict.kind === 'failure') return;
       dispatch.cancel();
       if (verdict.kind === 'not-run') {
@@ -83,53 +92,53 @@
     };
     const onData = (chunk: Buffer) => {
       bytes += chunk.length;
-      if (!passing) held.push(chunk);
-      if (!passing && bytes > HELD_BYTES && head !== undefined) {
-        startPassing(head);
+      if (!isStreaming) buffered.push(chunk);
+      if (!isStreaming && bytes > MAX_BUFFERED_BYTES && head !== undefined) {
+        startStreaming(head);
         return;
       }
-      if (!passing || exchange.res.write(chunk)) return;
+      if (!isStreaming || exchange.res.write(chunk)) return;
       dispatch.pause();
       exchange.res.once('drain', () => dispatch.resume());
     };
     const onEnd = () => {
-      if (passing) {
-        ctx.crashes.ranWell(exchange);
+      if (isStreaming) {
+        ctx.crashes.runSucceeded(exchange);
         exchange.res.end();
         finish({kind: 'passed-on'});
         return;
       }
       if (head !== undefined && head.status < 500) {
-        ctx.crashes.ranWell(exchange);
+        ctx.crashes.runSucceeded(exchange);
       }
       const tookMs = clock.now() - startedAt;
-      health.answered(replica.id, tookMs, callTimes.usualMs(service));
-      callTimes.took(service, tookMs);
+      health.answered(replica.id, tookMs, callTimes.meanMs(service));
+      callTimes.record(service, tookMs);
       metrics.observe('onyxloft_direct_call_ms', {}, tookMs);
       if (head === undefined) return;
-      finish({kind: 'answered', head, body: Buffer.concat(held)});
+      finish({kind: 'answered', head, body: Buffer.concat(buffered)});
     };
     const onBroken = (sent: boolean, reason: string) => {
       health.failed(replica.id);
       if (!sent) {
-        exchange.sent--;
+        exchange.attempts--;
         exchange.isTrial = isTrial;
         finish({kind: 'not-sent', reason});
         return;
       }
       exchange.mayHaveRun = true;
-      ctx.crashes.broke(exchange, replica);
-      if (passing) exchange.res.destroy();
-      finish({kind: passing ? 'passed-on' : 'broken', reason});
+      ctx.crashes.runBroken(exchange, replica);
+      if (isStreaming) exchange.res.destroy();
+      finish({kind: isStreaming ? 'passed-on' : 'broken', reason});
     };
-    const spec = dispatchRequest(ctx, exchange, replica, undefined, []);
+    const spec = buildDispatch(ctx, exchange, replica, undefined, []);
     const dispatch = ctx.dispatch(spec, clock, {
       onHead,
       onData,
       onEnd,
       onBroken,
     });
-    // Its connection may stay silent without a reset.
+    // A replica that restarted may leave the connection open without a reset.
     const stopWatching = losses.watch(replica.id, () => {
       dispatch.cancel();
       onBroken(true, 'the replica restarted');
--- /dev/null
+++ b/src/direct/replica_table.ts
@@ -0,0 +1,210 @@
+/**
+ * Table of the known replicas. Records may expire during an outage of the
+ * store, and live replicas write theirs again within about two seconds after
+ * it. So a replica whose record disappears then is still used for a while, if
+ * its service has no other one.
+ *
+ * A replica may restart under its name, and a restarted one has none of the
+ * earlier state. The start time in the records tells which start is the later.
+ */
+import type {Clock} from '../types/runtime.js';
+import type {DirectReplica} from './types.js';
+
+/**
+ * A removal within this time after a failed store call may mean that the record
+ * expired while the replica lives.
+ */
+const EXPIRY_SUSPECTED_MS = 2_500;
+/**
+ * A replica whose record may have expired is used for this long. A live one has
+ * written its record again by then.
+ */
+const USE_AFTER_EXPIRY_MS = 1_900;
+/**
+ * Time after which a record with an earlier start time is accepted. At first it
+ * counts as a late write of a process that is gone: the live process overwrites
+ * it at its next heartbeat, about a second later. A record that persists is
+ * valid, and the host's time of day was set back.
+ */
+const EARLIER_START_ACCEPTED_MS = 3_000;
+/**
+ * A removed replica is kept for this long, so that its restart is recognised
+ * and its open streams are ended.
+ */
+const REMOVED_KEPT_MS = 30_000;
+/**
+ * Time after a restore of the store from a copy during which its records of
+ * replicas that were leaving or removed are not trusted, because they are as
+ * old as the copy. A leaving replica writes its state again within a heartbeat;
+ * the record of a replica that is gone expires after three heartbeats.
+ */
+const RESTORE_DISTRUST_MS = 4_000;
+
+export interface ReplicaTable {
+  /** Replaces all replicas, by name. */
+  setAll(replicas: ReadonlyMap<string, DirectReplica>): void;
+  /** Applies changes, by name; an undefined value means removed. */
+  applyChanges(replicas: ReadonlyMap<string, DirectReplica | undefined>): void;
+  /** Records that a call to the store failed just now. */
+  storeFailed(): void;
+  /** Records that the store was restored from an older copy. */
+  storeRestored(): void;
+  /** Replicas of a service that may get new work. */
+  availableFor(service: string): readonly DirectReplica[];
+  /** Whether the replica was told to leave or has no record any more. */
+  isLeaving(replicaId: string): boolean;
+  size(): number;
+}
+
+export interface ReplicaTableOptions {
+  readonly clock: Clock;
+  /**
+   * A replica's record was removed; its open work may still be answered.
+   * `mayHaveLapsed` is true when the store failed just before, so that the
+   * replica may live and only its record may have expired.
+   */
+  onRemoved(replica: DirectReplica, mayHaveLapsed: boolean): void;
+  /** `now` is a later start under the same name; `replica` answers no more. */
+  onRestarted(replica: DirectReplica, now: DirectReplica): void;
+}
+
+interface Removed {
+  readonly replica: DirectReplica;
+  readonly removedAt: number;
+  /** Until then the replica gets work, since its record may only have expired. */
+  readonly usedUntil: number;
+}
+
+interface EarlierStart {
+  readonly replica: DirectReplica;
+  readonly since: number;
+}
+
+export function createReplicaTable({
+  clock,
+  onRemoved,
+  onRestarted,
+}: ReplicaTableOptions): ReplicaTable {
+  const present = new Map<string, DirectReplica>();
+  const removed = new Map<string, Removed>();
+  const earlierStarts = new Map<string, EarlierStart>();
+  let storeFailedAt = Number.NEGATIVE_INFINITY;
+  let distrustedUntil = Number.NEGATIVE_INFINITY;
+  /** Ids of replicas that were leaving or removed when the store was restored. */
+  let leftBeforeRestore: ReadonlySet<string> = new Set();
+  /** Untrusted records of those replicas from the restored copy, by name. */
+  const untrusted = new Map<string, DirectReplica>();
+
+  const remove = (name: string) => {
+    earlierStarts.delete(name);
+    untrusted.delete(name);
+    const replica = present.get(name);
+    if (replica === undefined) return;
+    present.delete(name);
+    const removedAt = clock.now();
+    const mayHaveLapsed =
+      removedAt - storeFailedAt < EXPIRY_SUSPECTED_MS && !replica.leaving;
+    const usedUntil = mayHaveLapsed
+      ? removedAt + USE_AFTER_EXPIRY_MS
+      : removedAt;
+    removed.set(name, {replica, removedAt, usedUntil});
+    onRemoved(replica, mayHaveLapsed);
+  };
+  const accept = (replica: DirectReplica) => {
+    const {name} = replica;
+    const previous = present.get(name) ?? removed.get(name)?.replica;
+    present.set(name, replica);
+    removed.delete(name);
+    earlierStarts.delete(name);
+    const isRestart = previous !== undefined && previous.id !== replica.id;
+    if (isRestart) onRestarted(previous, replica);
+  };
+  /** Takes a listed record, unless a restored copy makes it untrustworthy. */
+  const putListedRecord = (replica: DirectReplica) => {
+    const isUntrusted =
+      clock.now() < distrustedUntil && leftBeforeRestore.has(replica.id);
+    if (isUntrusted && !replica.leaving) untrusted.set(replica.name, replica);
+    else put(replica);
+  };
+  const put = (replica: DirectReplica) => {
+    const {name} = replica;
+    const known = present.get(name);
+    if (known !== undefined && startTimeOf(replica) < startTimeOf(known)) {
+      const since = earlierStarts.get(name)?.since ?? clock.now();
+      earlierStarts.set(name, {replica, since});
+    } else {
+      accept(replica);
+    }
+  };
+  const updateExpired = () => {
+    const now = clock.now();
+    if (now >= distrustedUntil) {
+      for (const replica of untrusted.values()) put(replica);
+      untrusted.clear();
+    }
+    for (const {replica, since} of [...earlierStarts.values()]) {
+      if (now - since >= EARLIER_START_ACCEPTED_MS) accept(replica);
+    }
+    for (const [name, {removedAt}] of removed) {
+      if (now - removedAt >= REMOVED_KEPT_MS) removed.delete(name);
+    }
+  };
+  const recentlyRemoved = (service: string): readonly DirectReplica[] => {
+    const now = clock.now();
+    return [...removed.values()]
+      .filter(({usedUntil}) => now < usedUntil)
+      .map(({replica}) => replica)
+      .filter(replica => replica.service === service);
+  };
+
+  return {
+    setAll: replicas => {
+      untrusted.clear();
+      for (const name of [...present.keys()]) {
+        if (!replicas.has(name)) remove(name);
+      }
+      for (const replica of replicas.values()) putListedRecord(replica);
+    },
+    applyChanges: replicas => {
+      for (const [name, replica] of replicas) {
+        if (replica === undefined) {
+          remove(name);
+          continue;
+        }
+        // The replica itself has written a record since the restore.
+        untrusted.delete(name);
+        put(replica);
+      }
+    },
+    storeFailed: () => {
+      storeFailedAt = clock.now();
+    },
+    storeRestored: () => {
+      const now = clock.now();
+      // Records of live replicas may have expired during the store's outage.
+      storeFailedAt = now;
+      distrustedUntil = now + RESTORE_DISTRUST_MS;
+      leftBeforeRestore = new Set([
+        ...[...present.values()].filter(it => it.leaving).map(it => it.id),
+        ...[...removed.values()].map(it => it.replica.id),
+      ]);
+    },
+    availableFor: service => {
+      updateExpired();
+      const available = [...present.values()].filter(
+        replica => replica.service === service && !replica.leaving,
+      );
+      return available.length > 0 ? available : recentlyRemoved(service);
+    },
+    isLeaving: replicaId => {
+      const found = [...present.values()].find(({id}) => id === replicaId);
+      return found?.leaving ?? true;
+    },
+    size: () => present.size,
+  };
+}
+
+/** Start time of a replica; a replica without one counts as the earliest. */
+function startTimeOf({startedAt}: DirectReplica): number {
+  return startedAt ?? Number.NEGATIVE_INFINITY;
+}
--- a/src/direct/place.ts
+++ b/src/direct/request_placement.ts
@@ -4,10 +4,10 @@
  */
 import type {Cancel} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
-import {chooseForCall} from './decide/choose_call.js';
-import type {CallCandidate} from './decide/choose_call.js';
+import {chooseCallReplica} from './decide/choose_call_replica.js';
+import type {CallCandidate} from './decide/choose_call_replica.js';
 import type {EnginePlan} from './decide/choose_engines.js';
-import type {EngineCandidate} from './decide/judge_engine.js';
+import type {EngineCandidate} from './decide/score_engine.js';
 import {aimMarginMs} from './decide/waiting_loss.js';
 import {answerTokens} from './exchange.js';
 import type {Exchange} from './exchange.js';
@@ -21,38 +21,38 @@
 /** First event of a stream without published figures. */
 const UNKNOWN_FIRST_EVENT_MS = 200;
 /** Why nothing more will come: sure where a member has started again. */
-export type PlaceLoss = 'a member restarted' | GroupLoss;
+export type PlacementLoss = 'a member restarted' | GroupLoss;
 
-export interface Place {
+export interface RequestPlacement {
   readonly replica: DirectReplica;
   readonly helpers: readonly GroupMember[];
   /** Expected time to the first event, in milliseconds. */
   readonly firstEventMs: number;
   /** Something came from the replica. */
-  heard(): void;
+  noteActivity(): void;
   /** `onLost` is called when no answer can come from here any more. */
-  watchLoss(onLost: (loss: PlaceLoss) => void): Cancel;
+  watchLoss(onLost: (loss: PlacementLoss) => void): Cancel;
   /** The first event came after `tookMs`. */
-  hasRead(tookMs: number): void;
+  firstEventReceived(tookMs: number): void;
   /** The replica refused; `faultAt` is the member at fault, if it said so. */
   refused(faultAt: string | undefined): void;
   close(): void;
 }
 
 /** Holds the plan's place; a refusal names the member's address. */
-export async function takePlace(
+export async function acquirePlacement(
   ctx: ServeContext,
   exchange: Exchange,
   plan: EnginePlan,
-): Promise<Place | {readonly refusedBy: string}> {
-  const {helpers, partTokens, first} = plan;
+): Promise<RequestPlacement | {readonly refusedBy: string}> {
+  const {helpers, partTokens, lead} = plan;
   const works = enterWorks(ctx, exchange, plan);
   const endWorks = () => works.forEach(work => work.end());
   let group: Group | undefined;
   if (partTokens > 0 && helpers.length > 0) {
     const opened = await ctx.groups.open({
       requestId: exchange.id,
-      lead: first.replica,
+      lead: lead.replica,
       helpers: helpers.map(({replica}) => replica),
       tokens: partTokens,
     });
@@ -65,23 +65,23 @@
   logPlan(ctx, exchange, plan);
   const addresses = helpers.map(({replica}) => replica.address);
   return {
-    replica: first.replica,
-    heard: () => group?.heard(),
+    replica: lead.replica,
+    noteActivity: () => group?.noteActivity(),
     watchLoss: onLost => {
       group?.watchLoss(loss => {
-        ctx.health.failed(first.replica.id);
+        ctx.health.failed(lead.replica.id);
         onLost(loss);
       });
-      return watchRestarts(ctx, [first, ...helpers], onLost);
+      return watchRestarts(ctx, [lead, ...helpers], onLost);
     },
     helpers:
       group?.members ??
       addresses.map(address => ({address, reservation: undefined})),
     firstEventMs: plan.firstEventMs,
-    hasRead: tookMs => {
+    firstEventReceived: tookMs => {
       works.forEach(work => work.markPrefilled());
       if (helpers.length > 0) return;
-      ctx.health.answered(first.replica.id, tookMs, plan.firstEventMs);
+      ctx.health.answered(lead.replica.id, tookMs, plan.firstEventMs);
     },
     refused: faultAt => {
       const helper = helpers.find(it => it.replica.address === faultAt);
@@ -97,7 +97,7 @@
 function watchRestarts(
   ctx: ServeContext,
   members: readonly Pick<EngineCandidate, 'replica'>[],
-  onLost: (loss: PlaceLoss) => void,
+  onLost: (loss: PlacementLoss) => void,
 ): Cancel {
   const cancels = members.map(({replica}) =>
     ctx.losses.watch(replica.id, () => onLost('a member restarted')),
@@ -111,10 +111,10 @@
   plan: EnginePlan,
 ): readonly OpenAssignment[] {
   const {facts, route} = exchange;
-  const {first, helpers, partReadMs, partTokens} = plan;
+  const {lead, helpers, partPrefillMs, partTokens} = plan;
   const total = facts.promptTokens + answerTokens(facts);
   const shared = {
-    prefillMs: partReadMs,
+    prefillMs: partPrefillMs,
     expectedMs: plan.firstEventMs,
     aimLeftMs: route.aimMs - exchange.elapsedMs(),
     aimMarginMs: aimMarginMs(route.aimMs),
@@ -122,7 +122,7 @@
   };
   const main = ctx.book.assign({
     ...shared,
-    replicaId: first.replica.id,
+    replicaId: lead.replica.id,
     places: 1,
     tokens: total - partTokens * helpers.length,
     weight: exchange.weight,
@@ -145,16 +145,16 @@
   exchange: Exchange,
   plan: EnginePlan,
 ): void {
-  const {first, helpers} = plan;
+  const {lead, helpers} = plan;
   ctx.log(DIRECT_EVENTS.dispatched, {
     requestId: exchange.id,
-    replica: first.replica.id,
+    replica: lead.replica.id,
     helpers: helpers.map(({replica}) => replica.id),
     promptTokens: exchange.facts.promptTokens,
     partTokens: plan.partTokens,
     firstEventMs: Math.round(plan.firstEventMs),
-    running: first.load.running,
-    readMsAhead: Math.round(first.load.readMs),
+    running: lead.load.running,
+    readMsAhead: Math.round(lead.load.readMs),
     ownLoss: Number(plan.ownLoss.toFixed(2)),
     harm: Number((plan.harm / exchange.weight).toFixed(2)),
     waitedMs: Math.round(exchange.elapsedMs()),
@@ -163,23 +163,23 @@
 }
 
 /** A place at a replica without published figures. */
-export function plainPlace(
+export function placeOnPlainService(
   ctx: ServeContext,
   exchange: Exchange,
   candidates: readonly CallCandidate[],
-): Place | undefined {
-  const chosen = chooseForCall(candidates, callRequestOf(ctx, exchange));
+): RequestPlacement | undefined {
+  const chosen = chooseCallReplica(candidates, callRequestOf(ctx, exchange));
   if (chosen === undefined) return undefined;
   const {replica} = chosen;
   const {pauseAimMs} = exchange.route;
   const work = ctx.book.assign(plainCallAssignment(replica.id, pauseAimMs));
   return {
     replica,
-    heard: () => undefined,
+    noteActivity: () => undefined,
     watchLoss: onLost => watchRestarts(ctx, [chosen], onLost),
     helpers: [],
     firstEventMs: UNKNOWN_FIRST_EVENT_MS,
-    hasRead: tookMs =>
+    firstEventReceived: tookMs =>
       ctx.health.answered(replica.id, tookMs, UNKNOWN_FIRST_EVENT_MS),
     refused: () => undefined,
     close: () => work.end(),
--- a/src/side/engine_events.ts
+++ b/src/side/engine_events.ts
@@ -1,87 +1,94 @@
 /**
- * What an engine's events do to their run: tokens become chunks, in order and
- * once each; progress teaches the rates.
+ * Applies an engine's events to their run. Tokens are appended to the answer as
+ * chunks, each token once and in order. Prefill and decode progress updates the
+ * learned rates.
  */
 import {OnyxError} from '../types/errors.js';
 import type {EngineEvent} from '../types/upstream.js';
 import type {Channels} from './channels.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import type {Lifecycle} from './lifecycle.js';
-import {prefillLeft} from './run.js';
+import {prefillTokensLeft} from './run.js';
 import type {Run} from './run.js';
 
 type TokensEvent = EngineEvent & {readonly kind: 'tokens'};
 type DoneEvent = EngineEvent & {readonly kind: 'done'};
 
-export type EngineEvents = (run: Run, event: EngineEvent) => void;
+/** Applies one event to its run. */
+export type EngineEventHandler = (run: Run, event: EngineEvent) => void;
 
-/** `broke` is called when the stream can not be trusted any further. */
-export function createEngineEvents(
+/**
+ * Creates the handler. `onBroken` is called when the event stream has a gap or
+ * a partial duplicate, so that it must be resumed from the next token.
+ */
+export function createEngineEventHandler(
   core: SideCore,
   channels: Channels,
   lifecycle: Lifecycle,
-  broke: (run: Run, error: OnyxError) => void,
-): EngineEvents {
+  onBroken: (run: Run, error: OnyxError) => void,
+): EngineEventHandler {
   const {ctx, rates} = core;
 
-  const gap = (run: Run, got: number) =>
+  const gapError = (run: Run, receivedIndex: number) =>
     new OnyxError({
       code: 'upstream-lost',
       step: 'run',
       peer: core.options.node,
-      message: `token ${got} came where ${run.progress.nextToken} was due`,
+      message: `token ${receivedIndex} came where ${run.progress.nextToken} was due`,
       ran: 'yes',
     });
 
-  const prefilled = (run: Run, done: number) => {
-    const count = done - run.progress.prefillDone;
+  const handlePrefill = (run: Run, prefilledTokens: number) => {
+    const count = prefilledTokens - run.progress.prefilledTokens;
     if (count <= 0) return;
-    run.progress.prefillDone = done;
-    rates.prefilled(count, ctx.clock.now());
+    run.progress.prefilledTokens = prefilledTokens;
+    rates.recordPrefill(count, ctx.clock.now());
   };
 
-  const learnStep = (run: Run, count: number) => {
+  const learnStepTime = (run: Run, count: number) => {
     const now = ctx.clock.now();
     const {lastTokenAt} = run.progress;
-    if (lastTokenAt !== undefined) rates.decoded(count, now - lastTokenAt);
+    if (lastTokenAt !== undefined) rates.recordDecode(count, now - lastTokenAt);
     run.progress.lastTokenAt = now;
   };
 
-  const tokens = (run: Run, event: TokensEvent) => {
+  const handleTokens = (run: Run, event: TokensEvent) => {
     const {nextToken} = run.progress;
-    const isCopy = event.index + event.count <= nextToken;
-    if (isCopy && event.count > 0) return;
-    // A gap or a half copy would cut or mix the answer: ask for what is due.
-    if (event.index !== nextToken) return broke(run, gap(run, event.index));
-    if (prefillLeft(run) > 0) prefilled(run, run.offer.promptTokens);
-    learnStep(run, event.count);
+    const isDuplicate = event.index + event.count <= nextToken;
+    if (isDuplicate && event.count > 0) return;
+    // A gap would truncate the answer and a partial duplicate would repeat
+    // tokens, so the stream is resumed from the next expected token.
+    if (event.index !== nextToken)
+      return onBroken(run, gapError(run, event.index));
+    if (prefillTokensLeft(run) > 0) handlePrefill(run, run.offer.promptTokens);
+    learnStepTime(run, event.count);
     run.progress.nextToken = nextToken + event.count;
     run.stream.resumes = 0;
     const {data, count} = event;
-    run.log.append({dispatchId: run.id, data, tokens: count});
-    channels.pump(run);
+    run.chunkLog.append({dispatchId: run.id, data, tokens: count});
+    channels.sendPending(run);
   };
 
-  const done = (run: Run, event: DoneEvent) => {
+  const handleDone = (run: Run, event: DoneEvent) => {
     if (event.tokens !== run.progress.nextToken) {
-      return broke(run, gap(run, event.tokens));
+      return onBroken(run, gapError(run, event.tokens));
     }
     lifecycle.end(run, event.finishReason, event.cachedTokens);
   };
 
   return (run, event) => {
-    // A resume that only beats says nothing of the run yet.
+    // A resumed stream that brings only heartbeats shows no run progress.
     if (event.kind !== 'beat') {
-      run.progress.seen = true;
+      run.progress.eventSeen = true;
       run.progress.lastProgressAt = ctx.clock.now();
     }
     switch (event.kind) {
       case 'prefill':
-        return prefilled(run, event.doneTokens);
+        return handlePrefill(run, event.doneTokens);
       case 'tokens':
-        return tokens(run, event);
+        return handleTokens(run, event);
       case 'done':
-        return done(run, event);
+        return handleDone(run, event);
       case 'failed':
         return lifecycle.fail(run, {
           code: 'upstream-failed',
--- a/src/side/prediction.ts
+++ b/src/side/prediction.ts
@@ -1,29 +1,33 @@
 /**
- * Predicts when a run will give its first token and when it will end, from
- * the learned rates and what is ahead of it under the queue policy.
+ * Predicts when a run will produce its first token and when it will end. The
+ * prediction uses the learned rates and the runs that the queue policy puts
+ * ahead of it. Offers are refused when the predicted end is too late.
  */
 import type {OfferReq} from '../types/peer_messages.js';
 import type {OrganisationId} from '../types/ids.js';
-import type {SideCore} from './core.js';
-import {classesOf, placesOf} from './core.js';
+import type {SideCore} from './side_core.js';
+import {lengthClassesOf, maxConcurrentRuns} from './side_core.js';
 import type {QueueItem, QueueView} from './queue_policy.js';
 import {classIndexOf} from './queue_policy.js';
-import {isHold, memoryOf, prefillLeft} from './run.js';
+import {isHoldOnly, memoryTokensOf, prefillTokensLeft} from './run.js';
 import type {Run} from './run.js';
 
+/** Ageing step of the queue until a configuration is known. */
 const DEFAULT_AGEING_MS = 10_000;
 
+/** Predicted times of an offer from now, in milliseconds. */
 export interface Prediction {
+  /** Time to the first token, including the time in the queue. */
   readonly firstTokenMs: number;
-  /** Time to the end, the queue included. */
+  /** Time to the end, including the time in the queue. */
   readonly endMs: number;
-  /** The same at the least that its own work may take. */
-  readonly leastEndMs: number;
-  /** The least time to the end if nothing were ahead. */
-  readonly leastAloneMs: number;
+  /** Time to the end if its own work takes the minimum time. */
+  readonly minEndMs: number;
+  /** Minimum time to the end if no other run were ahead. */
+  readonly minAloneMs: number;
 }
 
-/** Time from start to end of a run with so much prefill and decode left. */
+/** Time from start to end for the remaining prefill and decode of a run. */
 function serviceMs(
   core: SideCore,
   offer: OfferReq,
@@ -31,15 +35,21 @@
   tokensLeft: number,
 ): number {
   if (offer.kind === 'call') return core.rates.callMs();
-  return ownPrefillMs(core, offer, prefillTokens) + decodeMs(core, tokensLeft);
+  return prefillTimeMs(core, offer, prefillTokens) + decodeMs(core, tokensLeft);
 }
 
-function wholeMs(core: SideCore, offer: OfferReq): number {
-  const tokens = core.lengths.likelyLeft(offer.maxTokens, 0);
+/** Time from start to end of the whole run of an offer. */
+function totalServiceMs(core: SideCore, offer: OfferReq): number {
+  const tokens = core.lengths.predictRemaining(offer.maxTokens, 0);
   return serviceMs(core, offer, offer.promptTokens, tokens);
 }
 
-function ownPrefillMs(core: SideCore, offer: OfferReq, tokens: number): number {
+/** Prefill time of an offer; the members of a group share the prefill. */
+function prefillTimeMs(
+  core: SideCore,
+  offer: OfferReq,
+  tokens: number,
+): number {
   return core.rates.prefillMs(tokens) / (offer.group?.size ?? 1);
 }
 
@@ -48,23 +58,25 @@
 }
 
 /**
- * The least that an offer's own work may take. Until answers were seen only its
- * first token counts: what it is allowed says how long it gets at most.
+ * Minimum time that an offer's own work may take. Until enough answers were
+ * recorded this covers only the prefill, because the allowed number of tokens
+ * is only an upper bound of the answer's length.
  */
-function leastServiceMs(core: SideCore, offer: OfferReq): number {
+function minServiceMs(core: SideCore, offer: OfferReq): number {
   const {rates, lengths} = core;
   const now = core.ctx.clock.now();
-  if (offer.kind === 'call') return rates.leastCallMs(now);
+  if (offer.kind === 'call') return rates.minCallMs(now);
   const prefillMs =
-    rates.leastPrefillMs(offer.promptTokens, now) / (offer.group?.size ?? 1);
-  if (!lengths.isLearned()) return prefillMs;
-  const tokens = Math.max(0, lengths.likelyLeft(offer.maxTokens, 0));
-  return prefillMs + tokens * rates.leastStepMs(now);
+    rates.minPrefillMs(offer.promptTokens, now) / (offer.group?.size ?? 1);
+  if (!lengths.hasEnoughAnswers()) return prefillMs;
+  const tokens = Math.max(0, lengths.predictRemaining(offer.maxTokens, 0));
+  return prefillMs + tokens * rates.minStepMs(now);
 }
 
-export function itemOf(core: SideCore, run: Run): QueueItem {
-  const left = prefillLeft(run);
-  const tokensLeft = core.lengths.likelyLeft(
+/** A run as the queue policy sees it. */
+export function toQueueItem(core: SideCore, run: Run): QueueItem {
+  const prefillTokens = prefillTokensLeft(run);
+  const tokensLeft = core.lengths.predictRemaining(
     run.offer.maxTokens,
     run.progress.nextToken,
   );
@@ -73,17 +85,17 @@
     organisation: run.offer.organisation,
     weight: run.offer.weight,
     priority: run.offer.priority,
-    classIndex: classIndexOf(classesOf(core), run.offer.promptTokens),
+    classIndex: classIndexOf(lengthClassesOf(core), run.offer.promptTokens),
     memoryTokens: run.memoryTokens,
-    prefillTokens: left,
+    prefillTokens,
     enqueuedAt: run.offeredAt,
     deadlineAt: run.deadlineAt,
-    serviceMs: serviceMs(core, run.offer, left, tokensLeft),
+    serviceMs: serviceMs(core, run.offer, prefillTokens, tokensLeft),
   };
 }
 
-/** The queue as a policy sees it. */
-export function viewOf(
+/** The queue as the policy sees it. */
+export function toQueueView(
   core: SideCore,
   waiting: readonly Run[],
   served: ReadonlyMap<OrganisationId, number>,
@@ -91,101 +103,110 @@
   const {memory, config, ctx, table} = core;
   return {
     now: ctx.clock.now(),
-    waiting: waiting.map(run => itemOf(core, run)),
+    waiting: waiting.map(run => toQueueItem(core, run)),
     running: table
-      .placed()
-      .filter(run => !isHold(run.offer))
-      .map(run => itemOf(core, run)),
+      .occupyingSlots()
+      .filter(run => !isHoldOnly(run.offer))
+      .map(run => toQueueItem(core, run)),
     capacityTokens: memory.capacity(),
     freeTokens: memory.free(),
-    maxRunning: placesOf(core),
-    classes: classesOf(core),
+    maxRunning: maxConcurrentRuns(core),
+    classes: lengthClassesOf(core),
     ageingMs: config?.declarations.policy.ageingMs ?? DEFAULT_AGEING_MS,
     served,
   };
 }
 
-/** What holds memory and frees it when it ends. */
-interface Holder {
+/** A run that holds memory until it ends. */
+interface MemoryHolder {
   readonly memoryTokens: number;
-  readonly leftMs: number;
+  /** Predicted time until its end. */
+  readonly remainingMs: number;
 }
 
 /**
- * Members of groups hold memory without running here. Left out, they would be
- * taken for memory that is free at once, and what waits for it would be
- * promised a time that it cannot have.
+ * All holders of memory: running runs and members of groups. Members hold
+ * memory without running here. If they were left out, their memory would count
+ * as free at once, and waiting runs would get predictions that are too early.
  */
-function holdersOf(core: SideCore, view: QueueView): readonly Holder[] {
+function memoryHoldersOf(
+  core: SideCore,
+  view: QueueView,
+): readonly MemoryHolder[] {
   const now = core.ctx.clock.now();
-  const holds = core.table
+  const reservations = core.table
     .all()
-    .filter(run => isHold(run.offer) && core.memory.holds(run.id))
+    .filter(run => isHoldOnly(run.offer) && core.memory.holds(run.id))
     .map(run => ({
       memoryTokens: run.memoryTokens,
-      leftMs: Math.max(0, holdMs(core, run) - (now - run.offeredAt)),
+      remainingMs: Math.max(0, memoryHoldMs(core, run) - (now - run.offeredAt)),
     }));
   const running = view.running.map(item => ({
     memoryTokens: item.memoryTokens,
-    leftMs: item.serviceMs,
+    remainingMs: item.serviceMs,
   }));
-  return [...holds, ...running];
+  return [...reservations, ...running];
 }
 
-function holdMs(core: SideCore, run: Run): number {
+/** Predicted time for which a group member holds its memory. */
+function memoryHoldMs(core: SideCore, run: Run): number {
   const {offer} = run;
-  return wholeMs(core, offer);
+  return totalServiceMs(core, offer);
 }
 
-/** Time until what runs has freed so many places and so much memory. */
-function freedAfterMs(
+/** Predicted time until so many slots and so much memory are free. */
+function timeToFreeMs(
   core: SideCore,
   view: QueueView,
-  places: number,
+  slots: number,
   memoryTokens: number,
 ): number {
-  let needPlaces = places - (view.maxRunning - view.running.length);
-  let needMemory = view.capacityTokens > 0 ? memoryTokens - view.freeTokens : 0;
-  if (needPlaces <= 0 && needMemory <= 0) return 0;
-  const soonestFirst = [...holdersOf(core, view)].sort(
-    (a, b) => a.leftMs - b.leftMs,
+  let missingSlots = slots - (view.maxRunning - view.running.length);
+  let missingMemory =
+    view.capacityTokens > 0 ? memoryTokens - view.freeTokens : 0;
+  if (missingSlots <= 0 && missingMemory <= 0) return 0;
+  const soonestFirst = [...memoryHoldersOf(core, view)].sort(
+    (a, b) => a.remainingMs - b.remainingMs,
   );
-  let after = 0;
+  let elapsedMs = 0;
   for (const item of soonestFirst) {
-    after = item.leftMs;
-    needPlaces -= 1;
-    needMemory -= item.memoryTokens;
-    if (needPlaces <= 0 && needMemory <= 0) return after;
+    elapsedMs = item.remainingMs;
+    missingSlots -= 1;
+    missingMemory -= item.memoryTokens;
+    if (missingSlots <= 0 && missingMemory <= 0) return elapsedMs;
   }
-  // More is ahead than runs: so many more rounds of what runs.
+  // The current runs do not free enough: assume as many further rounds of the
+  // same duration as the missing slots and memory require.
   const rounds = Math.max(
-    needPlaces / Math.max(1, view.maxRunning),
-    needMemory / Math.max(1, view.capacityTokens),
+    missingSlots / Math.max(1, view.maxRunning),
+    missingMemory / Math.max(1, view.capacityTokens),
   );
-  return after * (1 + Math.max(0, rounds));
+  return elapsedMs * (1 + Math.max(0, rounds));
 }
 
 const sum = (numbers: readonly number[]) => numbers.reduce((a, b) => a + b, 0);
 
-function itemOfOffer(core: SideCore, offer: OfferReq): QueueItem {
+/** A new offer as the queue policy sees it. */
+function offerToQueueItem(core: SideCore, offer: OfferReq): QueueItem {
   const now = core.ctx.clock.now();
   return {
     dispatchId: offer.dispatchId,
     organisation: offer.organisation,
     weight: offer.weight,
     priority: offer.priority,
-    classIndex: classIndexOf(classesOf(core), offer.promptTokens),
-    memoryTokens: memoryOf(offer),
+    classIndex: classIndexOf(lengthClassesOf(core), offer.promptTokens),
+    memoryTokens: memoryTokensOf(offer),
     prefillTokens: offer.promptTokens,
     enqueuedAt: now,
     deadlineAt: now + offer.timeLeftMs,
-    serviceMs: wholeMs(core, offer),
+    serviceMs: totalServiceMs(core, offer),
   };
 }
 
+/** Predicts the times of a new offer behind the current queue. */
 export function predict(core: SideCore, offer: OfferReq): Prediction {
-  const item = itemOfOffer(core, offer);
-  const view = viewOf(core, core.table.waiting(), new Map());
+  const item = offerToQueueItem(core, offer);
+  const view = toQueueView(core, core.table.waiting(), new Map());
   const waitingAhead = view.waiting.filter(other =>
     core.options.queuePolicy.waitsFor(view, item, other),
   );
@@ -196,7 +217,7 @@
   const prefillAheadMs = sum(
     ahead.map(other => core.rates.prefillMs(other.prefillTokens)),
   );
-  const blockedMs = freedAfterMs(
+  const blockedMs = timeToFreeMs(
     core,
     view,
     waitingAhead.length + 1,
@@ -206,24 +227,27 @@
   const ownMs =
     offer.kind === 'call'
       ? item.serviceMs
-      : ownPrefillMs(core, offer, offer.promptTokens);
-  const leastMs = leastServiceMs(core, offer);
+      : prefillTimeMs(core, offer, offer.promptTokens);
+  const minMs = minServiceMs(core, offer);
   return {
     firstTokenMs: waitMs + ownMs,
     endMs: waitMs + item.serviceMs,
-    leastEndMs: waitMs + leastMs,
-    leastAloneMs: leastMs,
+    minEndMs: waitMs + minMs,
+    minAloneMs: minMs,
   };
 }
 
-/** Time until so much memory is free, as predicted. */
-export function memoryFreeMs(core: SideCore, memoryTokens: number): number {
-  const view = viewOf(core, [], new Map());
-  return freedAfterMs(core, view, 0, memoryTokens);
+/** Predicted time until so much memory is free. */
+export function timeToFreeMemoryMs(
+  core: SideCore,
+  memoryTokens: number,
+): number {
+  const view = toQueueView(core, [], new Map());
+  return timeToFreeMs(core, view, 0, memoryTokens);
 }
 
-/** Time until a place is free, as predicted. */
-export function placeFreeMs(core: SideCore): number {
-  const view = viewOf(core, [], new Map());
-  return freedAfterMs(core, view, 1, 0);
+/** Predicted time until a slot is free. */
+export function timeToFreeSlotMs(core: SideCore): number {
+  const view = toQueueView(core, [], new Map());
+  return timeToFreeMs(core, view, 1, 0);
 }
--- a/src/side/scheduler.ts
+++ b/src/side/scheduler.ts
@@ -1,21 +1,25 @@
-/** Starts waiting runs as the queue policy says, and logs each decision. */
+/**
+ * Starts waiting runs in the order of the queue policy and logs each decision.
+ */
 import {SIDE_EVENTS} from '../utils/events.js';
-import type {SideCore} from './core.js';
-import {isUpstreamDown} from './core.js';
+import type {SideCore} from './side_core.js';
+import {isUpstreamDown} from './side_core.js';
 import type {FairShares} from './fair_shares.js';
 import type {Lifecycle} from './lifecycle.js';
-import {itemOf, viewOf} from './prediction.js';
+import {toQueueItem, toQueueView} from './prediction.js';
 import type {QueueChoice, QueueView} from './queue_policy.js';
 import type {Run} from './run.js';
 import type {UpstreamRunner} from './upstream_runner.js';
 
+/** Starts runs on the upstream. */
 export interface Scheduler {
-  /** Starts all that may start now. */
-  run(): void;
-  /** Starts a member of a group, whose memory is reserved already. */
+  /** Starts all waiting runs that may start now. */
+  startEligible(): void;
+  /** Starts a member or lead of a group, whose memory is reserved already. */
   startReserved(run: Run): void;
 }
 
+/** Creates the scheduler of one side. */
 export function createScheduler(
   core: SideCore,
   shares: FairShares,
@@ -24,7 +28,8 @@
 ): Scheduler {
   const {ctx, table} = core;
 
-  const isLate = (run: Run) => {
+  /** Fails a run whose time limit has passed; returns whether it did. */
+  const failIfLate = (run: Run) => {
     if (ctx.clock.now() < run.deadlineAt) return false;
     lifecycle.fail(run, {
       code: 'deadline-exceeded',
@@ -67,7 +72,7 @@
   const startNext = (): boolean => {
     const waiting = queued().filter(run => run.offer.group === undefined);
     if (waiting.length === 0) return false;
-    const view = viewOf(core, waiting, shares.served());
+    const view = toQueueView(core, waiting, shares.served());
     const choice = core.options.queuePolicy.choose(view);
     const run = choice && table.get(choice.dispatchId);
     if (choice === undefined || run === undefined) return false;
@@ -76,20 +81,21 @@
   };
 
   return {
-    run: () => {
-      for (const run of queued()) isLate(run);
+    startEligible: () => {
+      for (const run of queued()) failIfLate(run);
       if (isUpstreamDown(core)) return;
       while (startNext());
     },
     startReserved: run => {
-      if (isLate(run)) return;
-      const view = viewOf(core, [run], shares.served());
+      if (failIfLate(run)) return;
+      const view = toQueueView(core, [run], shares.served());
       const choice = {
         dispatchId: run.id,
-        // By the policy as for any other run: a group's long prefill with the
-        // bare priority of a short prompt would stop short ones on its lead.
+        // The policy sets the priority as for any other run. With its declared
+        // priority alone, the long prefill of a group would block short prompts
+        // on the lead's engine.
         enginePriority: core.options.queuePolicy.enginePriority(
-          itemOf(core, run),
+          toQueueItem(core, run),
         ),
         reason: 'group',
       };
--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -2,7 +2,7 @@
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
 import {createCallTimes} from '../../src/direct/call_times.js';
-import {chooseForCall} from '../../src/direct/decide/choose_call.js';
+import {chooseCallReplica} from '../../src/direct/decide/choose_call_replica.js';
 import {emptyLoad} from '../../src/direct/replica_load.js';
 import type {DirectReplica} from '../../src/direct/types.js';
 import {createSeededRandom} from '../../standins/seeded_random.js';
@@ -78,7 +78,7 @@
     for (let call = 0; call < CALLS; call++) {
       clock.advance(BETWEEN_MS);
       const well = replicas.filter(({id}) => !health.isSuspect(id));
-      const chosen = chooseForCall(
+      const chosen = chooseCallReplica(
         well.map(replica => ({
           replica,
           load: emptyLoad(replica.id),
@@ -126,10 +126,10 @@
 describe('the usual time of a call', () => {
   test('is learned by service', () => {
     const times = createCallTimes();
-    for (let call = 0; call < 200; call++) times.took('fast', 5);
-    times.took('slow', 400);
-    expect(times.usualMs('fast')).toBeCloseTo(5);
-    expect(times.usualMs('slow')).toBe(400);
-    expect(times.usualMs('unknown')).toBe(50);
+    for (let call = 0; call < 200; call++) times.record('fast', 5);
+    times.record('slow', 400);
+    expect(times.meanMs('fast')).toBeCloseTo(5);
+    expect(times.meanMs('slow')).toBe(400);
+    expect(times.meanMs('unknown')).toBe(50);
   });
 });
--- a/test/direct/parts.test.ts
+++ b/test/direct/parts.test.ts
@@ -1,15 +1,15 @@
-/** The small parts of the direct path, each by itself. */
+/** Small modules of the direct path, each tested alone. */
 import {describe, expect, test} from 'vitest';
 import {createEventSplitter} from '../../src/direct/event_splitter.js';
 import {createStoreEvidence} from '../../src/direct/evidence.js';
-import {createFleet} from '../../src/direct/fleet.js';
+import {createReplicaTable} from '../../src/direct/replica_table.js';
 import {
   plainCallAssignment,
   createLoadTracker,
 } from '../../src/direct/load_tracker.js';
 import {packLoads, unpackLoads} from '../../src/direct/load_codec.js';
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
-import {drawService} from '../../src/direct/route_table.js';
+import {pickService} from '../../src/direct/route_table.js';
 import type {DirectReplica, Route} from '../../src/direct/types.js';
 import {createBoundedSink} from '../../src/utils/bounded_sink.js';
 import {createMetrics} from '../../src/utils/metrics.js';
@@ -17,7 +17,7 @@
 import type {VirtualClock} from '../../standins/virtual_clock.js';
 
 describe('events of a stream', () => {
-  test('come whole, however the bytes are cut', () => {
+  test('are whole wherever the bytes are split', () => {
     const text = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata';
     for (let cut = 1; cut < text.length; cut++) {
       const splitter = createEventSplitter();
@@ -25,13 +25,13 @@
         splitter.push(Buffer.from(piece)),
       );
       expect(events.map(({id}) => id)).toEqual([1, 2]);
-      expect(splitter.rest()).toBe('id: 3\ndata'.length);
+      expect(splitter.pendingBytes()).toBe('id: 3\ndata'.length);
     }
   });
 });
 
 describe('evidence for keys', () => {
-  test('grows old on the monotonic clock, and falls with a suspension', async () => {
+  test('expires on the monotonic clock, and after a suspension', async () => {
     const clock = createVirtualClock();
     let wallAhead = 0;
     const evidence = createStoreEvidence(
@@ -45,7 +45,7 @@
     await clock.advance(500);
     wallAhead = 5_000;
     expect(evidence.isFresh()).toBe(false);
-    // Sent before the suspension was noticed: says nothing of the time since.
+    // Sent before the suspension was noticed, so it proves nothing since then.
     evidence.confirm(clock.now() - 1, clock.now() - 1);
     expect(evidence.isFresh()).toBe(false);
     await clock.advance(1);
@@ -57,7 +57,7 @@
 });
 
 describe('the load of a replica', () => {
-  test('is that of all entries, as long as they are heard of', async () => {
+  test('includes the loads of other entries until their reports expire', async () => {
     const clock = createVirtualClock();
     const changes: string[] = [];
     const book = createLoadTracker(clock, change => changes.push(change));
@@ -73,8 +73,8 @@
   });
 });
 
-describe('a load that travels', () => {
-  test('arrives as it was, also without a limit on pauses', () => {
+describe('an encoded load', () => {
+  test('decodes to the same value, also without a pause objective', () => {
     const loads = [
       {
         replicaId: 'r',
@@ -105,15 +105,15 @@
     leaving: false,
   });
   const fleetOn = (clock: VirtualClock) =>
-    createFleet({
+    createReplicaTable({
       clock,
-      onGone: () => undefined,
+      onRemoved: () => undefined,
       onRestarted: () => undefined,
     });
-  const ids = (fleet: ReturnType<typeof createFleet>) =>
-    fleet.serving('s').map(({id}) => id);
+  const ids = (fleet: ReturnType<typeof createReplicaTable>) =>
+    fleet.availableFor('s').map(({id}) => id);
 
-  test('that lapsed in an outage serve for a while, those removed do not', async () => {
+  test('that expired in an outage serve for a while, removed ones do not', async () => {
     const clock = createVirtualClock();
     const fleet = fleetOn(clock);
     fleet.setAll(new Map([['a', replica('a')]]));
@@ -124,11 +124,11 @@
     expect(ids(fleet)).toEqual([]);
     await clock.advance(5_000);
     fleet.setAll(new Map([['b', replica('b')]]));
-    fleet.change(new Map([['b', undefined]]));
+    fleet.applyChanges(new Map([['b', undefined]]));
     expect(ids(fleet)).toEqual([]);
   });
 
-  test('are left alone for longer the more often they fail', async () => {
+  test('are avoided for longer the more often they fail', async () => {
     const clock = createVirtualClock();
     const health = createReplicaHealth(clock);
     health.failed('a');
@@ -139,7 +139,7 @@
     expect(health.isSuspect('a')).toBe(false);
   });
 
-  test('that were slow are tried again in time', async () => {
+  test('that were slow lose that mark with time', async () => {
     const clock = createVirtualClock();
     const health = createReplicaHealth(clock);
     for (let at = 0; at < 10; at++) health.answered('a', 800, 100);
@@ -150,14 +150,14 @@
 });
 
 describe('a split route', () => {
-  test('gives services their share', () => {
+  test('gives each service its share of the requests', () => {
     const route = {
       targets: [
         {service: 'a', weight: 90},
         {service: 'b', weight: 10},
       ],
     } as unknown as Route;
-    expect([0, 0.89, 0.9, 0.99].map(at => drawService(route, at))).toEqual([
+    expect([0, 0.89, 0.9, 0.99].map(at => pickService(route, at))).toEqual([
       'a',
       'a',
       'b',
@@ -167,9 +167,9 @@
 });
 
 describe('log lines', () => {
-  // Nobody reads the pipe. The process goes on, keeps a bounded number of
-  // lines, failures before others, and counts what it dropped.
-  test('are bounded when nobody reads them', () => {
+  // The pipe is not read. The process keeps running with a bounded number of
+  // lines, prefers failures to other lines, and counts dropped ones.
+  test('are bounded when the pipe is not read', () => {
     const metrics = createMetrics();
     const sink = createBoundedSink(metrics, () => undefined);
     const line = (level: string) =>
--- a/test/direct/restored_store.test.ts
+++ b/test/direct/restored_store.test.ts
@@ -3,7 +3,7 @@
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createConfigProof} from '../../src/direct/config_proof.js';
 import {createPeerConfirmation} from '../../src/direct/peer_confirmation.js';
-import {createFleet} from '../../src/direct/fleet.js';
+import {createReplicaTable} from '../../src/direct/replica_table.js';
 import {createStoreEraTracker} from '../../src/direct/store_era_tracker.js';
 import type {DirectReplica, PeerAnswer} from '../../src/direct/types.js';
 import {DIRECT_EVENTS} from '../../src/utils/events.js';
@@ -39,13 +39,13 @@
 
   function createTable(...replicas: readonly DirectReplica[]) {
     const clock = createVirtualClock();
-    const fleet = createFleet({
+    const fleet = createReplicaTable({
       clock,
-      onGone: () => undefined,
+      onRemoved: () => undefined,
       onRestarted: () => undefined,
     });
     fleet.setAll(byName(...replicas));
-    const names = () => fleet.serving('pool').map(({name}) => name);
+    const names = () => fleet.availableFor('pool').map(({name}) => name);
     return {clock, fleet, names};
   }
 
@@ -54,10 +54,10 @@
   test('stay unused when they were leaving', async () => {
     const {clock, fleet, names} = createTable(replica('a'), replica('b', true));
     await clock.runFor(100);
-    fleet.restored();
+    fleet.storeRestored();
     fleet.setAll(byName(replica('a'), replica('b')));
     expect(names()).toEqual(['a']);
-    fleet.change(byName(replica('b', true)));
+    fleet.applyChanges(byName(replica('b', true)));
     await clock.runFor(DOUBT_MS);
     expect(names()).toEqual(['a']);
   });
@@ -65,9 +65,9 @@
   // The copy lists a replica that has gone, until its record expires there.
   test('stay gone when they were gone', async () => {
     const {clock, fleet, names} = createTable(replica('a'), replica('b'));
-    fleet.change(new Map([['b', undefined]]));
+    fleet.applyChanges(new Map([['b', undefined]]));
     await clock.runFor(100);
-    fleet.restored();
+    fleet.storeRestored();
     fleet.setAll(byName(replica('a'), replica('b')));
     expect(names()).toEqual(['a']);
     fleet.setAll(byName(replica('a')));
@@ -77,10 +77,10 @@
 
   test('are used again as soon as they write their record themselves', () => {
     const {fleet, names} = createTable(replica('a'), replica('b'));
-    fleet.change(new Map([['b', undefined]]));
-    fleet.restored();
+    fleet.applyChanges(new Map([['b', undefined]]));
+    fleet.storeRestored();
     fleet.setAll(byName(replica('a'), replica('b')));
-    fleet.change(byName(replica('b')));
+    fleet.applyChanges(byName(replica('b')));
     expect(names().sort()).toEqual(['a', 'b']);
   });
 
@@ -88,7 +88,7 @@
   // reporting counts in the end.
   test('are used again when the store keeps listing them', async () => {
     const {clock, fleet, names} = createTable(replica('a'), replica('b', true));
-    fleet.restored();
+    fleet.storeRestored();
     fleet.setAll(byName(replica('a'), replica('b')));
     await clock.runFor(DOUBT_MS);
     expect(names().sort()).toEqual(['a', 'b']);
@@ -98,7 +98,7 @@
   // again within two seconds.
   test('stay in use for a while when the copy lists none of them', () => {
     const {fleet, names} = createTable(replica('a'));
-    fleet.restored();
+    fleet.storeRestored();
     fleet.setAll(new Map());
     expect(names()).toEqual(['a']);
   });
