--- a/src/direct/evidence.ts
+++ b/src/direct/evidence.ts
@@ -51,6 +51,7 @@
   confirm(asOf: number, askedAt: number): void;
   /** Age of the newest evidence, in milliseconds; infinite without any. */
   ageMs(): number;
+  /** Whether the evidence is recent enough to accept keys. */
   isFresh(): boolean;
 }
 
--- a/src/direct/handover.ts
+++ b/src/direct/handover.ts
@@ -22,7 +22,9 @@
 import type {StoreState} from './messages.js';
 import type {EntryAddress} from './types.js';
 
+/** Path of the newest configuration. */
 const CONFIG_PATH = '/config';
+/** Path of the known replicas. */
 const REPLICAS_PATH = '/replicas';
 const NOT_FOUND = 404;
 /**
--- a/src/direct/messages.ts
+++ b/src/direct/messages.ts
@@ -11,6 +11,7 @@
 
 /** Messages to the front, which serves callers. */
 export type DirectMessage =
+  /** A newer configuration. */
   | {readonly kind: 'config'; readonly config: DirectConfig}
   /**
    * The configuration is known to be the newest as of `asOf`; see
@@ -21,21 +22,25 @@
       readonly asOf: number;
       readonly askedAt: number;
     }
+  /** All known replicas, by name. */
   | {
       readonly kind: 'replicas';
       readonly replicas: ReadonlyMap<string, DirectReplica>;
     }
+  /** Replicas that changed, by name; an undefined value marks a removed one. */
   | {
       readonly kind: 'replica-changes';
       readonly replicas: ReadonlyMap<string, DirectReplica | undefined>;
     }
   /** Until this time only a peer's answer can confirm keys. */
   | {readonly kind: 'keys-unconfirmed'; readonly until: number}
+  /** A call to the store failed, so records of replicas may have expired. */
   | {readonly kind: 'store-failed'}
   /** The store was restored from an older copy. */
   | {readonly kind: 'store-restored'}
   /** Asks for the age of the newest evidence for keys, in milliseconds. */
   | {readonly kind: 'evidence-age'; readonly reply: (ageMs: number) => void}
+  /** The complete load that a peer reported. */
   | {
       readonly kind: 'peer-load';
       readonly node: string;
@@ -48,11 +53,15 @@
       readonly kind: 'crash-reports';
       readonly reports: readonly CrashReport[];
     }
+  /** The quarantine record with this digest was removed. */
   | {readonly kind: 'quarantine-released'; readonly digest: string}
   /** Number of live entries, including this one. */
   | {readonly kind: 'entries'; readonly count: number}
+  /** Asks whether this entry is ready to serve callers. */
   | {readonly kind: 'ready'; readonly reply: (ready: boolean) => void}
+  /** Asks for the number of open requests. */
   | {readonly kind: 'count'; readonly reply: (open: number) => void}
+  /** Starts to drain; replies when requests have ended or the grace is over. */
   | {readonly kind: 'drain'; readonly reply: () => void};
 
 /** Messages to the service that follows the store. */
--- a/src/direct/peer_confirmation.ts
+++ b/src/direct/peer_confirmation.ts
@@ -93,6 +93,7 @@
 }
 
 export interface PeerConfirmation {
+  /** Whether a peer confirmed recently that both know the same. */
   isActive(): boolean;
   /** Whether a peer answers queries, whatever it knows. */
   isPeerAnswering(): boolean;
--- a/src/direct/peer_queries.ts
+++ b/src/direct/peer_queries.ts
@@ -31,10 +31,12 @@
 }
 
 export interface PeerQueries {
+  /** Replies with undefined when no peer answers in time. */
   query(
     anyPeer: boolean,
     reply: (answer: PeerAnswer | undefined) => void,
   ): void;
+  /** Completes the open query that the datagram answers, if there is one. */
   handleAnswer(datagram: AnswerDatagram): void;
 }
 
--- a/src/direct/settings.ts
+++ b/src/direct/settings.ts
@@ -16,6 +16,7 @@
 import {Left, Right} from 'purify-ts/Either';
 import type {Either} from 'purify-ts';
 
+/** Format of addresses, as error messages name it. */
 const ADDRESS_FORMAT = 'IP:PORT';
 
 /** Value of `role` in a direct entry's settings file. */
@@ -73,6 +74,7 @@
     ratio: number,
     /** Retries allowed beyond that share in one window, over all entries. */
     slack: number,
+    /** Length of the window, in seconds. */
     windowS: number,
   }),
 });
