--- a/src/direct/decide/score_engine.ts
+++ b/src/direct/decide/score_engine.ts
@@ -5,7 +5,7 @@
  * prompt is scored for many group sizes, and an entry may have only a quarter of
  * a core.
  */
-import type {Reader, ReplicaLoad} from '../replica_load.js';
+import type {PrefillingRequest, ReplicaLoad} from '../replica_load.js';
 import type {DirectReplica, EngineFigures} from '../types.js';
 import {passMs} from './engine_timing.js';
 import {firstEventLoss, pauseLoss, slackRisk} from './waiting_loss.js';
@@ -38,7 +38,7 @@
   /** Prefill that is queued or running, in milliseconds. */
   readonly backlogMs: number;
   /** Requests whose prompts are being prefilled, or wait for it. */
-  readonly readers: readonly Reader[];
+  readonly readers: readonly PrefillingRequest[];
   /** Time of one pass while the request decodes, in milliseconds. */
   readonly passMs: number;
   /** Expected wait for a request slot, in milliseconds. */
@@ -181,7 +181,10 @@
 }
 
 /** Loss of the waiting prompts before which a group part is prefilled. */
-function readersLoss(readers: readonly Reader[], addedMs: number): number {
+function readersLoss(
+  readers: readonly PrefillingRequest[],
+  addedMs: number,
+): number {
   let sum = 0;
   for (const {slackMs, marginMs, weight} of readers) {
     const before = slackRisk(slackMs, marginMs);
--- a/src/direct/front.ts
+++ b/src/direct/front.ts
@@ -135,7 +135,7 @@
     unusedMs: options.unusedMs,
     isDraining: () => isDraining,
     shareLoads: (loads, isLong) =>
-      ctx.send('sharing', {kind: 'load', loads, hasLongRead: isLong}),
+      ctx.send('sharing', {kind: 'load', loads, hasLongPrefill: isLong}),
     shareCrashReports: reports =>
       ctx.send('sharing', {kind: 'crash-reports', reports, toAll: true}),
     quarantine: {
--- a/src/direct/messages.ts
+++ b/src/direct/messages.ts
@@ -11,6 +11,7 @@
 
 /** Messages to the front, which serves callers. */
 export type DirectMessage =
+  /** A newer configuration. */
   | {readonly kind: 'config'; readonly config: DirectConfig}
   /**
    * The configuration is known to be the newest as of `asOf`; see
@@ -21,21 +22,25 @@
       readonly asOf: number;
       readonly askedAt: number;
     }
+  /** All known replicas, by name. */
   | {
       readonly kind: 'replicas';
       readonly replicas: ReadonlyMap<string, DirectReplica>;
     }
+  /** Replicas that changed, by name; an undefined value marks a removed one. */
   | {
       readonly kind: 'replica-changes';
       readonly replicas: ReadonlyMap<string, DirectReplica | undefined>;
     }
-  /** Until this time only another entry's answer can confirm keys. */
+  /** Until this time only a peer's answer can confirm keys. */
   | {readonly kind: 'keys-unconfirmed'; readonly until: number}
+  /** A call to the store failed, so records of replicas may have expired. */
   | {readonly kind: 'store-failed'}
   /** The store was restored from an older copy. */
   | {readonly kind: 'store-restored'}
   /** Asks for the age of the newest evidence for keys, in milliseconds. */
   | {readonly kind: 'evidence-age'; readonly reply: (ageMs: number) => void}
+  /** The complete load that a peer reported. */
   | {
       readonly kind: 'peer-load';
       readonly node: string;
@@ -43,23 +48,27 @@
       /** See `LoadTracker.setPeerLoad`. */
       readonly keepMs: number;
     }
-  /** Another entry or the store reports requests that crash replicas. */
+  /** A peer or the store reports requests that crash replicas. */
   | {
       readonly kind: 'crash-reports';
       readonly reports: readonly CrashReport[];
     }
+  /** The quarantine record with this digest was removed. */
   | {readonly kind: 'quarantine-released'; readonly digest: string}
   /** Number of live entries, including this one. */
   | {readonly kind: 'entries'; readonly count: number}
+  /** Asks whether this entry is ready to serve callers. */
   | {readonly kind: 'ready'; readonly reply: (ready: boolean) => void}
+  /** Asks for the number of open requests. */
   | {readonly kind: 'count'; readonly reply: (open: number) => void}
+  /** Starts to drain; replies when requests have ended or the grace is over. */
   | {readonly kind: 'drain'; readonly reply: () => void};
 
 /** Messages to the service that follows the store. */
 export type StoreFollowerMessage =
   /**
-   * Asks the store and another entry at once whether the configuration is still
-   * the newest.
+   * Asks the store and a peer at once whether the configuration is still the
+   * newest.
    */
   | {readonly kind: 'confirm'}
   /** The front restarted and needs the current state again. */
@@ -126,18 +135,15 @@
       ) => void;
     };
 
-/** Messages to the service that exchanges datagrams with other entries. */
+/** Messages to the service that exchanges datagrams with peers. */
 export type SharingMessage =
   | {
       readonly kind: 'load';
       readonly loads: readonly ReplicaLoad[];
-      /** Whether the change added a long prompt read. */
-      readonly hasLongRead: boolean;
+      /** Whether the change added a long prefill. */
+      readonly hasLongPrefill: boolean;
     }
-  /**
-   * Sends crash reports to all other entries, or to one live entry chosen at
-   * random.
-   */
+  /** Sends crash reports to all peers, or to one live peer chosen at random. */
   | {
       readonly kind: 'crash-reports';
       readonly reports: readonly CrashReport[];
@@ -150,26 +156,24 @@
   | {readonly kind: 'store-restored'}
   /** The front restarted and needs the current state again. */
   | {readonly kind: 'resend-state'}
-  /**
-   * This entry takes no new work and must no longer be found by other entries.
-   */
+  /** This entry takes no new work and must no longer be found by peers. */
   | {readonly kind: 'draining'}
-  /** Asks whether a known entry has this IP address. */
+  /** Asks whether a known peer has this IP address. */
   | {
       readonly kind: 'is-entry';
       readonly ip: string;
       readonly reply: (is: boolean) => void;
     }
   /**
-   * Queries another entry's knowledge of the store; replies with undefined when
-   * none answers.
+   * Queries a peer's knowledge of the store; replies with undefined when none
+   * answers.
    */
   | {
       readonly kind: 'query-peer';
       /**
-       * Whether entries may be asked that in turn rely on this entry's answers.
-       * This is wanted when the store refuses this entry, because the entries
-       * that it would usually ask may be gone.
+       * Whether peers may be queried that in turn rely on this entry's answers.
+       * This is needed when the store refuses this entry, because the peers
+       * that it usually queries may be gone.
        */
       readonly anyPeer: boolean;
       readonly reply: (answer: PeerAnswer | undefined) => void;
--- a/src/direct/request_placement.ts
+++ b/src/direct/request_placement.ts
@@ -93,7 +93,7 @@
       addresses.map(address => ({address, reservation: undefined})),
     firstEventMs: plan.firstEventMs,
     firstEventReceived: tookMs => {
-      openWork.forEach(work => work.markPromptRead());
+      openWork.forEach(work => work.markPrefilled());
       if (helpers.length > 0) return;
       ctx.health.answered(lead.replica.id, tookMs, plan.firstEventMs);
     },
@@ -128,7 +128,7 @@
   const {lead, helpers, partPrefillMs, partTokens} = plan;
   const totalTokens = facts.promptTokens + answerTokens(facts);
   const shared = {
-    readMs: partPrefillMs,
+    prefillMs: partPrefillMs,
     expectedMs: plan.firstEventMs,
     aimLeftMs: route.aimMs - exchange.elapsedMs(),
     aimMarginMs: aimMarginMs(route.aimMs),
--- a/src/direct/settings.ts
+++ b/src/direct/settings.ts
@@ -16,6 +16,7 @@
 import {Left, Right} from 'purify-ts/Either';
 import type {Either} from 'purify-ts';
 
+/** Format of addresses, as error messages name it. */
 const ADDRESS_FORMAT = 'IP:PORT';
 
 /** Value of `role` in a direct entry's settings file. */
@@ -40,7 +41,7 @@
    * lost. @default false
    */
   bootstrap: optional(boolean),
-  /** UDP ports on which other entries reach this one. */
+  /** UDP ports on which peers reach this one. */
   peerPorts: array(number),
   store: Codec.interface({address: string}),
   limits: Codec.interface({memoryMb: number, maxDescriptors: number}),
@@ -73,6 +74,7 @@
     ratio: number,
     /** Retries allowed beyond that share in one window, over all entries. */
     slack: number,
+    /** Length of the window, in seconds. */
     windowS: number,
   }),
 });
