--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -1,4 +1,4 @@
-/** Calls at plain services that fail by themselves or break off. */
+/** Calls at plain services that fail or whose connection breaks. */
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
 import {createCallTimes} from '../../src/direct/call_times.js';
@@ -16,7 +16,7 @@
 import {callEntry, startDirectFleet} from '../support/direct_fleet.js';
 import type {DirectFleet} from '../support/direct_fleet.js';
 
-describe('a call that may be repeated', () => {
+describe('a retried call', () => {
   let fleet: DirectFleet;
   beforeEach(async () => {
     fleet = await startDirectFleet({desk: 1});
@@ -35,41 +35,38 @@
     };
   };
 
-  // Its kind fails by itself in one try of seven, and one replica is left of
-  // three. The caller got that replica's failure, though a second try there
-  // would have been answered.
-  test('is tried again at the only replica there is', async () => {
+  // Guards against returning a failure to the caller although a second attempt
+  // at the only remaining replica would have succeeded.
+  test('is sent to the same replica again when there is no other', async () => {
     fleet.desk[0].behave(failing(1));
     expect((await callEntry(fleet, '/again/')).status).toBe(200);
     expect(fleet.desk[0].arrivals).toHaveLength(2);
   });
 
-  // All tries fail. The caller gets the replica's own failure, after as many
-  // tries as the route has.
-  test('ends with the failure after the tries that the route has', async () => {
+  // All attempts fail, so the caller gets the replica's own error response.
+  test("returns the failure after the route's maximum of attempts", async () => {
     fleet.desk[0].behave(failing(9));
     const answer = await callEntry(fleet, '/again/');
     expect([answer.status, answer.body]).toEqual([500, 'failed']);
     expect(fleet.desk[0].arrivals).toHaveLength(2);
   });
 
-  // The replica takes the call and breaks off. It may have run there, and may
-  // not run again.
-  test('is not, where it may run once only', async () => {
+  // The replica closes the connection after it got the call, which may have run.
+  test('is not sent again when it may run only once', async () => {
     fleet.desk[0].behave(breakOff);
     expect((await callEntry(fleet, '/once/')).status).toBe(502);
     expect(fleet.desk[0].arrivals).toHaveLength(1);
   });
 });
 
-describe('a replica that breaks off a third of its answers', () => {
+describe('a replica that breaks a third of its connections', () => {
   const replicas = ['a', 'b', 'c'].map(
     id => ({id, places: 6, failureDomain: 'd'}) as DirectReplica,
   );
   const CALLS = 600;
   const BETWEEN_MS = 60;
 
-  /** Share of calls that were broken off; replica `a` is the bad one. */
+  /** Returns the share of calls that broke; replica `a` is the faulty one. */
   function replay(seed: number, sees: (brokenShare: number) => number): number {
     const random = createSeededRandom(seed);
     const clock = createVirtualClock();
@@ -104,16 +101,15 @@
     return broken / CALLS;
   }
 
-  // Calls that may run once come every 60 ms. Each one that breaks off is lost;
-  // between two failures come successes, which end the suspicion, so the bad
-  // replica got nearly its third of all calls.
+  // Successes between two failures reset the suspicion. Without the share of
+  // failures the faulty replica got nearly a third of all calls.
   test.each([1, 2, 3])('gets few calls, seed %i', seed => {
     const unseen = replay(seed, () => 0);
     const seen = replay(seed, share => share);
     expect(seen).toBeLessThan(unseen / 3);
   });
 
-  test('is tried again once its failures are long past', () => {
+  test('gets calls again long after its last failure', () => {
     const clock = createVirtualClock();
     const health = createReplicaHealth(clock);
     for (let at = 0; at < 5; at++) health.failed('a');
@@ -123,8 +119,8 @@
   });
 });
 
-describe('the usual time of a call', () => {
-  test('is learned by service', () => {
+describe('the mean duration of a call', () => {
+  test('is learned for each service', () => {
     const times = createCallTimes();
     for (let call = 0; call < 200; call++) times.record('fast', 5);
     times.record('slow', 400);
--- a/test/direct/draining.test.ts
+++ b/test/direct/draining.test.ts
@@ -1,4 +1,4 @@
-/** An entry that is told to end, and replicas that leave. */
+/** Draining an entry, and replicas that leave. */
 import {Agent} from 'node:http';
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {streamTo} from '../../standins/users_platform/replica.js';
@@ -15,9 +15,9 @@
 const HEADERS = {'X-Token-Usage': '1000,100'};
 
 describe('a draining entry', () => {
-  // The signal comes while a stream runs. The entry says at once that it is not
-  // ready, still serves whoever has not heard of it, and ends after the stream.
-  test('gives every request it has read its whole answer', async () => {
+  // The drain starts during a stream. The entry still serves new requests for a
+  // while and ends after the stream.
+  test('answers every request that it has read completely', async () => {
     for (const replica of fleet.pool) replica.behave(streamTo(40, 20));
     const running = callEntry(fleet, '/stream/a', {headers: HEADERS});
     await until(() => fleet.pool.some(it => it.arrivals.length > 0));
@@ -31,12 +31,10 @@
   });
 });
 
-describe('a kept connection of a draining entry', () => {
-  // The head of an answer went out before the signal and promised to keep the
-  // connection. The caller would send its next request on it long after new
-  // connections are refused, too late for a whole answer. So the connection
-  // ends with the answer.
-  test('ends with the answer that was under way at the signal', async () => {
+describe('a keep-alive connection of a draining entry', () => {
+  // The headers announced keep-alive before the drain. A later request on the
+  // connection could come too late for a complete answer.
+  test('is closed after the answer that was being sent', async () => {
     for (const replica of fleet.pool) replica.behave(streamTo(20, 10));
     const agent = new Agent({keepAlive: true, maxSockets: 1});
     const running = callEntry(fleet, '/stream/a', {headers: HEADERS, agent});
@@ -50,7 +48,7 @@
 });
 
 describe('a replica that leaves', () => {
-  test('gets no new work once the store tells of it', async () => {
+  test('gets no new work once the store reports it as draining', async () => {
     const [leaving] = fleet.desk;
     announce(fleet.store, leaving, 'desk', 'draining');
     await new Promise(resolve => setTimeout(resolve, 100));
@@ -58,9 +56,9 @@
     expect(leaving.arrivals).toEqual([]);
   });
 
-  // The store was away, and the replicas' entries lapsed meanwhile. They are
-  // back within two seconds; until then requests go where they went before.
-  test('is still asked when its entry lapsed in an outage', async () => {
+  // Records may expire during an outage of the store although the replicas
+  // live. They are written again within two seconds.
+  test('is used for a while when its record expired in an outage', async () => {
     fleet.store.setMode('busy');
     await new Promise(resolve => setTimeout(resolve, 1_500));
     for (const {id} of fleet.desk) fleet.store.remove('servers', id);
--- a/test/direct/front_restarts.test.ts
+++ b/test/direct/front_restarts.test.ts
@@ -1,4 +1,4 @@
-/** What callers get after the service that takes their requests has failed. */
+/** Callers' requests after the service that accepts them failed and restarted. */
 import {createServer} from 'node:net';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {describe, expect, test} from 'vitest';
@@ -8,11 +8,11 @@
   startDirectFleet,
 } from '../support/direct_fleet.js';
 
-/** Longer than the store takes to tell the entry all that it has. */
+/** Longer than the entry takes to read everything from the store. */
 const HELD_MS = 1_000;
 
-describe('an entry whose front failed and was started again', () => {
-  // The process before it may still hold the callers' address for a moment.
+describe('an entry whose front end failed and restarted', () => {
+  // An earlier process may still be bound to the address for a moment.
   test('serves as soon as its address is free', async () => {
     const callers = await nextAddress();
     const [host, port] = callers.split(':');
--- a/test/direct/group_memory.test.ts
+++ b/test/direct/group_memory.test.ts
@@ -1,4 +1,4 @@
-/** Memory that a group's members set aside: for how long it is kept. */
+/** How long the memory is kept that a group's members have reserved. */
 import {describe, expect, test} from 'vitest';
 import {createGroups} from '../../src/direct/groups.js';
 import type {Group} from '../../src/direct/groups.js';
@@ -11,14 +11,14 @@
 import {createVirtualClock} from '../../standins/virtual_clock.js';
 import type {VirtualClock} from '../../standins/virtual_clock.js';
 
-/** Memory may be set aside for so long without a request that uses it. */
+/** Longest time for which memory may be reserved before it is used. */
 const UNUSED_MS = 9_000;
-/** Memory may stay set aside for so long after its last use. */
+/** Longest time for which memory may stay reserved after its last use. */
 const FREE_MS = 4_000;
 const HOLD_MS = 3_500;
 const ANSWER_MS = 2;
-/** After which an order without an answer is given up. */
-const SILENT_MS = 300;
+/** Timeout of an order that is not answered. */
+const ORDER_TIMEOUT_MS = 300;
 
 function replica(at: number): DirectReplica {
   return {
@@ -36,21 +36,21 @@
 const LEAD = replica(1);
 const HELPERS = [replica(2), replica(3)];
 
-/** Members that grant what is asked, on a clock of their own. */
-function rig() {
+/** Groups on a virtual clock, with members that grant every reservation. */
+function setUp() {
   const clock: VirtualClock = createVirtualClock();
-  /** When each reservation was set aside, and when it lapses. */
+  /** Start and expiry of each reservation. */
   const held = new Map<string, {readonly since: number; lapsesAt: number}>();
   let state: ReservationState = 'unused';
-  /** Members whose answers to orders are lost; the orders are carried out. */
-  const mute = new Set<string>();
+  /** Members whose answers to orders are lost; they still execute the orders. */
+  const unanswered = new Set<string>();
   let reports: 'whole' | 'without reservations' | 'members silent' = 'whole';
   const answer = <T>(value: T): Promise<T> =>
     new Promise(resolve => void clock.after(ANSWER_MS, () => resolve(value)));
   const answerOrder = (address: string): Promise<ReservationAnswer> =>
-    mute.has(address)
+    unanswered.has(address)
       ? new Promise(resolve => {
-          clock.after(SILENT_MS, () => resolve('unknown'));
+          clock.after(ORDER_TIMEOUT_MS, () => resolve('unknown'));
         })
       : answer('done');
   const isHeld = (id: string) => (held.get(id)?.lapsesAt ?? 0) > clock.now();
@@ -60,7 +60,7 @@
       [...held.keys()].filter(isHeld).map(id => [id, state]),
     ),
   });
-  const reportNow = (address: string): ReplicaReport | undefined => {
+  const currentReport = (address: string): ReplicaReport | undefined => {
     const isMember = address !== LEAD.address;
     if (reports === 'members silent' && isMember) return undefined;
     return reports === 'without reservations'
@@ -82,7 +82,7 @@
         return answerOrder(address);
       },
     },
-    readReport: address => answer(reportNow(address)),
+    readReport: address => answer(currentReport(address)),
     idPrefix: 'entry-1',
     holdMs: HOLD_MS,
     unusedMs: 2_000,
@@ -101,87 +101,86 @@
     clock,
     open,
     heldNow: () => [...held.keys()].filter(isHeld).length,
-    use: (next: ReservationState) => {
+    setState: (next: ReservationState) => {
       state = next;
     },
-    loseAnswersOf: ({address}: DirectReplica) => void mute.add(address),
-    tell: (next: typeof reports) => {
+    loseAnswersOf: ({address}: DirectReplica) => void unanswered.add(address),
+    setReports: (next: typeof reports) => {
       reports = next;
     },
   };
 }
 
 describe('memory of a group', () => {
-  // The lead answers for its state and never begins: its life is no sign of use.
-  test('is released in time when the lead lives and never begins', async () => {
-    const {clock, open, heldNow} = rig();
+  // The lead answers status requests, which does not show that memory is used.
+  test('is released in time when a live lead never starts', async () => {
+    const {clock, open, heldNow} = setUp();
     await open();
     expect(heldNow()).toBe(HELPERS.length);
     await clock.runFor(UNUSED_MS);
     expect(heldNow()).toBe(0);
   });
 
-  // A prompt of a million tokens is read for longer than memory may go unused.
-  test('is kept while a member says that it is used', async () => {
-    const {clock, open, heldNow, use} = rig();
+  // A prefill of a million tokens takes longer than the bound on unused memory.
+  test('is kept while a member reports that it is used', async () => {
+    const {clock, open, heldNow, setState} = setUp();
     await open();
-    use('used');
+    setState('used');
     await clock.runFor(2 * UNUSED_MS);
     expect(heldNow()).toBe(HELPERS.length);
   });
 
-  // The lead has ended the request and its connection has gone silent, so the
-  // entry does not hear of the end. The memory is used no more.
-  test('is released in time when it is used no longer', async () => {
-    const {clock, open, heldNow, use} = rig();
+  // The lead has ended the request, but its connection is dead, so the entry
+  // does not notice the end.
+  test('is released in time when it is no longer used', async () => {
+    const {clock, open, heldNow, setState} = setUp();
     await open();
-    use('used');
+    setState('used');
     await clock.runFor(UNUSED_MS);
-    use('unused');
+    setState('unused');
     await clock.runFor(FREE_MS);
     expect(heldNow()).toBe(0);
   });
 
-  // Members that answer nothing give no sign of use; the lead alone does not
-  // count, as one that hangs answers too.
+  // A live lead alone does not show use, since a hanging one answers as well.
   test('is released in time when no member answers', async () => {
-    const {clock, open, heldNow, tell} = rig();
+    const {clock, open, heldNow, setReports} = setUp();
     await open();
-    tell('members silent');
+    setReports('members silent');
     await clock.runFor(UNUSED_MS);
     expect(heldNow()).toBe(0);
   });
 
-  // One member's answers are lost: the look for use must not wait for them.
-  test('is released in time when a renewal stays unanswered', async () => {
-    const {clock, open, heldNow, loseAnswersOf} = rig();
+  // The check for use must not wait for the member whose answers are lost.
+  test('is released in time when a renewal is not answered', async () => {
+    const {clock, open, heldNow, loseAnswersOf} = setUp();
     await open();
     loseAnswersOf(HELPERS[0]);
     await clock.runFor(UNUSED_MS);
     expect(heldNow()).toBe(0);
   });
 
-  // As before, but the memory is used: what the other members hold must not
-  // lapse while one of them is asked again and again.
-  test('is kept at the others while one renewal stays unanswered', async () => {
-    const {clock, open, heldNow, use, loseAnswersOf} = rig();
+  // The memory is used. The leases of the other members must not expire while
+  // the renewal at one member is repeated.
+  test('is kept at the other members while one renewal is not answered', async () => {
+    const {clock, open, heldNow, setState, loseAnswersOf} = setUp();
     await open();
-    use('used');
+    setState('used');
     loseAnswersOf(HELPERS[0]);
     await clock.runFor(2 * UNUSED_MS);
     expect(heldNow()).toBe(HELPERS.length);
   });
 
-  test('is kept while the lead lives where replicas do not tell of use', async () => {
-    const {clock, open, heldNow, tell} = rig();
+  test('is kept while the lead is alive when replicas do not report use', async () => {
+    const {clock, open, heldNow, setReports} = setUp();
     await open();
-    tell('without reservations');
+    setReports('without reservations');
     await clock.runFor(2 * UNUSED_MS);
     expect(heldNow()).toBe(HELPERS.length);
   });
 
-  test('is kept while events come', async () => {
-    const {clock, open, heldNow} = rig();
+  test('is kept while events arrive', async () => {
+    const {clock, open, heldNow} = setUp();
     const group = await open();
     const stop = clock.every(100, () => group.noteActivity());
     await clock.runFor(2 * UNUSED_MS);
--- a/test/direct/groups.test.ts
+++ b/test/direct/groups.test.ts
@@ -1,4 +1,4 @@
-/** Prompts that are larger than one engine's memory, read and held by several. */
+/** Prompts larger than one engine's memory, served by a group of engines. */
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {headerCodec} from '../../platform/header_codec.js';
 import {DIRECT_EVENTS} from '../../src/utils/events.js';
@@ -13,21 +13,21 @@
 });
 afterEach(() => fleet.close());
 
-/** The bound of the fleet's settings, and the bench's slack. */
+/** The bound on unused memory in the fleet's settings, and a tolerance. */
 const FREE_MS = 2_000;
 const FREE_SLACK_MS = 500;
-/** Beyond the bound, and before silence ends the attempt. */
+/** Later than the bound, and earlier than the end of a silent attempt. */
 const FIRST_EVENT_MS = 2_500;
-/** Well before the next renewal. */
+/** Shorter than the time to the next renewal. */
 const AT_ONCE_MS = 300;
-/** One engine holds 10,000 tokens. */
+/** Prompt and answer tokens; one engine has memory for 10,000 tokens. */
 const LARGE = {'X-Token-Usage': '18000,100'};
 const stream = () => callEntry(fleet, '/stream/a', {headers: LARGE});
 const held = () => fleet.pool.reduce((sum, it) => sum + it.held.size, 0);
 const orders = () => fleet.pool.flatMap(it => it.orders);
 
-describe('a prompt over the memory of one engine', () => {
-  test('runs on a group whose memory is set aside first', async () => {
+describe('a prompt larger than the memory of one engine', () => {
+  test('runs on a group whose memory is reserved first', async () => {
     expect(await stream()).toMatchObject({status: 200, whole: true});
     const [arrival] = fleet.pool.flatMap(it => it.arrivals);
     const helpers = String(arrival.headers['x-helpers']).split(',');
@@ -37,13 +37,13 @@
     );
   });
 
-  test('leaves no memory set aside when it has ended', async () => {
+  test('leaves no memory reserved when it has ended', async () => {
     await stream();
     await until(() => held() === 0);
   });
 
-  // The caller leaves in the middle; the members' memory is released.
-  test('leaves no memory set aside when its caller leaves', async () => {
+  // The caller leaves in the middle of the stream.
+  test('leaves no memory reserved when its caller leaves', async () => {
     for (const replica of fleet.pool) replica.behave(streamTo(1_000, 20));
     await callEntry(fleet, '/stream/a', {
       headers: LARGE,
@@ -52,11 +52,9 @@
     await until(() => held() === 0);
   });
 
-  // The lead goes dark before its first event. Nothing resets the connection,
-  // and the aim of the route lets the entry wait for six seconds. Meanwhile the
-  // members hold memory for a request that runs nowhere: it must be free again
-  // within the bound on memory after its last use, two seconds here.
-  test('holds no memory for longer than the bound when its lead goes dark', async () => {
+  // Without a reset the entry waits six seconds for the first event. Memory must
+  // be free within the bound of two seconds after its last use.
+  test('holds no memory beyond the bound when its lead is unreachable', async () => {
     for (const replica of fleet.pool) replica.behave(() => undefined);
     const running = callEntry(fleet, '/long/a', {
       headers: {...LARGE, 'X-Deadline-Ms': '9000'},
@@ -71,8 +69,8 @@
     await running;
   });
 
-  // The lead lives and never begins; its caller must not wait for it.
-  test('goes on elsewhere when its lead lives and never begins', async () => {
+  // The lead is alive but never starts the request.
+  test('moves to another replica when a live lead never starts it', async () => {
     let lead: string | undefined;
     for (const replica of fleet.pool) {
       replica.answerState();
@@ -94,9 +92,9 @@
     expect(fleet.runtime.eventsOf(DIRECT_EVENTS.memoryUnused)).toHaveLength(1);
   });
 
-  // A large prompt is read for longer than memory may go unused. The members
-  // say that theirs is used, so it is kept until the events come.
-  test('keeps memory that is used while the first event is awaited', async () => {
+  // The prefill takes longer than the bound on unused memory, and the members
+  // report that their memory is used.
+  test('keeps its used memory until the first event', async () => {
     const used = new Set<string>();
     for (const replica of fleet.pool) {
       replica.answerState(used);
@@ -111,9 +109,8 @@
     expect(fleet.pool.flatMap(it => it.arrivals)).toHaveLength(1);
   });
 
-  // One member refuses. None of the others may be left holding memory for a
-  // group that does not run.
-  test('is set aside at all members or at none', async () => {
+  // One member refuses, so the others must not keep memory for the group.
+  test('reserves memory at all members or at none', async () => {
     let refusing: string | undefined;
     for (const replica of fleet.pool) {
       replica.answerOrders(({operation}) => {
@@ -126,8 +123,8 @@
     await until(() => held() === 0);
   });
 
-  // The entry fails between reserving and sending.
-  test('leaves no memory set aside when the entry fails to send', async () => {
+  // The entry fails after the reservation and before the dispatch.
+  test('leaves no memory reserved when the entry fails to send', async () => {
     const broken = await startDirectFleet({
       pool: 4,
       codec: {
@@ -145,9 +142,8 @@
     await broken.close();
   });
 
-  // A release gets no answer. The entry cannot know whether it came through, so
-  // it sends it again until one is answered.
-  test('is released again when a release is not answered', async () => {
+  // The entry cannot know whether an unanswered release was executed.
+  test('sends a release again that is not answered', async () => {
     const seen = new Set<string>();
     for (const replica of fleet.pool) {
       replica.answerOrders(({operation, id}) => {
@@ -160,9 +156,9 @@
     await until(() => seen.size > 0 && held() === 0);
   });
 
-  // A reservation gets no answer and comes true seconds after its release. The
-  // memory would stay set aside for nobody; it is released once more.
-  test('is released once more when a reservation comes true late', async () => {
+  // An unanswered reservation may be executed seconds after its release and
+  // would then hold memory that nobody uses.
+  test('repeats the release after an unanswered reservation', async () => {
     let lateId: string | undefined;
     for (const replica of fleet.pool) {
       replica.answerOrders(({operation, id}) => {
--- a/test/direct/lost_runs.test.ts
+++ b/test/direct/lost_runs.test.ts
@@ -1,4 +1,4 @@
-/** Whether a replica has ended under a run that broke off or was left. */
+/** Detecting that a replica ended during a run that broke or was cancelled. */
 import {describe, expect, test} from 'vitest';
 import type {PortState} from '../../src/direct/port_probe.js';
 import {createLostRuns} from '../../src/direct/lost_runs.js';
@@ -17,99 +17,99 @@
   places: 8,
   leaving: false,
 };
-const LOOKED_MS = 500;
+const PROBED_MS = 500;
 const LATE_MS = 6_000;
 
-function entry(dialled: PortState, isLeaving = false) {
+function setUp(portState: PortState, isLeaving = false) {
   const clock = createVirtualClock();
   const ended: string[] = [];
-  let dials = 0;
+  let probeCount = 0;
   const runs = createLostRuns({
     clock,
     probePort: () => {
-      dials++;
-      return Promise.resolve(dialled);
+      probeCount++;
+      return Promise.resolve(portState);
     },
     isLeaving: () => isLeaving,
     onEnded: digest => ended.push(digest),
   });
-  return {clock, runs, ended, dials: () => dials};
+  return {clock, runs, ended, probes: () => probeCount};
 }
 
-describe('a replica under a run that broke off', () => {
+describe('a replica whose connection broke during a run', () => {
   test('has ended when it refuses connections', async () => {
-    const {clock, runs, ended, dials} = entry('refused');
+    const {clock, runs, ended, probes} = setUp('refused');
     runs.runBroken(A, REPLICA);
     runs.runBroken(B, REPLICA);
-    await clock.runFor(LOOKED_MS);
+    await clock.runFor(PROBED_MS);
     expect(ended).toEqual([A, B]);
-    expect(dials()).toBe(1);
+    expect(probes()).toBe(1);
   });
 
-  // Answers are cut, connections are reset: the replica lives on.
+  // Network faults also truncate answers and reset connections.
   test('has not ended when it listens', async () => {
-    const {clock, runs, ended} = entry('open');
+    const {clock, runs, ended} = setUp('open');
     runs.runBroken(A, REPLICA);
-    await clock.runFor(LOOKED_MS);
+    await clock.runFor(PROBED_MS);
     runs.recordRemoved('r1');
     expect(ended).toEqual([]);
   });
 
-  test('has not ended by what a cut link shows', async () => {
-    const {clock, runs, ended} = entry('silent');
+  test('does not count as ended when the probe is not answered', async () => {
+    const {clock, runs, ended} = setUp('silent');
     runs.runBroken(A, REPLICA);
-    await clock.runFor(LOOKED_MS);
+    await clock.runFor(PROBED_MS);
     expect(ended).toEqual([]);
   });
 
-  test('has ended without a crash when it was told to leave', async () => {
-    const {clock, runs, ended} = entry('refused', true);
+  test('has not crashed when it was told to leave', async () => {
+    const {clock, runs, ended} = setUp('refused', true);
     runs.runBroken(A, REPLICA);
-    await clock.runFor(LOOKED_MS);
+    await clock.runFor(PROBED_MS);
     expect(ended).toEqual([]);
   });
 
-  // Nothing resets the connection; the later start shows the end.
-  test('has ended when it is found started again soon after', async () => {
-    const {clock, runs, ended} = entry('silent');
+  // The network does not answer, but a later start is announced.
+  test('has ended when it is found to have restarted soon after', async () => {
+    const {clock, runs, ended} = setUp('silent');
     runs.runBroken(A, REPLICA);
-    await clock.runFor(LOOKED_MS);
+    await clock.runFor(PROBED_MS);
     runs.replicaEnded('r1');
     expect(ended).toEqual([A]);
   });
 });
 
-describe('a replica under a run that its caller left', () => {
-  // A caller that leaves within a tenth of a second never sees the crash.
-  test('has ended under it when another run shows so', async () => {
-    const {clock, runs, ended} = entry('refused');
+describe('a replica with a run whose caller left', () => {
+  // A caller that leaves within a tenth of a second never observes the crash.
+  test('has ended during it when another run shows the end', async () => {
+    const {clock, runs, ended} = setUp('refused');
     runs.runCancelled(A, REPLICA);
-    await clock.runFor(LOOKED_MS);
+    await clock.runFor(PROBED_MS);
     expect(ended).toEqual([]);
     runs.runBroken(B, REPLICA);
-    await clock.runFor(LOOKED_MS);
+    await clock.runFor(PROBED_MS);
     expect(ended).toEqual([A, B]);
   });
 
-  test('has ended under it when its record goes soon after', () => {
-    const {runs, ended} = entry('silent');
+  test('has ended during it when its record is removed soon after', () => {
+    const {runs, ended} = setUp('silent');
     runs.runCancelled(A, REPLICA);
     runs.recordRemoved('r1');
     expect(ended).toEqual([A]);
   });
 
-  test('has not ended under it when it ends much later', async () => {
-    const {clock, runs, ended} = entry('silent');
+  test('has not ended during it when it ends much later', async () => {
+    const {clock, runs, ended} = setUp('silent');
     runs.runCancelled(A, REPLICA);
     await clock.runFor(LATE_MS);
     runs.replicaEnded('r1');
     expect(ended).toEqual([]);
   });
 
-  test('is looked for where the request is suspect already', async () => {
-    const {clock, runs, ended} = entry('refused');
+  test('is probed when the request is already suspect', async () => {
+    const {clock, runs, ended} = setUp('refused');
     runs.suspectRunCancelled(A, REPLICA);
-    await clock.runFor(LOOKED_MS);
+    await clock.runFor(PROBED_MS);
     expect(ended).toEqual([A]);
   });
 });
--- a/test/direct/requests.test.ts
+++ b/test/direct/requests.test.ts
@@ -1,4 +1,4 @@
-/** What a caller gets from an entry that serves replicas directly. */
+/** Answers that callers get from an entry that calls replicas directly. */
 import {connect} from 'node:net';
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {DIRECT_EVENTS} from '../../src/utils/events.js';
@@ -20,17 +20,17 @@
 
 const arrivals = () => fleet.desk.flatMap(({arrivals: all}) => all);
 
-/** Writes raw bytes and returns what comes back. */
+/** Writes raw bytes to the entry and returns the response bytes. */
 function sendRaw(text: string): Promise<string> {
   const [host, port] = fleet.callers.split(':');
   return new Promise(resolve => {
     const socket = connect(Number(port), host);
-    let came = '';
+    let received = '';
     socket.on('data', piece => {
-      came += piece.toString('latin1');
+      received += piece.toString('latin1');
     });
     socket.on('error', () => undefined);
-    socket.on('close', () => resolve(came));
+    socket.on('close', () => resolve(received));
     socket.write(text);
   });
 }
@@ -53,7 +53,7 @@
     expect(answer.headers['x-response-seal']).toBe(`seal-${arrival.id}`);
   });
 
-  test('shows the replica the organisation in place of the key', async () => {
+  test('carries the organisation instead of the key to the replica', async () => {
     await callEntry(fleet, '/again/', {headers: {'X-Tenant': 'forged'}});
     const [{headers}] = arrivals();
     expect(headers['x-tenant']).toBe('org-1');
@@ -61,7 +61,7 @@
     expect(headers['x-expect-replica']).toMatch(/^desk-/);
   });
 
-  test('hands the replica no more time than is left', async () => {
+  test('passes the remaining time to the replica', async () => {
     await callEntry(fleet, '/again/', {headers: {'X-Deadline-Ms': '300'}});
     const left = Number(arrivals()[0].headers['x-deadline-ms']);
     expect(left).toBeLessThanOrEqual(300);
@@ -74,7 +74,7 @@
     expect(arrivals()[0].headers['x-tenant']).toBeUndefined();
   });
 
-  test('runs nowhere with an unknown key, route or id', async () => {
+  test('is not run with an unknown key or route or without an id', async () => {
     const key = {Authorization: 'Token other'};
     expect((await callEntry(fleet, '/again/', {headers: key})).status).toBe(
       401,
@@ -91,7 +91,7 @@
     expect(arrivals()).toEqual([]);
   });
 
-  test('runs nowhere when headers or body are too large', async () => {
+  test('is not run when its headers or body are too large', async () => {
     const large = {'X-Large': 'x'.repeat(5_000)};
     expect((await callEntry(fleet, '/again/', {headers: large})).status).toBe(
       431,
@@ -101,29 +101,27 @@
     expect(arrivals()).toEqual([]);
   });
 
-  test('runs nowhere when a second request is smuggled in it', async () => {
-    const came = await sendRaw(
+  test('is not run when it smuggles a second request', async () => {
+    const received = await sendRaw(
       'POST /again/ HTTP/1.1\r\nHost: models.example\r\nX-Request-Id: s1\r\n' +
         'Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n' +
         '0\r\n\r\nGET /open/ HTTP/1.1\r\nHost: models.example\r\n\r\n',
     );
-    expect(came).toMatch(/^HTTP\/1\.1 400 /);
+    expect(received).toMatch(/^HTTP\/1\.1 400 /);
     expect(arrivals()).toEqual([]);
   });
 });
 
-describe('a request that may not be repeated', () => {
-  // A replica takes the request and its connection breaks. It may have run, so
-  // the caller is told 502, which promises nothing, and no other replica gets
-  // it.
-  test('goes to no second replica after a broken answer', async () => {
+describe('a request that may run only once', () => {
+  // The request may have run, so the caller gets 502, which promises nothing.
+  test('is not sent to a second replica after a broken answer', async () => {
     for (const replica of fleet.desk) replica.behave(breakOff);
     expect((await callEntry(fleet, '/once/')).status).toBe(502);
     expect(arrivals()).toHaveLength(1);
   });
 
-  // The replica says itself that it did not run the request: a second one may.
-  test('goes to a second replica after a refusal', async () => {
+  // The replica states that it did not run the request.
+  test('is sent to a second replica after a refusal', async () => {
     const [first, second] = fleet.desk;
     first.behave(refuse);
     for (let at = 0; at < 4; at++) {
@@ -132,7 +130,7 @@
     expect(second.arrivals).toHaveLength(4);
   });
 
-  // All replicas refuse: nothing ran, and the caller is told when to come back.
+  // Nothing ran, so the caller gets 503 and a time to retry.
   test('ends as not run when every replica refuses', async () => {
     for (const replica of fleet.desk) replica.behave(refuse);
     const answer = await callEntry(fleet, '/once/');
@@ -140,8 +138,8 @@
     expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0);
   });
 
-  // The replica keeps silent past the route's time: it may have run.
-  test('ends with 504 at the time limit, and its run is ended', async () => {
+  // The replica does not answer within the route's time limit.
+  test('ends with 504 at the time limit, and its run is cancelled', async () => {
     for (const replica of fleet.desk) replica.behave(() => undefined);
     const startedAt = Date.now();
     expect((await callEntry(fleet, '/once/')).status).toBe(504);
@@ -150,15 +148,15 @@
   });
 });
 
-describe('a request that may be repeated', () => {
-  test('goes to a second replica when the first breaks off', async () => {
+describe('an idempotent request', () => {
+  test('is sent to a second replica when the connection breaks', async () => {
     fleet.desk[0].behave(breakOff);
     for (let at = 0; at < 4; at++) {
       expect((await callEntry(fleet, '/again/')).status).toBe(200);
     }
   });
 
-  test('goes to a second replica when the first fails by itself', async () => {
+  test('is sent to a second replica when the first answers 500', async () => {
     let failed: string | undefined;
     for (const {behave, id} of fleet.desk) {
       behave((arrival, res, req) => {
@@ -175,9 +173,8 @@
     expect(arrivals()).toHaveLength(2);
   });
 
-  // An earlier request's late answer comes in place of the right one. Its id
-  // tells; the caller must not see it.
-  test('takes no answer that belongs to another request', async () => {
+  // A late answer to an earlier request is recognised by its request id.
+  test('does not accept an answer to another request', async () => {
     fleet.desk[0].behave((_arrival, res) => {
       res.writeHead(200, {'X-Request-Id': 'x', 'X-Response-Seal': 'x'});
       res.end('of another');
@@ -188,8 +185,8 @@
     }
   });
 
-  // An answer without a length ends with its connection. The replica breaks off
-  // after half of it; given a length on the way, half would look whole.
+  // Such an answer ends when its connection closes. With a length added by the
+  // entry, a truncated answer would look complete.
   test('keeps the framing of an answer without a length', async () => {
     for (const replica of fleet.desk) {
       replica.behave((arrival, _res, req) => {
@@ -207,7 +204,7 @@
 });
 
 describe('the configuration', () => {
-  test('is in force as soon as the store tells of it', async () => {
+  test('is in force as soon as the store reports it', async () => {
     fleet.store.put('config', 'main', configOf(2, ['key-2']));
     const other = {Authorization: 'Token key-2'};
     await until(
@@ -217,19 +214,19 @@
     expect((await callEntry(fleet, '/again/')).status).toBe(401);
   });
 
-  // A stale read brings an older version after a newer one was in force.
-  test('never goes back to an older version', async () => {
+  // A stale read returns an older version while a newer one is in force.
+  test('never returns to an older version', async () => {
     fleet.store.put('config', 'main', configOf(7, ['key-7']));
     const headers = {Authorization: 'Token key-7'};
-    const serves = async () =>
+    const isServed = async () =>
       (await callEntry(fleet, '/again/', {headers})).status === 200;
-    await until(serves);
+    await until(isServed);
     fleet.store.put('config', 'main', configOf(3));
     await new Promise(resolve => setTimeout(resolve, 200));
-    expect(await serves()).toBe(true);
+    expect(await isServed()).toBe(true);
   });
 
-  test('is followed on when the store has forgotten its history', async () => {
+  test('is updated after the store has dropped its history', async () => {
     fleet.store.forgetHistory();
     fleet.store.put('config', 'main', configOf(2, ['key-2']));
     const headers = {Authorization: 'Token key-2'};
@@ -238,8 +235,7 @@
     );
   });
 
-  // The operator's document has not the form it should have. What was in force
-  // stays so, and the log says why the new one is not.
+  // The new document is malformed, which the log reports.
   test('stays in force when a newer one cannot be read', async () => {
     fleet.store.put('config', 'main', {version: 9, routes: 'none'});
     const unreadable = () =>
@@ -250,7 +246,7 @@
 });
 
 describe('the metrics of an entry', () => {
-  test('tell its state anew each second', async () => {
+  test('are updated every second', async () => {
     const {metrics} = fleet.runtime;
     const gauge = (name: string) =>
       metrics.value(`onyxloft_direct_${name}`, {});
--- a/test/direct/restored_store.test.ts
+++ b/test/direct/restored_store.test.ts
@@ -329,7 +329,10 @@
     await sleep(REVOKED_MS);
     await fleet.entry.kernel.stop();
     fleet.store.restore(copy);
-    const starts = await startDirectFleet({node: 'entry-2', beside: fleet});
+    const starts = await startDirectFleet({
+      node: 'entry-2',
+      sharedFleet: fleet,
+    });
     const answer = await callEntry(starts, '/again/');
     await starts.close();
     await fleet.close();
--- a/test/direct/streams.test.ts
+++ b/test/direct/streams.test.ts
@@ -1,4 +1,4 @@
-/** Streams that break, fall silent or are left. */
+/** Streams that break, stall or are left by their caller. */
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {
   eventText,
@@ -23,7 +23,7 @@
 const HEADERS = {'X-Token-Usage': '1000,100'};
 const stream = () => callEntry(fleet, '/stream/a', {headers: HEADERS});
 
-/** Sends some events of a stream, then does something else. */
+/** Sends `count` events of a stream, then behaves like `then`. */
 function eventsThen(count: number, then: Behaviour): Behaviour {
   return (arrival, res, req) => {
     res.writeHead(200, signed(arrival));
@@ -32,20 +32,20 @@
   };
 }
 
-/** The replica that gets the first stream does this, all others stream well. */
-function firstDoes(behaviour: Behaviour): void {
-  let first = true;
+/** The replica that gets the first stream behaves like this, others succeed. */
+function firstReplicaBehaves(behaviour: Behaviour): void {
+  let isFirst = true;
   for (const replica of fleet.pool) {
     replica.behave((...args) => {
-      const now = first ? behaviour : streamTo(EVENTS);
-      first = false;
-      now(...args);
+      const current = isFirst ? behaviour : streamTo(EVENTS);
+      isFirst = false;
+      current(...args);
     });
   }
 }
 
 describe('a stream', () => {
-  test('reaches the caller whole', async () => {
+  test('reaches the caller completely', async () => {
     for (const replica of fleet.pool) replica.behave(streamTo(EVENTS));
     expect(await stream()).toMatchObject({
       status: 200,
@@ -54,11 +54,10 @@
     });
   });
 
-  // The replica crashes in the middle of event 4. The caller sees one answer
-  // with each event once: the torn piece is not passed on, and another replica
-  // goes on after event 3.
-  test('goes on at another replica when it breaks within an event', async () => {
-    firstDoes(
+  // The replica crashes in the middle of event 4. The partial event must not be
+  // forwarded, and the caller must get each event once.
+  test('resumes at another replica when it breaks within an event', async () => {
+    firstReplicaBehaves(
       eventsThen(3, (_arrival, res, req) => {
         res.write('id: 4\ndata: pie');
         setTimeout(() => req.socket.resetAndDestroy(), 10);
@@ -76,17 +75,16 @@
     expect(resumed).toBeDefined();
   });
 
-  // The replica goes dark after event 2 without closing its connection. The
-  // entry waits a few times the pause aim, then the stream goes on elsewhere,
-  // and the silent connection is closed.
-  test('goes on at another replica when it falls silent', async () => {
-    firstDoes(eventsThen(2, () => undefined));
+  // The replica stops sending after event 2 and keeps the connection open. The
+  // entry must close that connection.
+  test('resumes at another replica when it stalls', async () => {
+    firstReplicaBehaves(eventsThen(2, () => undefined));
     expect(await stream()).toMatchObject({body: WHOLE, whole: true});
     await until(() => fleet.pool.some(it => it.arrivals.some(a => a.left)));
   });
 
-  // Both replicas break; the caller must see that its answer is not whole.
-  test('is cut, not ended, when no attempt is left', async () => {
+  // Both replicas fail; the caller must notice that its answer is incomplete.
+  test('is cut instead of ended when no attempt is left', async () => {
     for (const replica of fleet.pool) {
       replica.behave(
         eventsThen(2, (_arrival, _res, req) => req.socket.resetAndDestroy()),
@@ -98,12 +96,12 @@
   });
 
   test('starts at another replica when the first refuses', async () => {
-    firstDoes(refuse);
+    firstReplicaBehaves(refuse);
     expect(await stream()).toMatchObject({body: WHOLE, whole: true});
   });
 
-  // The caller leaves after the first event: the replica's work ends with it.
-  test('ends at the replica when its caller leaves', async () => {
+  // The caller leaves after the first event.
+  test('is cancelled at the replica when its caller leaves', async () => {
     for (const replica of fleet.pool) replica.behave(streamTo(1_000, 20));
     await callEntry(fleet, '/stream/a', {
       headers: HEADERS,
@@ -112,16 +110,16 @@
     await until(() => fleet.pool.some(it => it.arrivals.some(a => a.left)));
   });
 
-  test('resumes where its caller says', async () => {
+  test("resumes after the caller's last event", async () => {
     for (const replica of fleet.pool) replica.behave(streamTo(EVENTS));
     const headers = {...HEADERS, 'Last-Event-Id': '4'};
     const {body} = await callEntry(fleet, '/stream/a', {headers});
     expect(body).toBe(eventText(5) + eventText(6));
   });
 
-  // The caller lost its connection after the last event and asks for what
-  // comes after it. Nothing does; the answer is empty, and still the replica's.
-  test('bears the signature also when no event is left', async () => {
+  // The caller lost its connection after the last event and resumes the stream.
+  // The answer is empty but must still be the replica's.
+  test('has the signature also when no event is left', async () => {
     for (const replica of fleet.pool) replica.behave(streamTo(EVENTS));
     const headers = {...HEADERS, 'Last-Event-Id': String(EVENTS)};
     const answer = await callEntry(fleet, '/stream/a', {headers});
--- a/test/direct/suspects.test.ts
+++ b/test/direct/suspects.test.ts
@@ -1,4 +1,4 @@
-/** Which requests are found to crash replicas. */
+/** Detecting requests that crash replicas. */
 import * as fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
 import type {CrashReport} from '../../src/direct/crash_reports.js';
@@ -9,77 +9,78 @@
 const A = 'a'.repeat(32);
 const HOUR_MS = 3_600_000;
 
-function entry(self = 'entry-1') {
+function createEntry(self = 'entry-1') {
   const clock = createVirtualClock();
-  const news: CrashReport[] = [];
+  const changes: CrashReport[] = [];
   const quarantined: boolean[] = [];
   const suspects = createSuspects({
     clock,
     self,
-    onChanged: report => news.push(report),
+    onChanged: report => changes.push(report),
     onQuarantined: (_report, isOwn) => quarantined.push(isOwn),
     onCleared: () => undefined,
   });
-  return {clock, suspects, news, quarantined};
+  return {clock, suspects, changes, quarantined};
 }
 
-function endUnder(suspects: Suspects, ...replicas: readonly string[]): void {
+function endReplicas(suspects: Suspects, ...replicas: readonly string[]): void {
   for (const replica of replicas) suspects.replicaEnded(A, replica);
 }
 
-describe('a request under which replicas ended', () => {
-  test('is refused from the third one on', () => {
-    const {suspects, quarantined} = entry();
-    endUnder(suspects, 'r1', 'r2');
+describe('a request during whose runs replicas ended', () => {
+  test('is refused from the third replica on', () => {
+    const {suspects, quarantined} = createEntry();
+    endReplicas(suspects, 'r1', 'r2');
     expect(suspects.isQuarantined(A)).toBe(false);
-    endUnder(suspects, 'r3');
+    endReplicas(suspects, 'r3');
     expect(suspects.isQuarantined(A)).toBe(true);
     expect(quarantined).toEqual([true]);
   });
 
-  test('is not refused for the same replica again', () => {
-    const {suspects} = entry();
-    endUnder(suspects, 'r1', 'r1', 'r1', 'r1');
+  test('is not refused when the same replica is reported again', () => {
+    const {suspects} = createEntry();
+    endReplicas(suspects, 'r1', 'r1', 'r1', 'r1');
     expect(suspects.isQuarantined(A)).toBe(false);
   });
 
-  // Three replicas of a domain that is lost run what is asked all the time.
-  test('is not refused when it ran well just before', () => {
-    const {suspects} = entry();
+  // When a failure domain is lost, three of its replicas may run a request that
+  // is frequent and harmless.
+  test('is not refused when it ran successfully just before', () => {
+    const {suspects} = createEntry();
     suspects.runSucceeded(A);
-    endUnder(suspects, 'r1', 'r2', 'r3');
+    endReplicas(suspects, 'r1', 'r2', 'r3');
     expect(suspects.isQuarantined(A)).toBe(false);
   });
 
-  test('is served again when a run of it ends well', () => {
-    const {suspects} = entry();
-    endUnder(suspects, 'r1', 'r2', 'r3');
+  test('is served again after a successful run', () => {
+    const {suspects} = createEntry();
+    endReplicas(suspects, 'r1', 'r2', 'r3');
     suspects.runSucceeded(A);
     expect(suspects.isQuarantined(A)).toBe(false);
   });
 
-  // Good runs at one entry are unknown to the one that saw the crashes.
-  test('is not refused when it ran well at another entry', () => {
-    const one = entry('entry-1');
-    const two = entry('entry-2');
+  // The entry that observed the crashes does not know of these successful runs.
+  test('is not refused when it ran successfully at another entry', () => {
+    const one = createEntry('entry-1');
+    const two = createEntry('entry-2');
     two.suspects.runSucceeded(A);
-    endUnder(one.suspects, 'r1', 'r2', 'r3');
-    two.suspects.merge(one.news);
-    one.suspects.merge(two.news);
+    endReplicas(one.suspects, 'r1', 'r2', 'r3');
+    two.suspects.merge(one.changes);
+    one.suspects.merge(two.changes);
     expect(one.suspects.isQuarantined(A)).toBe(false);
   });
 
   test('may run again after an hour', async () => {
-    const {clock, suspects} = entry();
-    endUnder(suspects, 'r1', 'r2', 'r3');
+    const {clock, suspects} = createEntry();
+    endReplicas(suspects, 'r1', 'r2', 'r3');
     await clock.runFor(HOUR_MS + 1);
     expect(suspects.isQuarantined(A)).toBe(false);
   });
 
-  // What ran beside a request that crashes replicas looks like it.
-  test('is tried twice, and no more', async () => {
-    const {clock, suspects} = entry();
-    endUnder(suspects, 'r1', 'r2', 'r3');
+  // A harmless request that ran beside a crashing one looks the same.
+  test('gets two trials and no more', async () => {
+    const {clock, suspects} = createEntry();
+    endReplicas(suspects, 'r1', 'r2', 'r3');
     expect(suspects.dueTrial(A)).toBe(undefined);
     await clock.runFor(1_000);
     expect(suspects.dueTrial(A)).toBe(0);
@@ -92,10 +93,10 @@
     expect(suspects.dueTrial(A)).toBe(undefined);
   });
 
-  // The store is away just then.
-  test('is tried later when nobody answers the claim', async () => {
-    const {clock, suspects} = entry();
-    endUnder(suspects, 'r1', 'r2', 'r3');
+  // The store is unavailable at the time of the claim.
+  test('gets its trial later when the claim is not answered', async () => {
+    const {clock, suspects} = createEntry();
+    endReplicas(suspects, 'r1', 'r2', 'r3');
     await clock.runFor(1_000);
     expect(suspects.dueTrial(A)).toBe(0);
     suspects.trialSettled(A, false);
@@ -103,19 +104,19 @@
     expect(suspects.dueTrial(A)).toBe(0);
   });
 
-  // Another entry has not heard of the release yet, and tells what it knows.
-  test('stays released against a report that was on its way', () => {
-    const {suspects, news} = entry();
-    endUnder(suspects, 'r1', 'r2', 'r3');
+  // Another entry does not know of the release yet and sends its report.
+  test('stays released when an older report arrives', () => {
+    const {suspects, changes} = createEntry();
+    endReplicas(suspects, 'r1', 'r2', 'r3');
     suspects.release(A);
-    suspects.merge(news);
+    suspects.merge(changes);
     expect(suspects.isQuarantined(A)).toBe(false);
   });
 
   // One organisation sends thousands of requests, each of which ends a replica.
-  test('is not forgotten for thousands of others', () => {
-    const {suspects} = entry();
-    endUnder(suspects, 'r1', 'r2', 'r3');
+  test('stays quarantined when thousands of suspects are added', () => {
+    const {suspects} = createEntry();
+    endReplicas(suspects, 'r1', 'r2', 'r3');
     for (let at = 0; at < 5_000; at++) {
       suspects.replicaEnded(at.toString(16).padStart(32, '0'), `other-${at}`);
     }
@@ -124,7 +125,7 @@
   });
 });
 
-describe('what entries tell each other', () => {
+describe('reports that entries exchange', () => {
   const digests = ['0', '1', '2'].map(it => it.repeat(32));
   const step = fc.record({
     at: fc.nat(2),
@@ -133,14 +134,14 @@
     isGood: fc.boolean(),
   });
 
-  // Datagrams are lost, late and repeated; all must judge alike in the end.
-  test('comes to the same in whatever order it is heard', () => {
+  // Datagrams are lost, late and repeated; all entries must agree in the end.
+  test('lead to the same result in any order', () => {
     fc.assert(
       fc.property(
         fc.array(step, {maxLength: 30}),
         fc.infiniteStream(fc.nat(5)),
         (steps, draws) => {
-          const entries = [0, 1, 2].map(at => entry(`entry-${at}`));
+          const entries = [0, 1, 2].map(at => createEntry(`entry-${at}`));
           const ended = new Map(digests.map(it => [it, new Set<string>()]));
           const good = new Map(digests.map(it => [it, 0]));
           for (const {at, digest, replica, isGood} of steps) {
--- a/test/direct/unsettled_era.test.ts
+++ b/test/direct/unsettled_era.test.ts
@@ -22,7 +22,10 @@
   // Held until its key can be confirmed, a caller would wait in vain.
   test('refuses keys at once and tells when to come back', async () => {
     const fleet = await returnWithoutChange();
-    const starts = await startDirectFleet({node: 'entry-2', beside: fleet});
+    const starts = await startDirectFleet({
+      node: 'entry-2',
+      sharedFleet: fleet,
+    });
     const sentAt = performance.now();
     const answer = await callEntry(starts, '/again/');
     const tookMs = performance.now() - sentAt;
@@ -38,7 +41,10 @@
   // Operators write the removal again; the key must not be served in between.
   test('never serves a key whose removal is written again', async () => {
     const fleet = await returnWithoutChange();
-    const starts = await startDirectFleet({node: 'entry-2', beside: fleet});
+    const starts = await startDirectFleet({
+      node: 'entry-2',
+      sharedFleet: fleet,
+    });
     const seen = new Set<number>();
     const startedAt = performance.now();
     let isWritten = false;
@@ -55,7 +61,10 @@
 
   test('serves keys when operators had their time', async () => {
     const fleet = await returnWithoutChange();
-    const starts = await startDirectFleet({node: 'entry-2', beside: fleet});
+    const starts = await startDirectFleet({
+      node: 'entry-2',
+      sharedFleet: fleet,
+    });
     await sleep(SETTLED_MS);
     const answer = await callEntry(starts, '/again/');
     await starts.close();
@@ -67,10 +76,10 @@
   test('leaves a record by which the next one serves at once', async () => {
     const fleet = await returnWithoutChange();
     const record = () => fleet.store.get('onyxloft-eras', 'settled');
-    const first = await startDirectFleet({node: 'entry-2', beside: fleet});
+    const first = await startDirectFleet({node: 'entry-2', sharedFleet: fleet});
     await until(() => isDeepStrictEqual(record(), {era: 2}));
     await first.close();
-    const next = await startDirectFleet({node: 'entry-3', beside: fleet});
+    const next = await startDirectFleet({node: 'entry-3', sharedFleet: fleet});
     const answer = await callEntry(next, '/again/');
     const doubted = next.runtime.eventsOf(DIRECT_EVENTS.eraUnsettled);
     await next.close();
--- a/test/support/direct_fleet.ts
+++ b/test/support/direct_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A direct entry with all its services, before stand-ins of the users' store
- * and replicas, on loopback and the real clock.
+ * Test fixture: a direct entry with all its services, connected to stand-ins of
+ * the users' store and replicas, on the loopback interface and the real clock.
  */
 import {request} from 'node:http';
 import type {Agent, IncomingHttpHeaders} from 'node:http';
@@ -33,8 +33,9 @@
   readonly pool: readonly ReplicaStandIn[];
   readonly desk: readonly ReplicaStandIn[];
   readonly entry: DirectProcess;
+  /** IP:PORT of the entry's server for callers. */
   readonly callers: string;
-  /** IP:PORT of its datagrams and of what it hands over. */
+  /** IP:PORT of the entry's datagrams and handover server. */
   readonly peers: string;
   readonly runtime: RecordingRuntime;
   /** Shifts the time of day that the entry sees, in milliseconds. */
@@ -45,35 +46,38 @@
 export interface FleetOptions {
   /** Name of the entry. @default 'entry-1' */
   readonly node?: string;
-  /** Another entry that its store knows, and where it listens. */
+  /** Another entry that is announced in the store, and its IP:PORT for peers. */
   readonly other?: {readonly node: string; readonly peers: string};
-  /** @default 2 */
+  /** Number of engine replicas. @default 2 */
   readonly pool?: number;
-  /** @default 2 */
+  /** Number of plain-service replicas. @default 2 */
   readonly desk?: number;
   readonly timing?: Partial<DirectSettings['timing']>;
   /** @default that of the users' platform */
   readonly codec?: HeaderCodec;
-  /** Another entry, whose store and replicas this one has as well. */
-  readonly beside?: DirectFleet;
-  /** IP:PORT for its callers. @default a free one */
+  /** A fleet whose store and replicas this entry shares. */
+  readonly sharedFleet?: DirectFleet;
+  /** IP:PORT of the entry's server for callers. @default a free one */
   readonly callers?: string;
 }
 
-/** Of one worker of the runner, for all its fleets in turn. */
-const ADDRESSES = 90;
-const addresses = freeAddresses(ADDRESSES);
-let taken = 0;
+/** Number of addresses that one test worker uses in rotation. */
+const ADDRESS_COUNT = 90;
+const addresses = freeAddresses(ADDRESS_COUNT);
+let addressIndex = 0;
 
-/** Of each fleet the next ones: one that was closed just now may still wait. */
+/**
+ * Returns the next address in rotation. An address that was closed just now may
+ * not be free yet.
+ */
 export async function nextAddress(): Promise<string> {
-  taken = (taken + 1) % ADDRESSES;
-  return (await addresses)[taken] as string;
+  addressIndex = (addressIndex + 1) % ADDRESS_COUNT;
+  return (await addresses)[addressIndex] as string;
 }
 
 async function settingsFor(
   store: string,
-  {node = 'entry-1', timing, callers, beside}: FleetOptions,
+  {node = 'entry-1', timing, callers, sharedFleet}: FleetOptions,
 ): Promise<DirectSettings> {
   const peers = await nextAddress();
   return {
@@ -81,7 +85,7 @@
     node,
     failureDomain: 'domain-1',
     ip: '127.0.0.1',
-    bootstrap: beside === undefined,
+    bootstrap: sharedFleet === undefined,
     listen: {
       callers: callers ?? (await nextAddress()),
       ready: await nextAddress(),
@@ -103,12 +107,12 @@
   };
 }
 
-/** Starts everything and waits until the entry is ready. */
+/** Starts the store, the replicas and the entry, and waits until it is ready. */
 export async function startDirectFleet(
   options: FleetOptions = {},
 ): Promise<DirectFleet> {
-  const {beside} = options;
-  const {store, pool, desk} = beside ?? (await startUpstreams(options));
+  const {sharedFleet} = options;
+  const {store, pool, desk} = sharedFleet ?? (await startUpstreams(options));
   if (options.other !== undefined) announceEntry(store, options.other);
 
   const settings = await settingsFor(store.address, options);
@@ -133,7 +137,7 @@
     runtime,
   );
   await until(() => isReady(settings.listen.ready)).catch(err => {
-    throw new Error(`not ready: ${storyOf(recorded)}`, {cause: err});
+    throw new Error(`not ready: ${describeStart(recorded)}`, {cause: err});
   });
   return {
     store,
@@ -148,14 +152,14 @@
     },
     close: async () => {
       await entry.kernel.stop();
-      if (beside !== undefined) return;
+      if (sharedFleet !== undefined) return;
       await Promise.all([store, ...pool, ...desk].map(part => part.close()));
     },
   };
 }
 
-/** What an entry that did not come up has logged and counted. */
-function storyOf({events, metrics}: RecordingRuntime): string {
+/** Log lines and metrics of an entry that did not become ready. */
+function describeStart({events, metrics}: RecordingRuntime): string {
   const lines = events.map(
     ({event, fields}) => `${event.name} ${JSON.stringify(fields)}`,
   );
@@ -193,7 +197,7 @@
   }
 }
 
-/** Waits until it holds; fails after some seconds. */
+/** Polls until the condition holds; throws after `limitMs`. */
 export async function until(
   holds: () => boolean | Promise<boolean>,
   limitMs = 5_000,
@@ -205,16 +209,16 @@
   }
 }
 
-/** What a caller gets. */
+/** An answer as its caller received it. */
 export interface CallerAnswer {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
-  /** The answer's framing says that it is whole. */
+  /** Whether the answer is complete by its HTTP framing. */
   readonly whole: boolean;
 }
 
-let requests = 0;
+let requestCount = 0;
 
 /** Sends one request as a caller; rejects when no answer begins. */
 export function callEntry(
@@ -224,9 +228,12 @@
     readonly method?: string;
     readonly headers?: Readonly<Record<string, string>>;
     readonly body?: string;
-    /** Keeps connections. @default one for each request */
+    /** Reuses connections. @default a new connection for each request */
     readonly agent?: Agent;
-    /** Called with each piece; true leaves. */
+    /**
+     * Called with the body so far after each chunk; the caller disconnects when
+     * it returns true.
+     */
     readonly leaveAt?: (body: string) => boolean;
   } = {},
 ): Promise<CallerAnswer> {
@@ -241,7 +248,7 @@
       agent: options.agent ?? false,
       headers: {
         Host: HOST,
-        'X-Request-Id': `req-${++requests}`,
+        'X-Request-Id': `req-${++requestCount}`,
         Authorization: `Token ${KEY}`,
         'X-Deadline-Ms': '5000',
         ...options.headers,
