--- a/bench/decision.ts
+++ b/bench/decision.ts
@@ -6,16 +6,16 @@
  */
 import {writeFileSync} from 'node:fs';
 import {parseArgs} from 'node:util';
-import {isReadAlone} from '../src/direct/decide/choose_engines.js';
-import {drawCandidates} from '../src/direct/decide/draw_candidates.js';
-import {readMs} from '../src/direct/decide/engine_timing.js';
-import {patienceMs} from '../src/direct/decide/patience.js';
+import {usesSingleEngine} from '../src/direct/decide/choose_engines.js';
+import {sampleCandidates} from '../src/direct/decide/sample_candidates.js';
+import {prefillMs} from '../src/direct/decide/engine_timing.js';
+import {callerTimeoutMs} from '../src/direct/decide/caller_timeout.js';
 import {placeOrWait} from '../src/direct/decide/place_or_wait.js';
 import type {PlacingRequest} from '../src/direct/decide/place_or_wait.js';
-import {weightOf} from '../src/direct/decide/request_worth.js';
-import {createLoadBook} from '../src/direct/load_book.js';
-import type {LoadBook} from '../src/direct/load_book.js';
-import type {ReplicaLoad} from '../src/direct/load_sum.js';
+import {weightOf} from '../src/direct/decide/request_weights.js';
+import {createLoadTracker} from '../src/direct/load_tracker.js';
+import type {LoadTracker} from '../src/direct/load_tracker.js';
+import type {ReplicaLoad} from '../src/direct/replica_load.js';
 import type {DirectReplica} from '../src/direct/types.js';
 import type {Random} from '../src/types/runtime.js';
 import {createSeededRandom} from '../standins/seeded_random.js';
@@ -62,7 +62,7 @@
 function measure(engines: number, load: LoadName, requests: RequestName): Row {
   const random = createSeededRandom(SEED);
   const clock = createVirtualClock();
-  const book = createLoadBook(clock, () => undefined);
+  const book = createLoadTracker(clock, () => undefined);
   const replicas = Array.from({length: engines}, (_, at) => replicaOf(at));
   tellLoads(book, replicas, load, random);
   const times: number[] = [];
@@ -84,20 +84,20 @@
 }
 
 function decide(
-  book: LoadBook,
+  book: LoadTracker,
   replicas: readonly DirectReplica[],
   req: PlacingRequest,
 ): void {
-  const looked = isReadAlone(ENGINE, req)
-    ? drawCandidates(replicas, replicas[0].failureDomain, req.draw)
+  const looked = usesSingleEngine(ENGINE, req)
+    ? sampleCandidates(replicas, replicas[0].failureDomain, req.draw)
     : replicas;
   const candidates = looked.map(replica => ({
     replica,
-    load: book.of(replica.id),
+    load: book.totalLoad(replica.id),
     slowness: 1,
   }));
-  const weightPerReadMs = 2_000;
-  placeOrWait({figures: ENGINE, candidates, weightPerReadMs}, req);
+  const weightPerPrefillMs = 2_000;
+  placeOrWait({figures: ENGINE, candidates, weightPerPrefillMs}, req);
 }
 
 function replicaOf(at: number): DirectReplica {
@@ -115,7 +115,7 @@
 
 /** Each entry tells of streams, and of parts of long prompts. */
 function tellLoads(
-  book: LoadBook,
+  book: LoadTracker,
   replicas: readonly DirectReplica[],
   load: LoadName,
   random: Random,
@@ -128,7 +128,7 @@
       loadOf(replicas[Math.floor(random.next() * replicas.length)], load),
     );
     const distinct = new Map(loads.map(it => [it.replicaId, it]));
-    book.setOther(`entry-${entry}`, [...distinct.values()]);
+    book.setPeerLoad(`entry-${entry}`, [...distinct.values()]);
   }
 }
 
@@ -158,8 +158,8 @@
     answerTokens: kind.maxTokens,
     aimMs: route.aimMs,
     pauseAimMs: route.pauseAimMs,
-    patienceMs: patienceMs(route),
-    elapsedMs: readMs(ENGINE, promptTokens, 1) * 0.1,
+    callerTimeoutMs: callerTimeoutMs(route),
+    elapsedMs: prefillMs(ENGINE, promptTokens, 1) * 0.1,
     draw: () => random.next(),
   };
 }
--- a/src/direct/place_request.ts
+++ b/src/direct/place_request.ts
@@ -3,9 +3,9 @@
  * decision: it places the request, refuses it, or waits and decides again.
  */
 import {DIRECT_EVENTS} from '../utils/events.js';
-import {isReadAlone} from './decide/choose_engines.js';
-import {drawCandidates} from './decide/draw_candidates.js';
-import {patienceMs} from './decide/patience.js';
+import {usesSingleEngine} from './decide/choose_engines.js';
+import {sampleCandidates} from './decide/sample_candidates.js';
+import {callerTimeoutMs} from './decide/caller_timeout.js';
 import {placeOrWait} from './decide/place_or_wait.js';
 import type {
   PlacingDecision,
@@ -58,7 +58,7 @@
 ): Promise<PlacementResult> {
   const figures = exchange.config.services.get(exchange.service)?.engine;
   if (figures === undefined) return placeAtPlainService(ctx, exchange, tried);
-  const stopWaiting = ctx.pollPace.enter();
+  const stopWaiting = ctx.pollPace.startWaiting();
   try {
     return await placeAtEngine(ctx, exchange, tried, figures);
   } finally {
@@ -131,18 +131,18 @@
 ): PlacingDecision {
   const startedAt = ctx.clock.now();
   const req = requestOf(ctx, exchange);
-  const considered = isReadAlone(figures, req)
+  const considered = usesSingleEngine(figures, req)
     ? sampled(ctx, replicas)
     : replicas;
   const candidates = withLoads(ctx, considered);
   const pool = {
     figures,
     candidates,
-    weightPerReadMs: ctx.worth.weightPerReadMs(),
+    weightPerPrefillMs: ctx.worth.weightPerPrefillMs(),
     fullness: ctx.fullness,
   };
   const decision = placeOrWait(pool, req);
-  ctx.pollPace.took(ctx.clock.now() - startedAt);
+  ctx.pollPace.recordPoll(ctx.clock.now() - startedAt);
   return decision;
 }
 
@@ -150,7 +150,7 @@
   {failureDomain, random}: ServeContext,
   replicas: readonly DirectReplica[],
 ): readonly DirectReplica[] {
-  return drawCandidates(replicas, failureDomain, () => random.next());
+  return sampleCandidates(replicas, failureDomain, () => random.next());
 }
 
 function requestOf(ctx: ServeContext, exchange: Exchange): PlacingRequest {
@@ -162,7 +162,7 @@
     answerTokens: answerTokens(facts),
     aimMs: route.aimMs,
     pauseAimMs: route.pauseAimMs,
-    patienceMs: patienceMs(route),
+    callerTimeoutMs: callerTimeoutMs(route),
     elapsedMs: exchange.elapsedMs(),
     draw: () => ctx.random.next(),
   };
--- a/src/direct/request_placement.ts
+++ b/src/direct/request_placement.ts
@@ -5,16 +5,16 @@
  */
 import type {Cancel} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
-import {chooseForCall} from './decide/choose_call.js';
-import type {CallCandidate} from './decide/choose_call.js';
+import {chooseCallReplica} from './decide/choose_call_replica.js';
+import type {CallCandidate} from './decide/choose_call_replica.js';
 import type {EnginePlan} from './decide/choose_engines.js';
-import type {EngineCandidate} from './decide/judge_engine.js';
+import type {EngineCandidate} from './decide/score_engine.js';
 import {aimMarginMs} from './decide/waiting_loss.js';
 import {answerTokens} from './exchange.js';
 import type {Exchange} from './exchange.js';
 import type {Group, GroupLoss} from './groups.js';
-import {callWork} from './load_book.js';
-import type {EnteredWork} from './load_book.js';
+import {plainCallAssignment} from './load_tracker.js';
+import type {OpenAssignment} from './load_tracker.js';
 import {callRequestOf} from './serve_context.js';
 import type {ServeContext} from './serve_context.js';
 import type {DirectReplica, GroupMember} from './types.js';
@@ -59,14 +59,14 @@
   exchange: Exchange,
   plan: EnginePlan,
 ): Promise<RequestPlacement | {readonly refusedBy: string}> {
-  const {helpers, partTokens, first} = plan;
+  const {helpers, partTokens, lead} = plan;
   const openWork = addWork(ctx, exchange, plan);
   const endWork = () => openWork.forEach(work => work.end());
   let group: Group | undefined;
   if (partTokens > 0 && helpers.length > 0) {
     const opened = await ctx.groups.open({
       requestId: exchange.id,
-      lead: first.replica,
+      lead: lead.replica,
       helpers: helpers.map(({replica}) => replica),
       tokens: partTokens,
     });
@@ -79,23 +79,23 @@
   logPlan(ctx, exchange, plan);
   const addresses = helpers.map(({replica}) => replica.address);
   return {
-    replica: first.replica,
+    replica: lead.replica,
     noteActivity: () => group?.noteActivity(),
     watchLoss: onLost => {
       group?.watchLoss(loss => {
-        ctx.health.failed(first.replica.id);
+        ctx.health.failed(lead.replica.id);
         onLost(loss);
       });
-      return watchRestarts(ctx, [first, ...helpers], onLost);
+      return watchRestarts(ctx, [lead, ...helpers], onLost);
     },
     helpers:
       group?.members ??
       addresses.map(address => ({address, reservation: undefined})),
     firstEventMs: plan.firstEventMs,
     firstEventReceived: tookMs => {
-      openWork.forEach(work => work.hasRead());
+      openWork.forEach(work => work.markPromptRead());
       if (helpers.length > 0) return;
-      ctx.health.answered(first.replica.id, tookMs, plan.firstEventMs);
+      ctx.health.answered(lead.replica.id, tookMs, plan.firstEventMs);
     },
     refused: faultAt => {
       const helper = helpers.find(it => it.replica.address === faultAt);
@@ -123,26 +123,26 @@
   ctx: ServeContext,
   exchange: Exchange,
   plan: EnginePlan,
-): readonly EnteredWork[] {
+): readonly OpenAssignment[] {
   const {facts, route} = exchange;
-  const {first, helpers, partReadMs, partTokens} = plan;
+  const {lead, helpers, partPrefillMs, partTokens} = plan;
   const totalTokens = facts.promptTokens + answerTokens(facts);
   const shared = {
-    readMs: partReadMs,
+    readMs: partPrefillMs,
     expectedMs: plan.firstEventMs,
     aimLeftMs: route.aimMs - exchange.elapsedMs(),
     aimMarginMs: aimMarginMs(route.aimMs),
     pauseAimMs: route.pauseAimMs,
   };
-  const leadWork = ctx.book.enter({
+  const leadWork = ctx.book.assign({
     ...shared,
-    replicaId: first.replica.id,
+    replicaId: lead.replica.id,
     places: 1,
     tokens: totalTokens - partTokens * helpers.length,
     weight: exchange.weight,
   });
   const helperWork = helpers.map(({replica}) =>
-    ctx.book.enter({
+    ctx.book.assign({
       ...shared,
       replicaId: replica.id,
       places: 0,
@@ -159,16 +159,16 @@
   exchange: Exchange,
   plan: EnginePlan,
 ): void {
-  const {first, helpers} = plan;
+  const {lead, helpers} = plan;
   ctx.log(DIRECT_EVENTS.dispatched, {
     requestId: exchange.id,
-    replica: first.replica.id,
+    replica: lead.replica.id,
     helpers: helpers.map(({replica}) => replica.id),
     promptTokens: exchange.facts.promptTokens,
     partTokens: plan.partTokens,
     firstEventMs: Math.round(plan.firstEventMs),
-    running: first.load.running,
-    readMsAhead: Math.round(first.load.readMs),
+    running: lead.load.running,
+    readMsAhead: Math.round(lead.load.readMs),
     ownLoss: Number(plan.ownLoss.toFixed(2)),
     harm: Number((plan.harm / exchange.weight).toFixed(2)),
     waitedMs: Math.round(exchange.elapsedMs()),
@@ -182,11 +182,11 @@
   exchange: Exchange,
   candidates: readonly CallCandidate[],
 ): RequestPlacement | undefined {
-  const chosen = chooseForCall(candidates, callRequestOf(ctx, exchange));
+  const chosen = chooseCallReplica(candidates, callRequestOf(ctx, exchange));
   if (chosen === undefined) return undefined;
   const {replica} = chosen;
   const {pauseAimMs} = exchange.route;
-  const work = ctx.book.enter(callWork(replica.id, pauseAimMs));
+  const work = ctx.book.assign(plainCallAssignment(replica.id, pauseAimMs));
   return {
     replica,
     noteActivity: () => undefined,
--- a/src/direct/serve_call.ts
+++ b/src/direct/serve_call.ts
@@ -6,7 +6,7 @@
 import {DIRECT_EVENTS} from '../utils/events.js';
 import {attemptCall} from './call_attempt.js';
 import type {BufferedAnswer, CallOutcome} from './call_attempt.js';
-import {chooseForCall} from './decide/choose_call.js';
+import {chooseCallReplica} from './decide/choose_call_replica.js';
 import type {AnswerHead} from './dispatch.js';
 import type {Exchange} from './exchange.js';
 import {
@@ -87,7 +87,7 @@
       ? untried
       : ctx.replicas.availableFor(service).filter(({id}) => sent.has(id));
   const req = callRequestOf(ctx, exchange);
-  return chooseForCall(withLoads(ctx, candidates), req)?.replica;
+  return chooseCallReplica(withLoads(ctx, candidates), req)?.replica;
 }
 
 function logChoice(
@@ -98,7 +98,7 @@
   ctx.log(DIRECT_EVENTS.dispatched, {
     requestId: exchange.id,
     replica: id,
-    running: ctx.book.of(id).running,
+    running: ctx.book.totalLoad(id).running,
     slowness: ctx.health.slowness(id),
     config: exchange.config.version,
   });
--- a/src/direct/serve_context.ts
+++ b/src/direct/serve_context.ts
@@ -6,16 +6,16 @@
 import {HOP_BY_HOP, namedByConnection} from '../utils/hop_headers.js';
 import type {CallTimes} from './call_times.js';
 import type {CrashWatch} from './crash_watch.js';
-import type {CallCandidate, CallRequest} from './decide/choose_call.js';
-import type {EngineCandidate} from './decide/judge_engine.js';
+import type {CallCandidate, CallRequest} from './decide/choose_call_replica.js';
+import type {EngineCandidate} from './decide/score_engine.js';
 import type {Fullness} from './decide/place_or_wait.js';
-import type {RequestWorth} from './decide/request_worth.js';
+import type {RequestWeights} from './decide/request_weights.js';
 import type {AnswerHead, DispatchRequest, OpenDispatch} from './dispatch.js';
 import type {Exchange} from './exchange.js';
 import type {ReplicaTable} from './replica_table.js';
 import type {Groups} from './groups.js';
-import type {LoadBook} from './load_book.js';
-import type {LookPace} from './look_pace.js';
+import type {LoadTracker} from './load_tracker.js';
+import type {PlacementPollPace} from './placement_poll_pace.js';
 import {sendLocalAnswer} from './local_answers.js';
 import {shortDigest} from './request_digest.js';
 import type {ReplicaHealth} from './replica_health.js';
@@ -25,7 +25,7 @@
   DirectReplica,
   GroupMember,
   HeaderCodec,
-  HeadersOut,
+  HeaderList,
 } from './types.js';
 
 export interface ServeContext {
@@ -40,11 +40,11 @@
   readonly health: ReplicaHealth;
   readonly losses: ReplicaLosses;
   readonly crashes: CrashWatch;
-  readonly book: LoadBook;
-  readonly worth: RequestWorth;
+  readonly book: LoadTracker;
+  readonly worth: RequestWeights;
   readonly fullness: Fullness | undefined;
   readonly callTimes: CallTimes;
-  readonly pollPace: LookPace;
+  readonly pollPace: PlacementPollPace;
   readonly groups: Groups;
   readonly budget: RetryBudget;
   /** Retries that each request adds to the budget. */
@@ -78,7 +78,7 @@
 ): readonly (EngineCandidate & CallCandidate)[] {
   return replicas.map(replica => ({
     replica,
-    load: book.of(replica.id),
+    load: book.totalLoad(replica.id),
     slowness: health.slowness(replica.id),
     brokenShare: health.brokenShare(replica.id),
   }));
@@ -211,7 +211,7 @@
 }
 
 /** The replica's headers without those of its connection. */
-function endToEndHeaders({rawHeaders}: AnswerHead): HeadersOut {
+function endToEndHeaders({rawHeaders}: AnswerHead): HeaderList {
   const dropped = namedByConnection(rawHeaders);
   const kept: string[] = [];
   for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
--- a/src/direct/serving.ts
+++ b/src/direct/serving.ts
@@ -12,9 +12,9 @@
 import type {CrashReport} from './crash_reports.js';
 import {createCrashWatch} from './crash_watch.js';
 import type {CrashWatch, CrashWatchOptions} from './crash_watch.js';
-import {readMs} from './decide/engine_timing.js';
+import {prefillMs} from './decide/engine_timing.js';
 import type {Fullness} from './decide/place_or_wait.js';
-import {createRequestWorth, sizeOf} from './decide/request_worth.js';
+import {createRequestWeights, weightedSize} from './decide/request_weights.js';
 import type {ProbePort} from './port_probe.js';
 import type {OpenDispatch} from './dispatch.js';
 import {openExchange} from './exchange.js';
@@ -22,10 +22,10 @@
 import {createReplicaTable} from './replica_table.js';
 import type {ReplicaTable} from './replica_table.js';
 import {createGroups} from './groups.js';
-import {createLoadBook} from './load_book.js';
-import type {LoadBook} from './load_book.js';
-import type {ReplicaLoad} from './load_sum.js';
-import {createLookPace} from './look_pace.js';
+import {createLoadTracker} from './load_tracker.js';
+import type {LoadTracker} from './load_tracker.js';
+import type {ReplicaLoad} from './replica_load.js';
+import {createPlacementPollPace} from './placement_poll_pace.js';
 import {createReplicaHealth} from './replica_health.js';
 import {createReplicaLosses} from './replica_losses.js';
 import {serveCall} from './serve_call.js';
@@ -94,7 +94,7 @@
 
 export interface Serving {
   readonly replicas: ReplicaTable;
-  readonly book: LoadBook;
+  readonly book: LoadTracker;
   readonly crashes: Pick<CrashWatch, 'merge' | 'release' | 'nextReports'>;
   /** Serves a request until its final answer; `arrivedAt` is its arrival. */
   serve(
@@ -121,7 +121,7 @@
   const {clock, log, metrics, random, codec, dispatch, retries} = options;
   let entryCount = 1;
   const openExchanges = new Set<Exchange>();
-  const worth = createRequestWorth();
+  const worth = createRequestWeights();
   const health = createReplicaHealth(clock);
   const losses = createReplicaLosses();
   const replicas = createReplicaTable({
@@ -156,10 +156,10 @@
   });
   let hasLongPrefill = false;
   const scheduleLoads = createBatcher(clock, () => {
-    options.shareLoads(book.own(), hasLongPrefill);
+    options.shareLoads(book.ownLoads(), hasLongPrefill);
     hasLongPrefill = false;
   });
-  const book = createLoadBook(clock, change => {
+  const book = createLoadTracker(clock, change => {
     hasLongPrefill ||= change === 'long';
     scheduleLoads(
       change === 'less' ? SHARE_ENDED_LOAD_MS : SHARE_ADDED_LOAD_MS,
@@ -181,7 +181,7 @@
     worth,
     fullness: options.fullness,
     callTimes: createCallTimes(),
-    pollPace: createLookPace(),
+    pollPace: createPlacementPollPace(),
     groups: createGroups({
       clock,
       log,
@@ -206,8 +206,8 @@
   }: AdmittedRequest): number => {
     const figures = config.services.get(service)?.engine;
     const ms =
-      figures === undefined ? 0 : readMs(figures, facts.promptTokens, 1);
-    return worth.weigh(route.name, sizeOf(facts), ms);
+      figures === undefined ? 0 : prefillMs(figures, facts.promptTokens, 1);
+    return worth.weigh(route.name, weightedSize(facts), ms);
   };
 
   const serveOrRefuse = async (exchange: Exchange): Promise<void> => {
--- a/src/direct/stream_silence.ts
+++ b/src/direct/stream_silence.ts
@@ -6,7 +6,7 @@
  * limit, as far as the caller waits.
  */
 import type {Exchange} from './exchange.js';
-import {patienceMs} from './decide/patience.js';
+import {callerTimeoutMs} from './decide/caller_timeout.js';
 import type {ServeContext} from './serve_context.js';
 
 /** The limit for a first event is at least its expected time times this. */
@@ -50,11 +50,14 @@
   // The last attempt is not ended for silence, since its answer may still come.
   const canRetry = mayRetry(exchange);
   const {route} = exchange;
-  const maxMs = patienceMs(route) * CALLER_TIMEOUT_SHARE;
+  const maxMs = callerTimeoutMs(route) * CALLER_TIMEOUT_SHARE;
   let stop = () => {};
 
   const allowedMs = (limitMs: number): number =>
-    Math.max(limitMs, Math.min(limitMs + book.of(replicaId).readMs, maxMs));
+    Math.max(
+      limitMs,
+      Math.min(limitMs + book.totalLoad(replicaId).readMs, maxMs),
+    );
   const wait = (limitMs: number, since: number): void => {
     stop();
     if (!canRetry) return;
--- a/src/side/channels.ts
+++ b/src/side/channels.ts
@@ -1,86 +1,106 @@
 /**
- * Open channels of runs: who talks on them, what was sent, and whether they
- * are still alive. An established connection can go silent for good while new
- * ones work; both ends beat, so that silence shows and the entry can come back
- * on a new one. Closing a channel never ends its run.
+ * Manages the open channels between entries and runs: which run each channel
+ * serves, which chunk it sends next, and when a frame last arrived. An
+ * established connection can stop delivering data without an error while new
+ * connections work. Both ends therefore send heartbeats, and a silent channel
+ * is closed so that the entry reconnects. Closing a channel never ends its run.
  */
 import type {DispatchId} from '../types/ids.js';
 import type {RunDown} from '../types/peer_messages.js';
 import type {RunServerChannel} from '../types/transport.js';
-import type {SideCore} from './core.js';
-import {isOver} from './run.js';
+import type {SideCore} from './side_core.js';
+import {isFinished} from './run.js';
 import type {Run} from './run.js';
 
 interface OpenChannel {
   readonly id: number;
   readonly channel: RunServerChannel;
+  /** The run's dispatch; undefined until a go or attach has arrived. */
   dispatchId: DispatchId | undefined;
-  /** Next chunk to send. */
+  /** Sequence number of the next chunk to send. */
   nextSeq: number;
-  /** A chunk is on its way and the channel can not take another yet. */
+  /** A chunk is being sent and the channel cannot accept another yet. */
   busy: boolean;
   outcomeSent: boolean;
-  /** It is closed once the last frame has gone; nothing more is heard. */
-  dismissed: boolean;
-  heardAt: number;
-  /** Since when a go or attach is awaited. */
-  awaitedSince: number;
+  /** A last frame is being sent; later incoming frames are ignored. */
+  closing: boolean;
+  /** Clock time in milliseconds when the last frame arrived. */
+  lastFrameAt: number;
+  /** Clock time in milliseconds since which a go or attach is awaited. */
+  unboundSince: number;
 }
 
+/** The open channels of one side, by channel id. */
 export interface Channels {
+  /** Registers a new channel and observes its frames. */
   open(channel: RunServerChannel): void;
-  /** Notes that a frame came; undefined when the channel is closed. */
-  heard(channelId: number): OpenChannelView | undefined;
-  /** Makes this the run's channel; an earlier one is closed. */
+  /** Records that a frame arrived; undefined when the channel is closed. */
+  recordFrame(channelId: number): OpenChannelView | undefined;
+  /**
+   * Makes this the run's channel and sends chunks from `fromSeq` on. An earlier
+   * channel of the run is closed.
+   */
   bind(channelId: number, run: Run, fromSeq: number): void;
-  /** Says something out of turn and closes. */
-  dismiss(channelId: number, frame: RunDown | undefined): void;
+  /** Sends a last frame, if one is given, and closes the channel. */
+  closeWith(channelId: number, frame: RunDown | undefined): void;
   /** Sends `started` on the run's channel. */
   sendStarted(run: Run): void;
-  /** Sends what the run has and its channel can take. */
-  pump(run: Run): void;
-  ready(channelId: number): DispatchId | undefined;
-  /** Forgets a closed channel; the run it belonged to. */
-  closed(channelId: number): ClosedChannel | undefined;
-  /** Beats on all; gives the ids of the silent and the idle ones. */
+  /** Sends the next chunk or the outcome if the run's channel can accept it. */
+  sendPending(run: Run): void;
+  /** Records that the channel can accept a frame; returns its dispatch. */
+  markReady(channelId: number): DispatchId | undefined;
+  /** Removes a closed channel and returns its last state. */
+  remove(channelId: number): ClosedChannel | undefined;
+  /**
+   * Sends a heartbeat on each live channel. Returns the ids of channels that
+   * are silent or have waited too long for a go or attach.
+   */
   sweep(): readonly number[];
-  /** After a freeze of this process: silence proves nothing. */
-  forgive(): void;
+  /**
+   * Restarts all silence timers. Needed after this process was frozen: it could
+   * not receive frames meanwhile, so silence does not show a dead peer.
+   */
+  resetSilence(): void;
   closeAll(): void;
   count(): number;
 }
 
+/** An open channel, as its frame handler sees it. */
 export interface OpenChannelView {
+  /** Undefined until a go or attach has arrived. */
   readonly dispatchId: DispatchId | undefined;
 }
 
+/** Last state of a closed channel. */
 export interface ClosedChannel {
   readonly dispatchId: DispatchId | undefined;
+  /** The run's outcome was sent on this channel. */
   readonly outcomeSent: boolean;
 }
 
+/** Creates an empty set of channels. */
 export function createChannels(core: SideCore): Channels {
   const {ctx, timing} = core;
   const channels = new Map<number, OpenChannel>();
   let lastId = 0;
 
-  /** A send can also fail; its channel's end is told by its frames. */
-  const say = (open: OpenChannel, frame: RunDown) => {
+  /** Ignores a failed send: the end of `frames` reports a broken channel. */
+  const sendFrame = (open: OpenChannel, frame: RunDown) => {
     void open.channel.send(frame).catch(() => undefined);
   };
 
   const observe = (id: number, channel: RunServerChannel) => {
-    const ended = (clean: boolean) =>
+    const notifyClosed = (clean: boolean) =>
       ctx.send('runs', {kind: 'channel-closed', channelId: id, clean});
     channel.frames
       .observe(frame => ctx.send('runs', {kind: 'frame', channelId: id, frame}))
       .then(
-        () => ended(true),
-        () => ended(false),
+        () => notifyClosed(true),
+        () => notifyClosed(false),
       );
   };
 
-  const drop = (id: number) => {
+  const closeNow = (id: number) => {
     const open = channels.get(id);
     if (open === undefined) return;
     channels.delete(id);
@@ -88,7 +108,7 @@
   };
 
   const sendChunk = (open: OpenChannel, run: Run) => {
-    const chunk = run.log.get(open.nextSeq);
+    const chunk = run.chunkLog.get(open.nextSeq);
     if (chunk === undefined) return;
     ctx.invariant(chunk.seq === open.nextSeq, 'chunk-seq-without-gap', {
       dispatchId: run.id,
@@ -97,31 +117,32 @@
     });
     open.nextSeq += 1;
     open.busy = true;
-    const ready = () =>
+    const notifyReady = () =>
       ctx.send('runs', {kind: 'channel-ready', channelId: open.id});
-    open.channel.send(chunk).then(ready, ready);
+    open.channel.send(chunk).then(notifyReady, notifyReady);
   };
 
-  const pump = (run: Run) => {
+  const sendPending = (run: Run) => {
     const open =
       run.channelId === undefined ? undefined : channels.get(run.channelId);
     if (open === undefined || open.busy) return;
-    if (open.nextSeq < run.log.count()) {
+    if (open.nextSeq < run.chunkLog.count()) {
       sendChunk(open, run);
       return;
     }
-    if (!isOver(run) || open.outcomeSent || run.outcome === undefined) return;
+    if (!isFinished(run) || open.outcomeSent || run.outcome === undefined)
+      return;
     open.outcomeSent = true;
-    run.toldAt = ctx.clock.now();
-    say(open, run.outcome);
+    run.outcomeSentAt = ctx.clock.now();
+    sendFrame(open, run.outcome);
   };
 
-  // A go or attach that was lost on its way leaves a channel on which both ends
-  // only beat. The entry would wait on it for ever, as a run taken up has no
-  // time limit there; closed, it attaches anew on another.
-  const isIdle = (open: OpenChannel, now: number) =>
+  // After a lost go or attach, both ends of the channel send only heartbeats.
+  // An entry that attached to an existing run has no time limit for it and
+  // would wait forever. Closing the channel makes it attach on a new one.
+  const isUnboundTooLong = (open: OpenChannel, now: number) =>
     open.dispatchId === undefined &&
-    now - open.awaitedSince > timing.channelSilenceMs;
+    now - open.unboundSince > timing.channelSilenceMs;
 
   return {
     open: channel => {
@@ -133,71 +154,71 @@
         nextSeq: 0,
         busy: false,
         outcomeSent: false,
-        dismissed: false,
-        heardAt: ctx.clock.now(),
-        awaitedSince: ctx.clock.now(),
+        closing: false,
+        lastFrameAt: ctx.clock.now(),
+        unboundSince: ctx.clock.now(),
       });
       observe(id, channel);
     },
-    heard: id => {
+    recordFrame: id => {
       const open = channels.get(id);
-      if (open === undefined || open.dismissed) return undefined;
-      open.heardAt = ctx.clock.now();
+      if (open === undefined || open.closing) return undefined;
+      open.lastFrameAt = ctx.clock.now();
       return open;
     },
     bind: (id, run, fromSeq) => {
       const open = channels.get(id);
       if (open === undefined) return;
       if (run.channelId !== undefined && run.channelId !== id) {
-        drop(run.channelId);
+        closeNow(run.channelId);
       }
       run.channelId = id;
-      run.toldAt = undefined;
+      run.outcomeSentAt = undefined;
       open.dispatchId = run.id;
       open.nextSeq = fromSeq;
     },
-    dismiss: (id, frame) => {
+    closeWith: (id, frame) => {
       const open = channels.get(id);
-      if (open === undefined || frame === undefined) return drop(id);
-      open.dismissed = true;
-      // A frame still on its way would be lost by the close.
-      const gone = () => drop(id);
-      open.channel.send(frame).then(gone, gone);
+      if (open === undefined || frame === undefined) return closeNow(id);
+      open.closing = true;
+      // Closing before the send completes would lose the frame.
+      const closeAfterSend = () => closeNow(id);
+      open.channel.send(frame).then(closeAfterSend, closeAfterSend);
     },
     sendStarted: run => {
       const open =
         run.channelId === undefined ? undefined : channels.get(run.channelId);
-      if (open !== undefined) say(open, {kind: 'started'});
+      if (open !== undefined) sendFrame(open, {kind: 'started'});
     },
-    pump,
-    ready: id => {
+    sendPending,
+    markReady: id => {
       const open = channels.get(id);
       if (open !== undefined) open.busy = false;
       return open?.dispatchId;
     },
-    closed: id => {
+    remove: id => {
       const open = channels.get(id);
-      drop(id);
+      closeNow(id);
       return open;
     },
     sweep: () => {
       const now = ctx.clock.now();
-      const silent: number[] = [];
+      const silentIds: number[] = [];
       for (const open of channels.values()) {
-        const isSilent = now - open.heardAt > timing.channelSilenceMs;
-        if (isSilent || isIdle(open, now)) silent.push(open.id);
-        else say(open, {kind: 'beat'});
+        const isSilent = now - open.lastFrameAt > timing.channelSilenceMs;
+        if (isSilent || isUnboundTooLong(open, now)) silentIds.push(open.id);
+        else sendFrame(open, {kind: 'beat'});
       }
-      return silent;
+      return silentIds;
     },
-    forgive: () => {
+    resetSilence: () => {
       for (const open of channels.values()) {
-        open.heardAt = ctx.clock.now();
-        open.awaitedSince = ctx.clock.now();
+        open.lastFrameAt = ctx.clock.now();
+        open.unboundSince = ctx.clock.now();
       }
     },
     closeAll: () => {
-      for (const id of [...channels.keys()]) drop(id);
+      for (const id of [...channels.keys()]) closeNow(id);
     },
     count: () => channels.size,
   };
--- a/src/side/offers.ts
+++ b/src/side/offers.ts
@@ -1,6 +1,6 @@
 /**
- * Takes or refuses offers. An offer that is taken has a place in the queue; it
- * lapses without a go. A copy of an offer gets the answer of the first.
+ * Accepts or refuses offers of runs. An accepted offer is queued and lapses if
+ * no `go` follows. A duplicate of an offer gets the same reply as the first.
  */
 import type {
   OfferAccepted,
@@ -10,37 +10,41 @@
   RefusalReason,
 } from '../types/peer_messages.js';
 import {SIDE_EVENTS} from '../utils/events.js';
-import type {SideCore} from './core.js';
-import {isUpstreamDown} from './core.js';
+import type {SideCore} from './side_core.js';
+import {isUpstreamDown} from './side_core.js';
 import type {FairShares} from './fair_shares.js';
 import type {Prediction} from './prediction.js';
-import {memoryFreeMs, placeFreeMs, predict} from './prediction.js';
-import {createRun, isOver, memoryOf} from './run.js';
+import {timeToFreeMemoryMs, timeToFreeSlotMs, predict} from './prediction.js';
+import {createRun, isFinished, memoryTokensOf} from './run.js';
 import type {Run} from './run.js';
 
-/** Least time to come back where nothing better is known. */
-const COME_BACK_MS = 100;
-/** Coming back does not help: this side can never run it in its time. */
-const NEVER_MS = 0;
+/** Minimum delay before a retry; applies when the prediction is shorter. */
+const MIN_RETRY_AFTER_MS = 100;
+/** Tells the entry not to retry here: this side can never accept the offer. */
+const NO_RETRY_MS = 0;
 
+/** Why an offer is refused, and when a retry makes sense. */
 interface Refusal {
   readonly reason: RefusalReason;
+  /** 0 when a retry at this side does not help. */
   readonly retryAfterMs: number;
 }
 
+/** Handles offers of runs. */
 export interface Offers {
+  /** Accepts or refuses an offer. */
   offer(req: OfferReq): OfferRes;
 }
 
-/** `watch` sets the timers of an accepted run. */
+/** `startTimers` sets the timers of an accepted run. */
 export function createOffers(
   core: SideCore,
   shares: FairShares,
-  watch: (run: Run) => void,
+  startTimers: (run: Run) => void,
 ): Offers {
   const {ctx, table, tombstones, memory, bounds, timing, incarnation} = core;
 
-  const refused = (refusal: Refusal): OfferRefused => ({
+  const refusedResponse = (refusal: Refusal): OfferRefused => ({
     kind: 'refused',
     incarnation,
     reason: refusal.reason,
@@ -48,8 +52,8 @@
   });
 
   const hasModel = (req: OfferReq) => {
-    const serves = core.options.upstream.kind;
-    if (req.kind === 'call') return serves === 'service';
+    const upstreamKind = core.options.upstream.kind;
+    if (req.kind === 'call') return upstreamKind === 'service';
     return core.upstream.models.some(
       state =>
         state.ready &&
@@ -60,61 +64,74 @@
 
   const isQueueFull = (req: OfferReq) => {
     const waiting = table.waiting();
-    const tokens = waiting.reduce((sum, r) => sum + r.offer.promptTokens, 0);
-    // Without room to remember an id, a late copy of it could run: no offer is
-    // taken that could not be buried.
+    const waitingTokens = waiting.reduce(
+      (sum, r) => sum + r.offer.promptTokens,
+      0,
+    );
+    // An offer whose id could not be tombstoned is not accepted: without a
+    // tombstone, a late copy of it could run.
     if (tombstones.isFull()) return true;
     if (waiting.length >= bounds.maxQueued) return true;
     return (
-      waiting.length > 0 && tokens + req.promptTokens > bounds.maxQueuedTokens
+      waiting.length > 0 &&
+      waitingTokens + req.promptTokens > bounds.maxQueuedTokens
     );
   };
 
-  const refuseState = (req: OfferReq): Refusal | undefined => {
+  /** Refuses an offer that the side cannot serve in its current state. */
+  const checkState = (req: OfferReq): Refusal | undefined => {
     if (req.incarnation !== incarnation) {
-      return {reason: 'incarnation', retryAfterMs: NEVER_MS};
+      return {reason: 'incarnation', retryAfterMs: NO_RETRY_MS};
     }
-    if (core.leaving) return {reason: 'leaving', retryAfterMs: NEVER_MS};
+    if (core.leaving) return {reason: 'leaving', retryAfterMs: NO_RETRY_MS};
     if (isUpstreamDown(core)) {
       return {reason: 'engine-down', retryAfterMs: timing.upstreamDownMs};
     }
-    if (!hasModel(req)) return {reason: 'no-model', retryAfterMs: NEVER_MS};
+    if (!hasModel(req)) return {reason: 'no-model', retryAfterMs: NO_RETRY_MS};
     return undefined;
   };
 
-  const refuseRoom = (req: OfferReq): Refusal | undefined => {
-    const need = memoryOf(req);
-    if (need > memory.capacity() && req.kind === 'completion') {
-      return {reason: 'full', retryAfterMs: NEVER_MS};
+  /** Refuses an offer for lack of memory or of space in the queue. */
+  const checkCapacity = (req: OfferReq): Refusal | undefined => {
+    const neededTokens = memoryTokensOf(req);
+    if (neededTokens > memory.capacity() && req.kind === 'completion') {
+      return {reason: 'full', retryAfterMs: NO_RETRY_MS};
     }
-    if (req.group !== undefined && need > memory.free()) {
-      const afterMs = Math.max(COME_BACK_MS, memoryFreeMs(core, need));
-      return {reason: 'full', retryAfterMs: afterMs};
+    if (req.group !== undefined && neededTokens > memory.free()) {
+      const retryAfterMs = Math.max(
+        MIN_RETRY_AFTER_MS,
+        timeToFreeMemoryMs(core, neededTokens),
+      );
+      return {reason: 'full', retryAfterMs};
     }
     if (isQueueFull(req)) {
-      const afterMs = Math.max(COME_BACK_MS, placeFreeMs(core));
-      return {reason: 'queue-full', retryAfterMs: afterMs};
+      const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, timeToFreeSlotMs(core));
+      return {reason: 'queue-full', retryAfterMs};
     }
     return undefined;
   };
 
-  const refuseTime = (
+  /** Refuses an offer that cannot end within its time limit. */
+  const checkDeadline = (
     req: OfferReq,
     prediction: Prediction,
   ): Refusal | undefined => {
-    if (prediction.leastEndMs <= req.timeLeftMs) return undefined;
-    const fitsAlone = prediction.leastAloneMs <= req.timeLeftMs;
-    const excess = prediction.leastEndMs - req.timeLeftMs;
-    if (!fitsAlone) core.rates.refused(ctx.clock.now());
-    return {reason: 'too-late', retryAfterMs: fitsAlone ? excess : NEVER_MS};
+    if (prediction.minEndMs <= req.timeLeftMs) return undefined;
+    const fitsAlone = prediction.minAloneMs <= req.timeLeftMs;
+    const excessMs = prediction.minEndMs - req.timeLeftMs;
+    if (!fitsAlone) core.rates.recordRefusal(ctx.clock.now());
+    return {
+      reason: 'too-late',
+      retryAfterMs: fitsAlone ? excessMs : NO_RETRY_MS,
+    };
   };
 
   const refuse = (req: OfferReq, refusal: Refusal): OfferRefused => {
-    const answer = refused(refusal);
-    // A late copy of an offer to an earlier incarnation may be of a run that
-    // started there: buried as refused, it would be called "not run" to the
-    // entry that comes back for it, and run twice. Its go is refused by the
-    // incarnation alone.
+    const answer = refusedResponse(refusal);
+    // An offer to an earlier incarnation may be a late copy of one whose run
+    // started there. With a tombstone for a refused offer, the side would tell
+    // the entry that the run did not execute, and it would run twice. No
+    // tombstone is needed: the incarnation check alone refuses its go.
     if (refusal.reason !== 'incarnation') {
       tombstones.add(
         {
@@ -140,7 +157,7 @@
   const activeOrganisations = () =>
     table
       .all()
-      .filter(run => !isOver(run))
+      .filter(run => !isFinished(run))
       .map(run => run.offer.organisation);
 
   const accept = (req: OfferReq, prediction: Prediction): OfferAccepted => {
@@ -151,12 +168,13 @@
       lapseMs: timing.offerLapseMs,
     };
     const run = createRun({offer: req, answer, now: ctx.clock.now()});
-    shares.arrive(req.organisation, activeOrganisations());
+    shares.join(req.organisation, activeOrganisations());
     table.add(run);
-    // Members of a group are all or nothing: what a member promised must still
-    // be free when its lead goes, or two groups could wait for each other.
+    // A group starts with all members or not at all. A member's memory is
+    // reserved at its offer so that it is still free when the lead starts.
+    // Otherwise two groups could wait for each other.
     if (req.group !== undefined) memory.reserve(run.id, run.memoryTokens);
-    watch(run);
+    startTimers(run);
     ctx.log(SIDE_EVENTS.offerAccepted, {
       dispatchId: req.dispatchId,
       organisation: req.organisation,
@@ -167,27 +185,27 @@
     return answer;
   };
 
-  /** The answer that a copy of a known offer gets. */
-  const known = (req: OfferReq): OfferRes | undefined => {
-    const buried = tombstones.get(req.dispatchId);
-    if (buried !== undefined) {
+  /** The reply to a duplicate of a known offer; undefined for a new one. */
+  const previousResponse = (req: OfferReq): OfferRes | undefined => {
+    const tombstone = tombstones.get(req.dispatchId);
+    if (tombstone !== undefined) {
       const tombstoned = {
         reason: 'tombstoned',
-        retryAfterMs: NEVER_MS,
+        retryAfterMs: NO_RETRY_MS,
       } as const;
-      return buried.answer ?? refused(tombstoned);
+      return tombstone.answer ?? refusedResponse(tombstoned);
     }
     return table.get(req.dispatchId)?.answer;
   };
 
   const decide = (req: OfferReq): OfferRes => {
-    const state = refuseState(req) ?? refuseRoom(req);
-    if (state !== undefined) return refuse(req, state);
+    const refusal = checkState(req) ?? checkCapacity(req);
+    if (refusal !== undefined) return refuse(req, refusal);
     const prediction = predict(core, req);
-    const late = refuseTime(req, prediction);
-    if (late !== undefined) return refuse(req, late);
+    const deadlineRefusal = checkDeadline(req, prediction);
+    if (deadlineRefusal !== undefined) return refuse(req, deadlineRefusal);
     return accept(req, prediction);
   };
 
-  return {offer: req => known(req) ?? decide(req)};
+  return {offer: req => previousResponse(req) ?? decide(req)};
 }
--- a/src/side/run_table.ts
+++ b/src/side/run_table.ts
@@ -1,31 +1,39 @@
-/** All runs that a side knows, by dispatch id. */
+/** Holds all runs that a side knows, by dispatch id. */
 import type {DispatchId, OrganisationId, RequestId} from '../types/ids.js';
-import {isHold, isOver, isWaiting, occupiesPlace} from './run.js';
+import {isHoldOnly, isFinished, isWaiting, occupiesSlot} from './run.js';
 import type {Run} from './run.js';
 
+/** The runs of one side. */
 export interface RunTable {
   add(run: Run): void;
   get(id: DispatchId): Run | undefined;
   remove(id: DispatchId): void;
   all(): readonly Run[];
+  /** Runs that are accepted and not yet sent to the upstream. */
   waiting(): readonly Run[];
-  /** Occupy a place at the upstream. */
-  placed(): readonly Run[];
-  over(): readonly Run[];
-  /** The furthest run of a request, holds left out. */
+  /** Runs that occupy a slot of the upstream. */
+  occupyingSlots(): readonly Run[];
+  /** Runs that are ended, failed or cancelled. */
+  finished(): readonly Run[];
+  /**
+   * The most advanced run of a request. Group members that only hold memory
+   * are ignored.
+   */
   find(requestId: RequestId, organisation: OrganisationId): Run | undefined;
 }
 
-const FURTHEST_FIRST = ['running', 'ended', 'queued', 'receiving'];
+/** Order of states for `find`; states that are not listed come last. */
+const MOST_ADVANCED_FIRST = ['running', 'ended', 'queued', 'receiving'];
 
 function rank(run: Run): number {
-  const index = FURTHEST_FIRST.indexOf(run.state);
-  return index < 0 ? FURTHEST_FIRST.length : index;
+  const index = MOST_ADVANCED_FIRST.indexOf(run.state);
+  return index < 0 ? MOST_ADVANCED_FIRST.length : index;
 }
 
+/** Creates an empty table. */
 export function createRunTable(): RunTable {
   const runs = new Map<DispatchId, Run>();
-  const where = (test: (run: Run) => boolean) =>
+  const select = (test: (run: Run) => boolean) =>
     [...runs.values()].filter(test);
 
   return {
@@ -33,15 +41,15 @@
     get: id => runs.get(id),
     remove: id => void runs.delete(id),
     all: () => [...runs.values()],
-    waiting: () => where(isWaiting),
-    placed: () => where(occupiesPlace),
-    over: () => where(isOver),
+    waiting: () => select(isWaiting),
+    occupyingSlots: () => select(occupiesSlot),
+    finished: () => select(isFinished),
     find: (requestId, organisation) =>
-      where(
+      select(
         run =>
           run.offer.requestId === requestId &&
           run.offer.organisation === organisation &&
-          !isHold(run.offer),
+          !isHoldOnly(run.offer),
       ).sort((a, b) => rank(a) - rank(b))[0],
   };
 }
--- a/src/side/runs_service.ts
+++ b/src/side/runs_service.ts
@@ -1,19 +1,24 @@
 /**
- * The `runs` service: sole owner of one upstream's capacity and of the runs on
- * it. It takes one message at a time; what its timers, streams and channels
- * have to say comes through its mailbox too.
+ * The `runs` service of a side: the only owner of an upstream's capacity and of
+ * the runs on it. It handles one message at a time. Timers, streams and
+ * channels also report through its mailbox, so no state changes concurrently.
  */
 import {followConfig} from '../config/follow_config.js';
 import type {ServiceContext, ServiceSpec} from '../types/kernel.js';
 import type {SideHeartbeatReq} from '../types/peer_messages.js';
 import {SIDE_EVENTS} from '../utils/events.js';
-import {createAbandon} from './abandon.js';
-import {heartbeatOf, locate, loadOf, statusOf} from './answers.js';
+import {createAbandonHandler} from './abandon.js';
+import {
+  heartbeatReplyOf,
+  locateRun,
+  loadOf,
+  statusOf,
+} from './state_reports.js';
 import {createAudit} from './audit.js';
 import {createChannels} from './channels.js';
-import type {RunsOptions, SideCore} from './core.js';
+import type {RunsOptions, SideCore} from './side_core.js';
 import {createFairShares} from './fair_shares.js';
-import {createFrames} from './frames.js';
+import {createFrameHandler} from './frame_handler.js';
 import {DEFAULT_RATE_PRIORS, createLearnedRates} from './learned_rates.js';
 import {createOutputLengths} from './output_lengths.js';
 import {createLifecycle, stopListening} from './lifecycle.js';
@@ -21,28 +26,29 @@
 import type {RunsEvent, RunsMessage, RunsRequest} from './messages.js';
 import {createOffers} from './offers.js';
 import {createOrders} from './orders.js';
-import {createOwners} from './owners.js';
+import {createRunOwners} from './run_owners.js';
 import type {Run} from './run.js';
 import {createRunTable} from './run_table.js';
 import {createScheduler} from './scheduler.js';
 import {DEFAULT_SIDE_BOUNDS, DEFAULT_SIDE_TIMING} from './timing.js';
 import {createTombstones} from './tombstones.js';
 import {createUpstreamRunner} from './upstream_runner.js';
-import {createUpstreamWatch} from './upstream_watch.js';
+import {createUpstreamPoller} from './upstream_poller.js';
 
-/** So many missed sweeps mean that the process stood still. */
-const FROZEN_SWEEPS = 3;
+/** A gap of more than this many heartbeat periods means a frozen process. */
+const FREEZE_SWEEPS = 3;
 
+/** Declares the `runs` service. */
 export function createRunsService(options: RunsOptions): ServiceSpec<'runs'> {
-  let starts = 0;
+  let startCount = 0;
   return {
     name: 'runs',
     start: ctx => {
-      // A service that failed and was started again has forgotten its
-      // tombstones: to its peers it must be another incarnation.
-      const again = starts === 0 ? '' : `-${starts}`;
-      starts += 1;
-      run(createCore(ctx, options, options.incarnation + again));
+      // A restart after a failure loses the tombstones, so the service must
+      // have a new incarnation for its peers.
+      const suffix = startCount === 0 ? '' : `-${startCount}`;
+      startCount += 1;
+      startRunsService(createCore(ctx, options, options.incarnation + suffix));
     },
   };
 }
@@ -67,7 +73,7 @@
     rates: createLearnedRates({...DEFAULT_RATE_PRIORS, ...options.priors}),
     lengths: createOutputLengths(),
     upstream: {
-      heardAt: undefined,
+      lastReportAt: undefined,
       reportAgeMs: 0,
       models: [],
       reconciled: !isEngine,
@@ -80,53 +86,54 @@
   };
 }
 
-function run(core: SideCore): void {
+/** Creates the parts of the service and connects them to its mailbox. */
+function startRunsService(core: SideCore): void {
   const {ctx, timing, table} = core;
   const shares = createFairShares();
   const channels = createChannels(core);
   const lifecycle = createLifecycle(core, channels);
   const runner = createUpstreamRunner(core, channels, lifecycle);
   const scheduler = createScheduler(core, shares, lifecycle, runner);
-  const owners = createOwners(core, channels, lifecycle);
+  const runOwners = createRunOwners(core, channels, lifecycle);
   const audit = createAudit(core, lifecycle);
   const orders = createOrders(core);
-  const upstreamWatch = createUpstreamWatch(core);
-  const abandon = createAbandon(core, lifecycle);
-  const drains: Array<() => void> = [];
+  const upstreamWatch = createUpstreamPoller(core);
+  const handleAbandon = createAbandonHandler(core, lifecycle);
+  const drainReplies: Array<() => void> = [];
   let lastTickAt = ctx.clock.now();
 
-  const due = (
+  const scheduleTimer = (
     target: Run,
-    what: (RunsEvent & {kind: 'due'})['what'],
+    timer: (RunsEvent & {kind: 'due'})['timer'],
     afterMs: number,
   ) => {
     const dispatchId = target.id;
     target.timers.push(
       ctx.clock.after(afterMs, () =>
-        ctx.send('runs', {kind: 'due', dispatchId, what}),
+        ctx.send('runs', {kind: 'due', dispatchId, timer}),
       ),
     );
   };
 
   const watchDeadline = (target: Run) =>
-    due(target, 'deadline', target.deadlineAt - ctx.clock.now());
+    scheduleTimer(target, 'deadline', target.deadlineAt - ctx.clock.now());
 
   const offers = createOffers(core, shares, target => {
-    due(target, 'lapse', timing.offerLapseMs);
+    scheduleTimer(target, 'lapse', timing.offerLapseMs);
     watchDeadline(target);
   });
-  const frames = createFrames(core, channels, lifecycle, {
+  const frameHandler = createFrameHandler(core, channels, lifecycle, {
     watchDeadline,
     startReserved: scheduler.startReserved,
   });
 
-  const lapse = (target: Run) => {
+  const lapseOffer = (target: Run) => {
     if (target.state !== 'offered') return;
     ctx.log(SIDE_EVENTS.offerLapsed, {dispatchId: target.id});
     lifecycle.cancel(target, 'lapsed', 'no go came for the accepted offer');
   };
 
-  const deadline = (target: Run) => {
+  const handleDeadline = (target: Run) => {
     if (ctx.clock.now() < target.deadlineAt) {
       watchDeadline(target);
       return;
@@ -135,44 +142,44 @@
       code: 'deadline-exceeded',
       message: 'the time limit passed',
     });
-    if (target.lateCall) due(target, 'late-call', timing.lateCallMs);
+    if (target.lateCall) scheduleTimer(target, 'late-call', timing.lateCallMs);
   };
 
-  const lateCall = (target: Run) => {
+  const releaseLateCall = (target: Run) => {
     if (!target.lateCall) return;
     stopListening(target);
     target.lateCall = false;
     core.queueChanged = true;
   };
 
-  const onDue = (message: RunsEvent & {kind: 'due'}) => {
+  const handleTimer = (message: RunsEvent & {kind: 'due'}) => {
     const target = table.get(message.dispatchId);
     if (target === undefined) return;
-    switch (message.what) {
+    switch (message.timer) {
       case 'lapse':
-        return lapse(target);
+        return lapseOffer(target);
       case 'deadline':
-        return deadline(target);
+        return handleDeadline(target);
       case 'prompt-gap':
-        return frames.promptGap(target);
+        return frameHandler.promptGapExpired(target);
       case 'late-call':
-        return lateCall(target);
+        return releaseLateCall(target);
     }
   };
 
-  const checkFrozen = () => {
+  const detectFreeze = () => {
     const now = ctx.clock.now();
-    const gap = now - lastTickAt;
+    const sinceLastTickMs = now - lastTickAt;
     lastTickAt = now;
-    if (gap <= FROZEN_SWEEPS * timing.heartbeatMs) return;
-    // While this process stood still it could hear nobody. To take that for
-    // the others' silence would end runs whose owners are well.
-    ctx.log(SIDE_EVENTS.sideFrozen, {ms: Math.round(gap)});
-    channels.forgive();
-    owners.forgive();
+    if (sinceLastTickMs <= FREEZE_SWEEPS * timing.heartbeatMs) return;
+    // A frozen process receives nothing. Counting that time as silence of the
+    // entries would cancel runs whose owners are healthy.
+    ctx.log(SIDE_EVENTS.sideFrozen, {ms: Math.round(sinceLastTickMs)});
+    channels.resetSilence();
+    runOwners.resetSilence();
   };
 
-  const gauges = () => {
+  const updateGauges = () => {
     const load = loadOf(core);
     ctx.metrics.gauge('onyxloft_side_queue_length', {}, load.queued);
     ctx.metrics.gauge('onyxloft_side_running', {}, load.running);
@@ -183,22 +190,22 @@
     );
   };
 
-  const tick = () => {
-    checkFrozen();
+  const handleTick = () => {
+    detectFreeze();
     for (const id of channels.sweep()) {
       ctx.log(SIDE_EVENTS.channelSilent, {channel: id});
-      frames.closed(id, false);
+      frameHandler.channelClosed(id, false);
     }
-    owners.sweep();
+    runOwners.sweep();
     runner.sweep();
-    // Ageing and deadlines change the queue without any event.
+    // Ageing and deadlines change the order of the queue without any event.
     core.queueChanged = true;
-    gauges();
+    updateGauges();
   };
 
-  const heartbeat = (req: SideHeartbeatReq) => {
-    owners.heard(req.entry, req.owned);
-    orders.fenceSeen(req.fence);
+  const handleHeartbeat = (req: SideHeartbeatReq) => {
+    runOwners.renew(req.entry, req.owned);
+    orders.observeFence(req.fence);
     if (req.configNumber > (core.config?.number ?? 0)) {
       ctx.send('config', {
         kind: 'peer-number',
@@ -206,27 +213,27 @@
         number: req.configNumber,
       });
     }
-    return heartbeatOf(core);
+    return heartbeatReplyOf(core);
   };
 
-  const leave = (reply: () => void) => {
+  const startDrain = (reply: () => void) => {
     if (!core.leaving) ctx.log(SIDE_EVENTS.sideLeaving, {});
     core.leaving = true;
-    drains.push(reply);
+    drainReplies.push(reply);
   };
 
-  const onRequest = (message: RunsRequest) => {
+  const handleRequest = (message: RunsRequest) => {
     switch (message.kind) {
       case 'offer':
         return message.reply(offers.offer(message.req));
       case 'abandon':
-        return message.reply(abandon(message.req));
+        return message.reply(handleAbandon(message.req));
       case 'locate':
-        return message.reply(locate(core, message.req));
+        return message.reply(locateRun(core, message.req));
       case 'heartbeat':
-        return message.reply(heartbeat(message.req));
+        return message.reply(handleHeartbeat(message.req));
       case 'order':
-        return orders.order(message.req, message.reply);
+        return orders.submit(message.req, message.reply);
       case 'channel':
         return channels.open(message.channel);
       case 'config':
@@ -235,73 +242,75 @@
         core.queueChanged = true;
         return;
       case 'drain':
-        return leave(message.reply);
+        return startDrain(message.reply);
       case 'status':
         return message.reply(statusOf(core, channels.count()));
     }
   };
 
-  const onEvent = (message: RunsEvent) => {
+  const handleEvent = (message: RunsEvent) => {
     switch (message.kind) {
       case 'frame':
-        return frames.handle(message.channelId, message.frame);
+        return frameHandler.handle(message.channelId, message.frame);
       case 'channel-closed':
-        return frames.closed(message.channelId, message.clean);
+        return frameHandler.channelClosed(message.channelId, message.clean);
       case 'channel-ready': {
-        const id = channels.ready(message.channelId);
+        const id = channels.markReady(message.channelId);
         const target = id === undefined ? undefined : table.get(id);
-        if (target !== undefined) channels.pump(target);
+        if (target !== undefined) channels.sendPending(target);
         return;
       }
       case 'upstream': {
         const target = table.get(message.dispatchId);
         if (target === undefined) return;
-        return runner.handle(target, message.stream, message.event);
+        return runner.handle(target, message.streamGeneration, message.event);
       }
       case 'resume-due': {
         const target = table.get(message.dispatchId);
-        if (target !== undefined) runner.resume(target, message.stream);
+        if (target !== undefined)
+          runner.resume(target, message.streamGeneration);
         return;
       }
       case 'due':
-        return onDue(message);
+        return handleTimer(message);
       case 'tick':
-        return tick();
+        return handleTick();
       case 'audit':
-        return audit.ask();
+        return audit.requestList();
       case 'listed':
-        return audit.listed(message.sentAt, message.outcome);
+        return audit.handleList(message.sentAt, message.outcome);
       case 'freed':
-        return audit.freed(message.dispatchId, message.outcome);
+        return audit.handleFreed(message.dispatchId, message.outcome);
       case 'report':
-        if (!core.upstream.reconciled) audit.ask();
-        return upstreamWatch.ask();
+        if (!core.upstream.reconciled) audit.requestList();
+        return upstreamWatch.requestReport();
       case 'reported':
-        return upstreamWatch.reported(message.outcome);
+        return upstreamWatch.handleReport(message.outcome);
       case 'fence-due':
-        return orders.askFence();
+        return orders.requestFence();
       case 'fence-read':
-        return orders.fenceRead(message.outcome);
+        return orders.handleFence(message.outcome);
       case 'order-done':
-        return orders.done(message.orderId, message.outcome);
+        return orders.handleOutcome(message.orderId, message.outcome);
     }
   };
 
-  const answerDrains = () => {
-    if (drains.length === 0 || table.all().some(owners.isAwaited)) return;
-    if (table.placed().length > 0) return;
+  const replyToDrains = () => {
+    if (drainReplies.length === 0 || table.all().some(runOwners.isAwaited))
+      return;
+    if (table.occupyingSlots().length > 0) return;
     ctx.log(SIDE_EVENTS.sideDrained, {});
-    for (const reply of drains.splice(0)) reply();
+    for (const reply of drainReplies.splice(0)) reply();
   };
 
   const handle = (message: RunsMessage) => {
-    if (isRequest(message)) onRequest(message);
-    else onEvent(message);
+    if (isRequest(message)) handleRequest(message);
+    else handleEvent(message);
     if (core.queueChanged) {
       core.queueChanged = false;
-      scheduler.run();
+      scheduler.startEligible();
     }
-    answerDrains();
+    replyToDrains();
   };
 
   const periodically = (ms: number, message: RunsEvent) =>
--- a/src/upstream/http_engine.ts
+++ b/src/upstream/http_engine.ts
@@ -1,7 +1,7 @@
 /**
- * Client of a model engine over HTTP: prompts go up in pieces as the engine
- * takes them, answers come down as lines of JSON. Each run's stream has a
- * connection of its own, and one that falls silent is given up.
+ * Implements the engine client over HTTP. Prompts are streamed with
+ * backpressure, and events are received as lines of JSON. Each run's stream
+ * uses its own connection and fails when the engine is silent for too long.
  */
 import {Readable} from 'node:stream';
 import {Left, Right} from 'purify-ts';
@@ -27,34 +27,35 @@
 import type {Push} from './push_stream.js';
 import {watchSilence} from './silence_watch.js';
 
+/** Maximum size of an event line; a longer line fails the stream. */
 const MAX_LINE_BYTES = 1_000_000;
 
-/** Address and time limits of an engine. */
+/** Address and timeouts of an engine. */
 export interface HttpEngineOptions {
   /** `http://ip:port` of the engine. */
   readonly url: string;
   readonly clock: Clock;
   /**
-   * Silence after which a stream fails, in milliseconds; a few of the
-   * engine's beats. @default 1500
+   * A stream fails when nothing arrives for this long, in milliseconds. Allow
+   * for a few of the engine's heartbeat periods. @default 1500
    */
   readonly silenceMs?: number;
-  /** Time limit of a call other than a stream. @default 2000 */
+  /** Time limit of a call other than a stream, in ms. @default 2000 */
   readonly callTimeoutMs?: number;
-  /** @default 1000 */
+  /** Time limit for establishing a connection, in ms. @default 1000 */
   readonly connectTimeoutMs?: number;
 }
 
 type Reply = Dispatcher.ResponseData<null>;
 
-/** Makes a client; nothing is dialled before its first use. */
+/** Creates a client; it connects on first use. */
 export function createHttpEngine(options: HttpEngineOptions): EngineClient {
   const {url, clock} = options;
   const silenceMs = options.silenceMs ?? 1500;
   const callTimeoutMs = options.callTimeoutMs ?? 2000;
   const connectTimeoutMs = options.connectTimeoutMs ?? 1000;
 
-  const fault = (code: ErrorCode, step: Step, message: string) => {
+  const engineError = (code: ErrorCode, step: Step, message: string) => {
     return new OnyxError({code, step, peer: url, message, ran: 'unknown'});
   };
 
@@ -65,7 +66,7 @@
       const connection = connect();
       const watch = watchSilence(clock, silenceMs, () => {
         const message = `engine ${url} was silent for ${silenceMs} ms`;
-        push.error(fault('timeout', 'run', message));
+        push.error(engineError('timeout', 'run', message));
       });
       const fail = (err: unknown) => {
         const place = {code: 'upstream-lost', step: 'run', peer: url} as const;
@@ -87,7 +88,7 @@
     push: Push<EngineEvent>,
     touch: () => void,
   ) => {
-    await check(reply, 'run');
+    await checkStatus(reply, 'run');
     const lines = createLineSplitter(MAX_LINE_BYTES);
     for await (const chunk of reply.body) {
       touch();
@@ -97,8 +98,8 @@
         if (event.kind === 'done' || event.kind === 'failed') push.end();
       });
     }
-    // Ends without a last event: the engine's process has gone.
-    push.error(fault('upstream-lost', 'run', `engine ${url} broke off`));
+    // The response ended without a final event: the engine's process exited.
+    push.error(engineError('upstream-lost', 'run', `engine ${url} broke off`));
   };
 
   const readLine = (line: string): EngineEvent => {
@@ -106,15 +107,15 @@
       return lineToEvent(line);
     } catch {
       const message = `engine ${url} sent a line that is no event`;
-      throw fault('upstream-failed', 'run', message);
+      throw engineError('upstream-failed', 'run', message);
     }
   };
 
-  const check = async (reply: Reply, step: Step) => {
+  const checkStatus = async (reply: Reply, step: Step) => {
     if (reply.statusCode < 300) return;
     const text = await reply.body.text();
     const message = `engine ${url} answered ${reply.statusCode}: ${text}`;
-    throw fault(codeOf(reply.statusCode), step, message);
+    throw engineError(codeOf(reply.statusCode), step, message);
   };
 
   const send = async (
@@ -123,7 +124,7 @@
     step: Step,
   ): Promise<unknown> => {
     const reply = await connection.request(req);
-    await check(reply, step);
+    await checkStatus(reply, step);
     return reply.body.json();
   };
 
@@ -141,7 +142,7 @@
       };
       const cancel = clock.after(callTimeoutMs, () => {
         const message = `engine ${url} gave no answer in ${callTimeoutMs} ms`;
-        settle(Left(fault('timeout', step, message)));
+        settle(Left(engineError('timeout', step, message)));
       });
       const place = {code: 'upstream-failed', step, peer: url} as const;
       send(connection, req, step)
@@ -154,7 +155,7 @@
     return call({method: 'GET', path}, 'run', body => schema.parse(body));
   };
 
-  const json = (value: object) => ({
+  const jsonBody = (value: object) => ({
     headers: {'content-type': 'application/json'},
     body: JSON.stringify(value),
   });
@@ -178,7 +179,7 @@
     report: () => get('/v1/report', reportSchema),
     setPriority: (runId, priority) => {
       const path = runPath(runId);
-      const req = {method: 'PATCH', path, ...json({priority})} as const;
+      const req = {method: 'PATCH', path, ...jsonBody({priority})} as const;
       return call(req, 'run', () => undefined);
     },
     cacheEvents: async afterSeq => {
@@ -188,7 +189,7 @@
     },
     order: order => {
       const path = '/v1/orders';
-      const req = {method: 'POST', path, ...json(order)} as const;
+      const req = {method: 'POST', path, ...jsonBody(order)} as const;
       return call(req, 'order', () => undefined);
     },
   };
--- a/src/upstream/http_service.ts
+++ b/src/upstream/http_service.ts
@@ -1,7 +1,8 @@
 /**
- * Client of a plain service over HTTP. Method, path, headers, body and status
- * pass on whole. Each call has a connection of its own, so that one which may
- * not be repeated is never caught by the end of a connection kept alive.
+ * Implements the client of a plain service over HTTP. It forwards method, path,
+ * headers, body and status unchanged, except for hop-by-hop headers and those
+ * that the client sets itself. Each call uses its own connection: a kept-alive
+ * connection might be closed while a call that must not be repeated is sent.
  */
 import {Readable} from 'node:stream';
 import {Left, Right} from 'purify-ts';
@@ -22,14 +23,14 @@
 import {pushStream} from './push_stream.js';
 import type {Push} from './push_stream.js';
 
-/** Header by which the service can tell a run. */
+/** Header that carries the run's id, so that the service can identify it. */
 const RUN_ID_HEADER = 'x-onyxloft-run-id';
 
-/** Headers that this client sets or answers for itself. */
+/** Headers that are not forwarded because this client sets or handles them. */
 const CLIENT_HEADERS: ReadonlySet<string> = new Set([
-  // Answered by the entry: the body is already here when the call goes out.
+  // The entry has handled it: the body is complete before the call is sent.
   'expect',
-  // The upstream's own, set from its address.
+  // Set from the upstream's address.
   'host',
 ]);
 
@@ -39,20 +40,20 @@
   ageMs: z.number(),
 });
 
-/** Address and time limits of a plain service. */
+/** Address and timeouts of a plain service. */
 export interface HttpServiceOptions {
   /** `http://ip:port` of the service. */
   readonly url: string;
   readonly clock: Clock;
-  /** Where the service reports its load. @default "/-/report" */
+  /** Path of the service's load report. @default "/-/report" */
   readonly reportPath?: string;
-  /** Time limit of a load report. @default 2000 */
+  /** Time limit of a load report, in milliseconds. @default 2000 */
   readonly reportTimeoutMs?: number;
-  /** @default 1000 */
+  /** Time limit for establishing a connection, in ms. @default 1000 */
   readonly connectTimeoutMs?: number;
 }
 
-/** Makes a client; nothing is dialled before its first use. */
+/** Creates a client; it connects on first use. */
 export function createHttpService(options: HttpServiceOptions): ServiceClient {
   const {url, clock} = options;
   const reportPath = options.reportPath ?? '/-/report';
@@ -67,7 +68,7 @@
     req: Dispatcher.RequestOptions,
   ) => {
     const reply = await connection.request(req);
-    const headers = passedOn(flatten(reply.headers));
+    const headers = forwardedHeaders(toHeaderList(reply.headers));
     push.event({kind: 'head', head: {status: reply.statusCode, headers}});
     for await (const data of reply.body) push.event({kind: 'data', data});
     push.event({kind: 'done'});
@@ -115,7 +116,7 @@
   head: CallHead,
   body: AsyncIterable<Uint8Array>,
 ): Promise<Dispatcher.RequestOptions> {
-  const headers = passedOn(head.headers)
+  const headers = forwardedHeaders(head.headers)
     .filter(({name}) => name.toLowerCase() !== RUN_ID_HEADER)
     .flatMap(({name, value}) => [name, value]);
   return {
@@ -126,7 +127,10 @@
   };
 }
 
-/** Null for an empty body: a GET with a chunked one is refused by many. */
+/**
+ * Returns null for an empty body. Many services refuse a GET with an empty
+ * chunked body.
+ */
 async function bodyOrNull(
   body: AsyncIterable<Uint8Array>,
 ): Promise<Readable | null> {
@@ -134,10 +138,10 @@
   let first = await pieces.next();
   while (!first.done && first.value.length === 0) first = await pieces.next();
   if (first.done) return null;
-  return Readable.from(joined(first.value, pieces));
+  return Readable.from(concatChunks(first.value, pieces));
 }
 
-async function* joined(
+async function* concatChunks(
   first: Uint8Array,
   rest: AsyncIterator<Uint8Array>,
 ): AsyncIterable<Uint8Array> {
@@ -153,13 +157,13 @@
   }
 }
 
-function passedOn(headers: readonly Header[]): readonly Header[] {
+function forwardedHeaders(headers: readonly Header[]): readonly Header[] {
   return withoutHopHeaders(headers).filter(
     ({name}) => !CLIENT_HEADERS.has(name.toLowerCase()),
   );
 }
 
-function flatten(headers: {
+function toHeaderList(headers: {
   readonly [name: string]: string | string[] | undefined;
 }): readonly Header[] {
   return Object.entries(headers).flatMap(([name, value]) => {
--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -2,8 +2,8 @@
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
 import {createCallTimes} from '../../src/direct/call_times.js';
-import {chooseForCall} from '../../src/direct/decide/choose_call.js';
-import {noLoad} from '../../src/direct/load_sum.js';
+import {chooseCallReplica} from '../../src/direct/decide/choose_call_replica.js';
+import {emptyLoad} from '../../src/direct/replica_load.js';
 import type {DirectReplica} from '../../src/direct/types.js';
 import {createSeededRandom} from '../../standins/seeded_random.js';
 import {
@@ -75,10 +75,10 @@
     for (let call = 0; call < CALLS; call++) {
       clock.advance(BETWEEN_MS);
       const well = replicas.filter(({id}) => !health.isSuspect(id));
-      const chosen = chooseForCall(
+      const chosen = chooseCallReplica(
         well.map(replica => ({
           replica,
-          load: noLoad(replica.id),
+          load: emptyLoad(replica.id),
           slowness: 1,
           brokenShare: sees(health.brokenShare(replica.id)),
         })),
