--- a/test/direct/restored_store.test.ts
+++ b/test/direct/restored_store.test.ts
@@ -343,7 +343,10 @@
     await sleep(REVOKED_MS);
     await fleet.entry.kernel.stop();
     fleet.store.restore(copy);
-    const starting = await startDirectFleet({node: 'entry-2', beside: fleet});
+    const starting = await startDirectFleet({
+      node: 'entry-2',
+      sharedFleet: fleet,
+    });
     const answer = await callEntry(starting, '/again/');
     await starting.close();
     await fleet.close();
--- a/test/direct/unsettled_era.test.ts
+++ b/test/direct/unsettled_era.test.ts
@@ -31,7 +31,10 @@
   // be in vain.
   test('refuses keys at once and states when to retry', async () => {
     const fleet = await restoreWithoutChange();
-    const starting = await startDirectFleet({node: 'entry-2', beside: fleet});
+    const starting = await startDirectFleet({
+      node: 'entry-2',
+      sharedFleet: fleet,
+    });
     const sentAt = performance.now();
     const answer = await callEntry(starting, '/again/');
     const tookMs = performance.now() - sentAt;
@@ -47,7 +50,10 @@
   // Operators repeat the removal, and the key must not be accepted before that.
   test('never accepts a key whose removal is written again', async () => {
     const fleet = await restoreWithoutChange();
-    const starting = await startDirectFleet({node: 'entry-2', beside: fleet});
+    const starting = await startDirectFleet({
+      node: 'entry-2',
+      sharedFleet: fleet,
+    });
     const seen = new Set<number>();
     const startedAt = performance.now();
     let isWritten = false;
@@ -64,7 +70,10 @@
 
   test('accepts keys after operators had time to repeat lost writes', async () => {
     const fleet = await restoreWithoutChange();
-    const starting = await startDirectFleet({node: 'entry-2', beside: fleet});
+    const starting = await startDirectFleet({
+      node: 'entry-2',
+      sharedFleet: fleet,
+    });
     await sleep(SETTLED_MS);
     const answer = await callEntry(starting, '/again/');
     await starting.close();
@@ -76,10 +85,10 @@
   test('writes a record that lets the next entry accept keys at once', async () => {
     const fleet = await restoreWithoutChange();
     const record = () => fleet.store.get('onyxloft-eras', 'settled');
-    const first = await startDirectFleet({node: 'entry-2', beside: fleet});
+    const first = await startDirectFleet({node: 'entry-2', sharedFleet: fleet});
     await until(() => isDeepStrictEqual(record(), {era: 2}));
     await first.close();
-    const next = await startDirectFleet({node: 'entry-3', beside: fleet});
+    const next = await startDirectFleet({node: 'entry-3', sharedFleet: fleet});
     const answer = await callEntry(next, '/again/');
     const unsettledEvents = next.runtime.eventsOf(DIRECT_EVENTS.eraUnsettled);
     await next.close();
