--- a/test/platform/foreign_records.test.ts
+++ b/test/platform/foreign_records.test.ts
@@ -1,4 +1,4 @@
-/** Records and datagrams that come from other writers. */
+/** Decoding of records and datagrams that other programs wrote. */
 import fc from 'fast-check';
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {decodeReplica, decodeReport} from '../../platform/replica_record.js';
@@ -13,7 +13,7 @@
 import {startStore} from '../../standins/users_platform/store.js';
 import type {StoreStandIn} from '../../standins/users_platform/store.js';
 
-const GOOD = {
+const VALID_RECORD = {
   service: 'pool',
   address: '10.0.0.1:80',
   zone: 'z',
@@ -22,17 +22,17 @@
 };
 const RUNS = {numRuns: 300, seed: 1};
 /** A good record with one field replaced, or any value at all. */
-const foreign = fc.oneof(
+const foreignSpec = fc.oneof(
   fc.anything(),
   fc
-    .tuple(fc.constantFrom(...Object.keys(GOOD), 'born'), fc.anything())
-    .map(([field, value]) => ({...GOOD, [field]: value})),
+    .tuple(fc.constantFrom(...Object.keys(VALID_RECORD), 'born'), fc.anything())
+    .map(([field, value]) => ({...VALID_RECORD, [field]: value})),
 );
 
-describe('a record by another writer', () => {
-  test('names a replica only if every field is sound', () => {
+describe('a record by another program', () => {
+  test('decodes to a replica only if every field is valid', () => {
     fc.assert(
-      fc.property(foreign, spec => {
+      fc.property(foreignSpec, spec => {
         decodeReplica('r', spec).ifRight(replica => {
           expect(replica.address).toMatch(/^\d+\.\d+\.\d+\.\d+:\d+$/);
           expect(replica.places).toSatisfy(Number.isInteger);
@@ -58,24 +58,26 @@
     ['a negative start', {born: -1}],
     ['a start that is no whole number', {born: 1.5}],
     ['a start as text', {born: '5'}],
-  ])('names none with %s', (_what, field) => {
-    expect(decodeReplica('r', {...GOOD, ...field}).isLeft()).toBe(true);
+  ])('is rejected with %s', (_what, field) => {
+    expect(decodeReplica('r', {...VALID_RECORD, ...field}).isLeft()).toBe(true);
   });
 
-  test('names one that tells no start, or one in the future', () => {
-    const far = 9e15;
+  test('decodes without a start time, or with one in the future', () => {
+    const futureStart = 9e15;
     const startOf = (spec: unknown) =>
       decodeReplica('r', spec).map(({startedAt}) => startedAt);
-    expect(startOf(GOOD).extract()).toBeUndefined();
-    expect(startOf({...GOOD, born: far}).extract()).toBe(far);
+    expect(startOf(VALID_RECORD).extract()).toBeUndefined();
+    expect(startOf({...VALID_RECORD, born: futureStart}).extract()).toBe(
+      futureStart,
+    );
   });
 
-  test('says nothing of a start that cannot be read in a report', () => {
+  test('with an invalid start time is rejected as a report', () => {
     expect(decodeReport({born: '5'}).isLeft()).toBe(true);
     expect(decodeReport({born: 5}).extract()).toEqual({startedAt: 5});
   });
 
-  test('tells of the reservations in a report that can be read', () => {
+  test('gives the reservations in a report that can be decoded', () => {
     const tickets = [
       {id: 'a', state: 'held'},
       {id: 'b', state: 'used'},
@@ -96,7 +98,7 @@
   });
 });
 
-const object = (name: string, spec: unknown = GOOD) => ({
+const object = (name: string, spec: unknown = VALID_RECORD) => ({
   metadata: {name, revision: 3},
   spec,
 });
@@ -107,10 +109,10 @@
 });
 
 describe('an answer of the store', () => {
-  test('gives the good items among any others', () => {
+  test('gives the valid items among any others', () => {
     fc.assert(
-      fc.property(fc.array(fc.jsonValue()), bad => {
-        const text = JSON.stringify(pageOf([...bad, object('good')]));
+      fc.property(fc.array(fc.jsonValue()), invalidItems => {
+        const text = JSON.stringify(pageOf([...invalidItems, object('good')]));
         const names = decodePage(text).map(({objects}) =>
           objects.map(({name}) => name),
         );
@@ -120,7 +122,7 @@
     );
   });
 
-  test('gives the good events among any others', () => {
+  test('gives the valid events among any others', () => {
     fc.assert(
       fc.property(fc.array(fc.jsonValue()), bad => {
         const good = {object: object('good'), removed: false};
@@ -134,9 +136,9 @@
     );
   });
 
-  // One record's bytes are no JSON. The page is read as far as it goes, and
-  // what is missing in it is not taken as gone.
-  test('gives the others where one item is no JSON', () => {
+  // One record is not valid JSON. The other items are decoded, and the page is
+  // marked as partial, so that a missing item does not count as deleted.
+  test('gives the others if one item is not valid JSON', () => {
     const [before, after] = ['a', 'b'].map(name =>
       JSON.stringify(object(name)),
     );
@@ -147,7 +149,7 @@
     expect(page).toMatchObject({isPartial: true, currentRev: 9});
   });
 
-  test('is never read as something else for a spoilt byte', () => {
+  test('never decodes to more items when one byte is changed', () => {
     const names = ['a', 'b', 'c'];
     const text = JSON.stringify(pageOf(names.map(name => object(name))));
     fc.assert(
@@ -155,8 +157,8 @@
         fc.nat(text.length - 1),
         fc.string({minLength: 1, maxLength: 1}),
         (at, char) => {
-          const spoilt = text.slice(0, at) + char + text.slice(at + 1);
-          decodePage(spoilt).ifRight(({objects}) => {
+          const changed = text.slice(0, at) + char + text.slice(at + 1);
+          decodePage(changed).ifRight(({objects}) => {
             expect(objects.length).toBeLessThanOrEqual(names.length);
           });
         },
@@ -166,49 +168,55 @@
   });
 });
 
-describe('a store with records by other writers', () => {
-  let stored: StoreStandIn;
+describe('a store with records by other programs', () => {
+  let storeStandIn: StoreStandIn;
   let store: DirectStore;
   let recorded: RecordingRuntime;
   beforeEach(async () => {
-    stored = await startStore();
+    storeStandIn = await startStore();
     recorded = createRecordingRuntime();
     const {log, metrics} = recorded.runtime;
     const clock = createProcessClock();
-    store = createStoreClient({address: stored.address, clock, metrics, log});
+    store = createStoreClient({
+      address: storeStandIn.address,
+      clock,
+      metrics,
+      log,
+    });
   });
-  afterEach(() => stored.close());
-  const told = () => recorded.eventsOf(DIRECT_EVENTS.recordUnreadable).length;
+  afterEach(() => storeStandIn.close());
+  const loggedCount = () =>
+    recorded.eventsOf(DIRECT_EVENTS.recordUnreadable).length;
 
-  test('lists the others, and tells of each once a revision', async () => {
-    stored.put('servers', 'a', GOOD);
-    stored.put('servers', 'bad', {service: 5});
-    stored.put('servers', 'c', GOOD);
+  test('lists the valid ones, and logs each invalid one once a revision', async () => {
+    storeStandIn.put('servers', 'a', VALID_RECORD);
+    storeStandIn.put('servers', 'bad', {service: 5});
+    storeStandIn.put('servers', 'c', VALID_RECORD);
     for (let times = 0; times < 3; times++) {
       const {items} = (await store.replicas.list()).unsafeCoerce();
       expect([...items.keys()]).toEqual(['a', 'c']);
     }
-    expect(told()).toBe(1);
-    stored.put('servers', 'bad', 'not even an object');
+    expect(loggedCount()).toBe(1);
+    storeStandIn.put('servers', 'bad', 'not even an object');
     await store.replicas.list();
-    expect(told()).toBe(2);
+    expect(loggedCount()).toBe(2);
   });
 
-  test('watches on after one of them', async () => {
+  test('reports further changes after an invalid record', async () => {
     const {position} = (await store.replicas.list()).unsafeCoerce();
-    stored.put('servers', 'bad', null);
-    stored.put('servers', 'good', GOOD);
+    storeStandIn.put('servers', 'bad', null);
+    storeStandIn.put('servers', 'good', VALID_RECORD);
     const changes = (await store.replicas.watch(position, 100)).unsafeCoerce();
     expect(changes.items.get('good')).toMatchObject({name: 'good'});
     expect(changes.items.get('bad')).toBeUndefined();
   });
 
-  test('names no entry without an address', async () => {
+  test('lists no entry without a valid address', async () => {
     const entry = {node: 'e', incarnation: 'i', ip: '10.0.0.1', port: 7};
-    stored.put('onyxloft-entries', 'e', entry);
-    stored.put('onyxloft-entries', 'f', {...entry, ip: 'nowhere'});
-    stored.put('onyxloft-entries', 'g', {...entry, port: 0});
-    stored.put('onyxloft-entries', 'h', [entry]);
+    storeStandIn.put('onyxloft-entries', 'e', entry);
+    storeStandIn.put('onyxloft-entries', 'f', {...entry, ip: 'nowhere'});
+    storeStandIn.put('onyxloft-entries', 'g', {...entry, port: 0});
+    storeStandIn.put('onyxloft-entries', 'h', [entry]);
     const entries = (await store.listEntries()).unsafeCoerce();
     expect(entries).toEqual([entry]);
   });
@@ -226,7 +234,7 @@
   };
   const sent = encodeDatagram({kind: 'load', from, seq: 1, loads: [load]});
 
-  test('is dropped, whatever its bytes are', () => {
+  test('is dropped if its bytes are random', () => {
     fc.assert(
       fc.property(fc.uint8Array(), bytes => {
         expect(decodeDatagram(Buffer.from(bytes)).isNothing()).toBe(true);
@@ -235,7 +243,7 @@
     );
   });
 
-  test('is dropped with any part that is not as it is sent', () => {
+  test('is dropped if a field has another type', () => {
     const value = JSON.parse(sent.toString()) as Record<string, unknown>;
     fc.assert(
       fc.property(
@@ -257,7 +265,7 @@
     expect(decodeDatagram(Buffer.from(bytes)).isNothing()).toBe(true);
   });
 
-  test('of an entry arrives as it was', () => {
+  test('of an entry decodes to the same value', () => {
     expect(decodeDatagram(sent).extract()).toEqual({
       kind: 'load',
       from,
@@ -266,9 +274,9 @@
     });
   });
 
-  // Its age is below zero: evidence from the future would keep a key in force
-  // that was taken away.
-  test('that tells evidence of the future is dropped', () => {
+  // A negative age means evidence from the future. It would keep a key valid
+  // that was removed.
+  test('with evidence from the future is dropped', () => {
     const knowledge = {
       era: 1,
       evidenceAgeMs: -5,
--- a/test/platform/names.test.ts
+++ b/test/platform/names.test.ts
@@ -1,4 +1,4 @@
-/** Only the folder platform/ knows the names on the users' wire. */
+/** Only the folder platform/ contains the names of the users' protocol. */
 import {readFileSync, readdirSync} from 'node:fs';
 import {join} from 'node:path';
 import {describe, expect, test} from 'vitest';
@@ -13,28 +13,28 @@
 ];
 
 function sources(folder: string): readonly string[] {
-  return readdirSync(folder, {withFileTypes: true}).flatMap(each => {
-    const path = join(folder, each.name);
-    if (each.isDirectory()) return sources(path);
+  return readdirSync(folder, {withFileTypes: true}).flatMap(entry => {
+    const path = join(folder, entry.name);
+    if (entry.isDirectory()) return sources(path);
     return path.endsWith('.ts') ? [path] : [];
   });
 }
 
-describe('names of the users’ wire', () => {
-  test('stand in no source of the product', () => {
-    const found = [...sources('src'), ...sources('bench')].filter(path => {
+describe('names of the users’ protocol', () => {
+  test('occur in no source file of the product', () => {
+    const offenders = [...sources('src'), ...sources('bench')].filter(path => {
       const text = readFileSync(path, 'utf8');
       return WIRE_NAMES.some(name => name.test(text));
     });
-    expect(found).toEqual([]);
+    expect(offenders).toEqual([]);
   });
 
-  test('are translated by a folder that stays small', () => {
-    const lines = (folder: string) =>
+  test('are translated by a folder smaller than a tenth of src', () => {
+    const lineCount = (folder: string) =>
       sources(folder).reduce(
         (sum, path) => sum + readFileSync(path, 'utf8').split('\n').length,
         0,
       );
-    expect(lines('platform')).toBeLessThan(lines('src') / 10);
+    expect(lineCount('platform')).toBeLessThan(lineCount('src') / 10);
   });
 });
