--- a/src/direct/crash_watch.ts
+++ b/src/direct/crash_watch.ts
@@ -1,59 +1,73 @@
 /**
- * Keeps requests that crash replicas from being sent on: notes how each run
- * ended, and refuses what has ended too many replicas under whatever ids.
+ * Stops requests that crash replicas from being dispatched again. It records
+ * how each run ended, and quarantines a request whose runs ended too many
+ * replicas, whatever request ids it had.
  */
 import type {Clock, Log} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
 import type {CrashReport} from './crash_reports.js';
-import type {Dial} from './dial.js';
+import type {ProbePort} from './port_probe.js';
 import type {Exchange} from './exchange.js';
 import {createLostRuns} from './lost_runs.js';
-import {shownDigest} from './request_digest.js';
+import {shortDigest} from './request_digest.js';
 import {createSuspects} from './suspects.js';
 import type {Suspects} from './suspects.js';
 import type {DirectReplica} from './types.js';
 
 /**
- * Larger bodies are digested only while there are suspects. Requests that are
- * asked again and again, whose good runs matter beforehand, are small.
+ * Largest body, in bytes, whose successful runs are counted while no request is
+ * suspect. Larger bodies are hashed only while there are suspects, which saves
+ * the time. The count matters for requests that are repeated often, and those
+ * are small.
  */
-const DIGESTED_BYTES = 64 * 1024;
+const MAX_ALWAYS_DIGESTED_BYTES = 64 * 1024;
 
 export interface CrashWatch extends Pick<
   Suspects,
-  'merge' | 'release' | 'next' | 'size' | 'quarantined'
+  'merge' | 'release' | 'nextReports' | 'suspectCount' | 'quarantinedCount'
 > {
   isQuarantined(exchange: Exchange): boolean;
-  /** Whether it may be sent to a replica now; takes up its trial, if it has one. */
+  /**
+   * Whether the request may be sent to a replica now. A quarantined request may
+   * be sent once as a trial; the call uses that trial up.
+   */
   maySend(exchange: Exchange): boolean;
-  /** Makes a quarantined request the trial of its like, if one is due. */
+  /**
+   * Claims the trial of a quarantined request, if one is due. Resolves with
+   * whether this request may run as the trial.
+   */
   claimTrial(exchange: Exchange): Promise<boolean>;
-  /** The run's connection broke, or fell silent. */
-  broke(exchange: Exchange, replica: DirectReplica): void;
-  /** The run was given up for another reason while it was under way. */
-  left(exchange: Exchange, replica: DirectReplica): void;
-  ranWell(exchange: Exchange): void;
-  /** This start of a replica is known to have ended. */
+  /** The connection of the run broke, or no more data came on it. */
+  runBroken(exchange: Exchange, replica: DirectReplica): void;
+  /** This entry cancelled the run before its end. */
+  runCancelled(exchange: Exchange, replica: DirectReplica): void;
+  runSucceeded(exchange: Exchange): void;
+  /** The replica with this id has ended. */
   replicaEnded(replicaId: string): void;
-  /** Its record was removed, and it was not told to leave. */
-  recordGone(replicaId: string): void;
+  /** The replica's record was removed, though it was not told to leave. */
+  recordRemoved(replicaId: string): void;
 }
 
 export interface CrashWatchOptions {
   readonly clock: Clock;
   readonly log: Log;
-  readonly dial: Dial;
+  readonly probePort: ProbePort;
   /** Name of this entry. */
   readonly node: string;
+  /** Whether the replica was told to leave, so that its end is no crash. */
   isLeaving(replicaId: string): boolean;
-  /** The other entries should hear of it. */
-  tell(report: CrashReport): void;
-  /** It is to last; `isOwn` where this entry saw the last crash. */
+  /** Sends a report to the other entries. */
+  shareReport(report: CrashReport): void;
+  /**
+   * Called when a request is quarantined, to store it. `isOwn` is true when
+   * this entry observed the last crash.
+   */
   onQuarantined(report: CrashReport, isOwn: boolean): void;
   /** See `SuspectsOptions`. */
   onCleared(digest: string, isOwn: boolean): void;
   /**
-   * True for one claim of all entries; undefined when nobody answered.
+   * Claims a trial in the store. Resolves with true for one entry only, and
+   * with undefined when the store did not answer.
    */
   claimTrial(digest: string, trial: number): Promise<boolean | undefined>;
 }
@@ -63,41 +77,41 @@
   const suspects = createSuspects({
     clock,
     self: options.node,
-    onNews: options.tell,
+    onChanged: options.shareReport,
     onQuarantined: (report, isOwn) => {
       const {digest, ended, good} = report;
-      const shown = shownDigest(digest);
+      const shown = shortDigest(digest);
       log(DIRECT_EVENTS.quarantined, {digest: shown, ended, good, isOwn});
       options.onQuarantined(report, isOwn);
     },
     onCleared: (digest, isOwn) => {
       log(DIRECT_EVENTS.quarantineEnded, {
-        digest: shownDigest(digest),
+        digest: shortDigest(digest),
         reason: 'runs of it ended well',
       });
       options.onCleared(digest, isOwn);
     },
   });
-  const lost = createLostRuns({
+  const lostRuns = createLostRuns({
     clock,
-    dial: options.dial,
+    probePort: options.probePort,
     isLeaving: options.isLeaving,
     onEnded: (digest, replica) => {
-      log(DIRECT_EVENTS.replicaEnded, {digest: shownDigest(digest), replica});
-      suspects.ended(digest, replica);
+      log(DIRECT_EVENTS.replicaEnded, {digest: shortDigest(digest), replica});
+      suspects.replicaEnded(digest, replica);
     },
   });
   const isQuarantined = (exchange: Exchange) =>
-    suspects.size() > 0 && suspects.isQuarantined(exchange.digest());
+    suspects.suspectCount() > 0 && suspects.isQuarantined(exchange.digest());
   return {
     merge: suspects.merge,
-    next: suspects.next,
-    size: suspects.size,
-    quarantined: suspects.quarantined,
+    nextReports: suspects.nextReports,
+    suspectCount: suspects.suspectCount,
+    quarantinedCount: suspects.quarantinedCount,
     release: digest => {
       suspects.release(digest);
       log(DIRECT_EVENTS.quarantineEnded, {
-        digest: shownDigest(digest),
+        digest: shortDigest(digest),
         reason: 'released',
       });
     },
@@ -116,7 +130,7 @@
       suspects.trialSettled(digest, isGained !== undefined);
       exchange.isTrial = isGained === true;
       if (exchange.isTrial) {
-        const shown = shownDigest(digest);
+        const shown = shortDigest(digest);
         log(DIRECT_EVENTS.trial, {
           requestId: exchange.id,
           digest: shown,
@@ -125,17 +139,20 @@
       }
       return exchange.isTrial;
     },
-    broke: (exchange, replica) => lost.broke(exchange.digest(), replica),
-    left: (exchange, replica) => {
+    runBroken: (exchange, replica) =>
+      lostRuns.runBroken(exchange.digest(), replica),
+    runCancelled: (exchange, replica) => {
       const digest = exchange.digest();
-      if (suspects.isKnown(digest)) lost.leftSuspect(digest, replica);
-      else lost.left(digest, replica);
+      if (suspects.isSuspect(digest))
+        lostRuns.suspectRunCancelled(digest, replica);
+      else lostRuns.runCancelled(digest, replica);
     },
-    ranWell: exchange => {
-      const isSmall = exchange.body.length <= DIGESTED_BYTES;
-      if (isSmall || suspects.size() > 0) suspects.ranWell(exchange.digest());
+    runSucceeded: exchange => {
+      const isSmall = exchange.body.length <= MAX_ALWAYS_DIGESTED_BYTES;
+      if (isSmall || suspects.suspectCount() > 0)
+        suspects.runSucceeded(exchange.digest());
     },
-    replicaEnded: lost.replicaEnded,
-    recordGone: lost.recordGone,
+    replicaEnded: lostRuns.replicaEnded,
+    recordRemoved: lostRuns.recordRemoved,
   };
 }
--- a/src/direct/decide/place_or_wait.ts
+++ b/src/direct/decide/place_or_wait.ts
@@ -18,7 +18,7 @@
  * nothing while enough engines are free.
  */
 import type {EngineFigures} from '../types.js';
-import {noLoad} from '../load_sum.js';
+import {emptyLoad} from '../replica_load.js';
 import {MAX_GROUP_SIZE, chooseEngines, minLoss} from './choose_engines.js';
 import type {EnginePlan} from './choose_engines.js';
 import type {EngineCandidate, EngineRequest} from './score_engine.js';
@@ -154,7 +154,7 @@
 function isLateOnIdleEngines(pool: EnginePool, req: PlacingRequest): boolean {
   const idleCandidates = pool.candidates.map(it => ({
     ...it,
-    load: noLoad(it.load.replicaId),
+    load: emptyLoad(it.load.replicaId),
   }));
   const plan = chooseEngines(pool.figures, req, idleCandidates);
   return plan !== undefined && req.elapsedMs + plan.firstEventMs > req.aimMs;
--- a/src/direct/decide/score_engine.ts
+++ b/src/direct/decide/score_engine.ts
@@ -5,7 +5,7 @@
  * prompt is scored for many group sizes, and an entry may have only a quarter of
  * a core.
  */
-import type {Reader, ReplicaLoad} from '../load_sum.js';
+import type {Reader, ReplicaLoad} from '../replica_load.js';
 import type {DirectReplica, EngineFigures} from '../types.js';
 import {passMs} from './engine_timing.js';
 import {firstEventLoss, pauseLoss, slackRisk} from './waiting_loss.js';
--- a/src/direct/stream_silence.ts
+++ b/src/direct/stream_silence.ts
@@ -29,8 +29,8 @@
 }
 
 /** Whether another replica may be tried in place of one that is silent. */
-function mayGoOn({route, sent}: Exchange): boolean {
-  return route.kind === 'resumable-stream' && sent < route.maxAttempts;
+function mayGoOn({route, attempts}: Exchange): boolean {
+  return route.kind === 'resumable-stream' && attempts < route.maxAttempts;
 }
 
 /** `onSilent` is called once, and only while another replica may be tried. */
@@ -47,7 +47,10 @@
   let stop = () => {};
 
   const allowedMs = (limitMs: number): number =>
-    Math.max(limitMs, Math.min(limitMs + book.of(replicaId).readMs, mostMs));
+    Math.max(
+      limitMs,
+      Math.min(limitMs + book.totalLoad(replicaId).readMs, mostMs),
+    );
   const wait = (limitMs: number, since: number): void => {
     stop();
     if (!canGoOn) return;
--- a/src/direct_wiring.ts
+++ b/src/direct_wiring.ts
@@ -3,8 +3,8 @@
  * platform's protocol comes in as functions.
  */
 import {createDirectFront} from './direct/front.js';
-import {readyAgeMs} from './direct/evidence.js';
-import {createFollowed} from './direct/followed.js';
+import {maxReadyAgeMs} from './direct/evidence.js';
+import {createStoreFollower} from './direct/store_follower.js';
 import {createHandover} from './direct/handover.js';
 import {createReadyServer} from './direct/ready_server.js';
 import type {DirectSettings} from './direct/settings.js';
@@ -36,7 +36,7 @@
 const UNUSED_SHARE = 0.5;
 
 /** What the platform's folder brings. */
-export interface DirectParts {
+export interface DirectDependencies {
   readonly settings: DirectSettings;
   readonly store: DirectStore;
   readonly codec: HeaderCodec;
@@ -50,12 +50,12 @@
   readonly kernel: Kernel;
   /** Takes no new work; resolves when what is in progress has ended. */
   drain(): Promise<void>;
-  open(): Promise<number>;
+  openRequests(): Promise<number>;
 }
 
 /** Starts all services of a direct entry. */
 export async function wireDirectEntry(
-  parts: DirectParts,
+  parts: DirectDependencies,
   runtime: Runtime,
 ): Promise<DirectProcess> {
   const {settings, store} = parts;
@@ -83,9 +83,9 @@
   await kernel.start(createSharing({self, store}));
   await kernel.start(createHandover({self}));
   await kernel.start(
-    createFollowed({
+    createStoreFollower({
       store,
-      readyMs: readyAgeMs(settings.timing.revokeMs),
+      maxReadyAgeMs: maxReadyAgeMs(settings.timing.revokeMs),
       leavingMs: settings.timing.leavingMs ?? LEAVING_MS,
       isBootstrap: settings.bootstrap ?? false,
       wallMs: parts.wallMs,
@@ -104,7 +104,7 @@
         kind: 'drain',
         reply: () => reply(),
       })),
-    open: () =>
+    openRequests: () =>
       kernel.ask('direct', (reply: (open: number) => void) => ({
         kind: 'count',
         reply,
--- a/src/side/audit.ts
+++ b/src/side/audit.ts
@@ -1,79 +1,93 @@
 /**
- * Compares the engine's list of runs with the own table. A run that this
- * incarnation does not know would hold the engine's memory for good: it is
- * from an earlier incarnation, or its cancel was lost. A run that the engine
- * lost would keep its caller waiting to the time limit.
+ * Reconciles the side's run table with the engine's list of runs. Runs that
+ * only the engine has come from an earlier incarnation or from a lost cancel;
+ * they would hold engine memory forever, so the audit cancels them. Runs that
+ * the engine has lost would keep their callers waiting until the time limit,
+ * so the audit fails them.
  */
 import type {Either} from 'purify-ts';
 import type {OnyxError} from '../types/errors.js';
 import type {EngineRunInfo} from '../types/upstream.js';
 import {SIDE_EVENTS} from '../utils/events.js';
-import type {SideCore} from './core.js';
+import type {SideCore} from './side_core.js';
 import type {Lifecycle} from './lifecycle.js';
-import {isOver} from './run.js';
+import {isFinished} from './run.js';
 
-/** One list may have been made just before a run came to the engine. */
-const MISSED_MOST = 2;
+/**
+ * A run fails when this many consecutive engine lists lack it. One list is not
+ * enough: the engine may have made it just before the run arrived.
+ */
+const MISSED_AUDIT_LIMIT = 2;
 
+/** Periodic reconciliation with the engine. */
 export interface Audit {
-  /** Asks the engine for its list. */
-  ask(): void;
-  listed(
+  /** Requests the engine's list of runs; does nothing for a plain service. */
+  requestList(): void;
+  /** Reconciles with a list that was requested at `sentAt`. */
+  handleList(
     sentAt: number,
     outcome: Either<OnyxError, readonly EngineRunInfo[]>,
   ): void;
-  freed(dispatchId: string, outcome: Either<OnyxError, void>): void;
+  /** Releases the reserved memory once the engine has confirmed a cancel. */
+  handleFreed(dispatchId: string, outcome: Either<OnyxError, void>): void;
 }
 
+/** Creates the audit of one side. */
 export function createAudit(core: SideCore, lifecycle: Lifecycle): Audit {
   const {ctx, table, memory, options, upstream} = core;
   const client = options.upstream;
 
-  const isOurs = (id: string) => table.get(id)?.state === 'running';
+  const isRunningHere = (id: string) => table.get(id)?.state === 'running';
 
-  /** A finished run that is only kept for resuming holds no memory. */
-  const isSpent = (info: EngineRunInfo) =>
+  /** The engine keeps a finished run for resuming; it holds no memory. */
+  const isRetainedOnly = (info: EngineRunInfo) =>
     info.state === 'done' && info.memoryTokens === 0;
 
-  /** Also what was cancelled here, if the engine never got to know. */
+  /**
+   * Cancels all runs at the engine that do not run here. These include runs
+   * that were cancelled here when the engine did not receive the cancel.
+   */
   const freeOrphans = (list: readonly EngineRunInfo[]): number => {
-    const orphans = list.filter(info => !isOurs(info.runId) && !isSpent(info));
+    const orphans = list.filter(
+      info => !isRunningHere(info.runId) && !isRetainedOnly(info),
+    );
     for (const orphan of orphans) {
       ctx.log(SIDE_EVENTS.orphanedRunFreed, {
         dispatchId: orphan.runId,
         state: orphan.state,
         memoryTokens: orphan.memoryTokens,
       });
-      lifecycle.free(orphan.runId);
+      lifecycle.cancelAtEngine(orphan.runId);
     }
     return orphans.length;
   };
 
-  const noteReconciled = (orphans: number) => {
-    if (upstream.reconciled || orphans > 0) return;
+  const markReconciled = (orphanCount: number) => {
+    if (upstream.reconciled || orphanCount > 0) return;
     upstream.reconciled = true;
     core.queueChanged = true;
     ctx.log(SIDE_EVENTS.reconciled, {incarnation: core.incarnation});
   };
 
-  /** What the engine no longer lists, it no longer holds memory for. */
+  /** Releases the memory of finished runs that the engine no longer lists. */
   const releaseUnlisted = (listed: ReadonlySet<string>) => {
     for (const id of memory.holders()) {
       const run = table.get(id);
-      const over = run === undefined || isOver(run);
-      if (!over || listed.has(id)) continue;
+      const isDone = run === undefined || isFinished(run);
+      if (!isDone || listed.has(id)) continue;
       memory.release(id);
       core.queueChanged = true;
     }
   };
 
   const failMissing = (listed: ReadonlySet<string>, sentAt: number) => {
-    for (const run of table.placed()) {
-      // A beat only says that the connection lives, not that the run does.
-      const quiet = run.progress.lastProgressAt < sentAt;
-      const missed = !listed.has(run.id) && run.startedAt < sentAt && quiet;
-      run.missedAudits = missed ? run.missedAudits + 1 : 0;
-      if (run.missedAudits < MISSED_MOST) continue;
+    for (const run of table.occupyingSlots()) {
+      // Heartbeats do not count: they show a live connection, not a live run.
+      const madeNoProgress = run.progress.lastProgressAt < sentAt;
+      const isMissing =
+        !listed.has(run.id) && run.startedAt < sentAt && madeNoProgress;
+      run.missedAudits = isMissing ? run.missedAudits + 1 : 0;
+      if (run.missedAudits < MISSED_AUDIT_LIMIT) continue;
       ctx.log(SIDE_EVENTS.runMissing, {dispatchId: run.id});
       lifecycle.fail(run, {
         code: 'upstream-lost',
@@ -82,15 +96,15 @@
     }
   };
 
-  const compare = (list: readonly EngineRunInfo[], sentAt: number) => {
-    const holding = list.filter(info => !isSpent(info));
-    releaseUnlisted(new Set(holding.map(info => info.runId)));
+  const reconcile = (list: readonly EngineRunInfo[], sentAt: number) => {
+    const holdingMemory = list.filter(info => !isRetainedOnly(info));
+    releaseUnlisted(new Set(holdingMemory.map(info => info.runId)));
     failMissing(new Set(list.map(info => info.runId)), sentAt);
-    noteReconciled(freeOrphans(list));
+    markReconciled(freeOrphans(list));
   };
 
   return {
-    ask: () => {
+    requestList: () => {
       if (client.kind !== 'engine') return;
       const sentAt = ctx.clock.now();
       client.client
@@ -98,7 +112,7 @@
         .then(outcome => ctx.send('runs', {kind: 'listed', sentAt, outcome}))
         .catch(cause => ctx.fail(cause));
     },
-    listed: (sentAt, outcome) => {
+    handleList: (sentAt, outcome) => {
       outcome
         .ifLeft(err =>
           ctx.log(SIDE_EVENTS.auditFailed, {
@@ -106,9 +120,9 @@
             cause: err.message,
           }),
         )
-        .ifRight(list => compare(list, sentAt));
+        .ifRight(list => reconcile(list, sentAt));
     },
-    freed: (dispatchId, outcome) => {
+    handleFreed: (dispatchId, outcome) => {
       outcome
         .ifLeft(err =>
           ctx.log(SIDE_EVENTS.freeFailed, {
--- a/src/side/lifecycle.ts
+++ b/src/side/lifecycle.ts
@@ -1,36 +1,44 @@
 /**
- * How a run leaves the living: ended, failed or cancelled. What it held is
- * released, what it leaves behind is recorded, its owner is told.
+ * Finishes runs as ended, failed or cancelled. Finishing a run releases its
+ * memory, stops its timers and its upstream stream, records its outcome, and
+ * sends the outcome to the entry that owns it.
  */
 import type {Ran} from '../types/errors.js';
 import type {RunFailed} from '../types/peer_messages.js';
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {Channels} from './channels.js';
-import type {SideCore} from './core.js';
-import {isOver, ranOf} from './run.js';
+import type {SideCore} from './side_core.js';
+import {isFinished, ranOf} from './run.js';
 import type {Run, RunState} from './run.js';
 
-export interface Failure {
+/** Why a run failed or was cancelled. */
+export interface RunFailure {
+  /** Code that is sent to the entry. */
   readonly code: string;
   readonly message: string;
-  /** @default what the run's progress shows */
+  /** Whether the run executed. @default as the run's progress shows */
   readonly ran?: Ran;
 }
 
+/** Transitions of runs to their final states. */
 export interface Lifecycle {
+  /** Finishes a run with a complete answer. */
   end(run: Run, finishReason: string, cachedTokens: number): void;
-  fail(run: Run, failure: Failure): void;
+  /** Fails a run; does nothing for a finished one. */
+  fail(run: Run, failure: RunFailure): void;
+  /** Cancels a run; does nothing for a finished one. */
   cancel(run: Run, code: string, message: string): void;
-  /** Asks the engine to end a run and free its memory. */
-  free(dispatchId: string): void;
-  /** Forgets a run that is over; its id stays remembered. */
+  /** Asks the engine to cancel a run and free its memory. */
+  cancelAtEngine(dispatchId: string): void;
+  /** Removes a finished run from the table and tombstones its id. */
   forget(run: Run): void;
 }
 
+/** Creates the transitions of one side. */
 export function createLifecycle(core: SideCore, channels: Channels): Lifecycle {
   const {ctx, table, tombstones, memory} = core;
 
-  const free = (dispatchId: string) => {
+  const cancelAtEngine = (dispatchId: string) => {
     const {upstream} = core.options;
     if (upstream.kind !== 'engine') return;
     upstream.client
@@ -39,7 +47,7 @@
       .catch(cause => ctx.fail(cause));
   };
 
-  const bury = (run: Run) =>
+  const addTombstone = (run: Run) =>
     tombstones.add(
       {
         dispatchId: run.id,
@@ -50,7 +58,7 @@
       ctx.clock.now(),
     );
 
-  /** A call once sent is not cut: it may not be repeated. */
+  /** Stops a run at its upstream. A call that was sent keeps running. */
   const stopUpstream = (run: Run) => {
     if (!run.started) {
       memory.release(run.id);
@@ -61,24 +69,24 @@
       return;
     }
     stopListening(run);
-    // The engine may still hold the memory: it stays reserved until the engine
-    // has confirmed, or two runs would be given the same memory.
-    free(run.id);
+    // The engine may still hold the memory. It stays reserved until the engine
+    // confirms the cancel, so that two runs are never given the same memory.
+    cancelAtEngine(run.id);
   };
 
-  const close = (run: Run, state: RunState, outcome: Run['outcome']) => {
+  const finish = (run: Run, state: RunState, outcome: Run['outcome']) => {
     run.state = state;
     run.outcome = outcome;
     run.endedAt = ctx.clock.now();
     for (const cancel of run.timers.splice(0)) cancel();
     run.prompt.clear();
-    if (!run.started) bury(run);
+    if (!run.started) addTombstone(run);
     core.queueChanged = true;
     ctx.metrics.count('onyxloft_side_runs_total', {outcome: state});
-    channels.pump(run);
+    channels.sendPending(run);
   };
 
-  const failed = (run: Run, failure: Failure): RunFailed => ({
+  const failedFrame = (run: Run, failure: RunFailure): RunFailed => ({
     kind: 'failed',
     dispatchId: run.id,
     ran: failure.ran ?? ranOf(run),
@@ -87,16 +95,16 @@
     retryAfterMs: 0,
   });
 
-  const closeFailed = (run: Run, state: RunState, failure: Failure) => {
-    if (isOver(run)) return;
-    const outcome = failed(run, failure);
-    // Left out, answers too long for their time would be forgotten, and the
-    // side would go on taking more of them.
+  const finishFailed = (run: Run, state: RunState, failure: RunFailure) => {
+    if (isFinished(run)) return;
+    const outcome = failedFrame(run, failure);
+    // Answers that are too long for their time limit must be recorded too.
+    // Otherwise the side would keep accepting runs that cannot end in time.
     if (failure.code === 'deadline-exceeded') {
-      core.lengths.ended(run.progress.nextToken);
+      core.lengths.record(run.progress.nextToken);
     }
     stopUpstream(run);
-    close(run, state, outcome);
+    finish(run, state, outcome);
     ctx.log(SIDE_EVENTS.runFailed, {
       dispatchId: run.id,
       state,
@@ -110,39 +118,39 @@
     end: (run, finishReason, cachedTokens) => {
       stopListening(run);
       memory.release(run.id);
-      core.lengths.ended(run.progress.nextToken);
+      core.lengths.record(run.progress.nextToken);
       ctx.invariant(!memory.holds(run.id), 'memory-released-at-end', {
         dispatchId: run.id,
       });
-      close(run, 'ended', {
+      finish(run, 'ended', {
         kind: 'end',
         dispatchId: run.id,
-        count: run.log.count(),
-        digest: run.log.digest(),
+        count: run.chunkLog.count(),
+        digest: run.chunkLog.digest(),
         finishReason,
         cachedTokens,
       });
       ctx.log(SIDE_EVENTS.runEnded, {
         dispatchId: run.id,
-        chunks: run.log.count(),
+        chunks: run.chunkLog.count(),
         tokens: run.progress.nextToken,
         ms: Math.round(run.endedAt - run.startedAt),
       });
     },
-    fail: (run, failure) => closeFailed(run, 'failed', failure),
+    fail: (run, failure) => finishFailed(run, 'failed', failure),
     cancel: (run, code, message) =>
-      closeFailed(run, 'cancelled', {code, message}),
-    free,
+      finishFailed(run, 'cancelled', {code, message}),
+    cancelAtEngine,
     forget: run => {
-      bury(run);
+      addTombstone(run);
       table.remove(run.id);
     },
   };
 }
 
-/** Events of the stream listened to until now are dropped from here on. */
+/** Unsubscribes from the run's current event stream and drops its events. */
 export function stopListening(run: Run): void {
   run.stream.unsubscribe?.();
   run.stream.unsubscribe = undefined;
-  run.stream.number += 1;
+  run.stream.generation += 1;
 }
--- a/src/side/answers.ts
+++ b/src/side/state_reports.ts
@@ -1,19 +1,23 @@
-/** What a side tells of itself: load, heartbeat answers, where a run is. */
+/**
+ * Builds the reports of a side's state: its load, its heartbeat replies, the
+ * location of a run, and the status for operators.
+ */
 import type {
   LocateReq,
   LocateRes,
   SideHeartbeatRes,
   SideLoad,
 } from '../types/peer_messages.js';
-import type {SideCore} from './core.js';
-import {classesOf, isUpstreamDown} from './core.js';
+import type {SideCore} from './side_core.js';
+import {lengthClassesOf, isUpstreamDown} from './side_core.js';
 import type {SideStatus} from './messages.js';
 import {modelName} from '../utils/model_name.js';
 import {classIndexOf} from './queue_policy.js';
-import {prefillLeft} from './run.js';
+import {prefillTokensLeft} from './run.js';
 import type {Run, RunState} from './run.js';
 
-const STATE_TOLD: {readonly [S in RunState]: LocateRes['state']} = {
+/** The state that a `locate` reply gives for each state of a run. */
+const LOCATE_STATES: {readonly [S in RunState]: LocateRes['state']} = {
   offered: 'none',
   receiving: 'queued',
   queued: 'queued',
@@ -23,34 +27,41 @@
   cancelled: 'failed',
 };
 
-function backlog(runs: readonly Run[]): number {
-  return runs.reduce((sum, run) => sum + prefillLeft(run), 0);
+/** Prompt tokens of these runs that are not prefilled yet. */
+function prefillBacklog(runs: readonly Run[]): number {
+  return runs.reduce((sum, run) => sum + prefillTokensLeft(run), 0);
 }
 
+/** The side's current load, with its learned rates. */
 export function loadOf(core: SideCore): SideLoad {
   const {table, memory, rates, upstream} = core;
-  const all = table.all();
+  const runs = table.all();
   const isShort = (run: Run) =>
-    classIndexOf(classesOf(core), run.offer.promptTokens) === 0;
+    classIndexOf(lengthClassesOf(core), run.offer.promptTokens) === 0;
   return {
     capacityTokens: memory.capacity(),
     freeTokens: memory.free(),
-    running: table.placed().length,
+    running: table.occupyingSlots().length,
     queued: table.waiting().length,
-    prefillBacklogTokens: backlog(all),
-    shortBacklogTokens: backlog(all.filter(isShort)),
+    prefillBacklogTokens: prefillBacklog(runs),
+    shortBacklogTokens: prefillBacklog(runs.filter(isShort)),
     prefillTokensPerSec: rates.prefillTokensPerSec(),
     stepMs: rates.stepMs(),
-    reportAgeMs: reportAge(core, upstream.heardAt),
+    reportAgeMs: reportAgeMsOf(core, upstream.lastReportAt),
   };
 }
 
-function reportAge(core: SideCore, heardAt: number | undefined): number {
-  if (heardAt === undefined) return 0;
-  return core.ctx.clock.now() - heardAt + core.upstream.reportAgeMs;
+/** Age of the upstream's report, including its age when it arrived. */
+function reportAgeMsOf(
+  core: SideCore,
+  lastReportAt: number | undefined,
+): number {
+  if (lastReportAt === undefined) return 0;
+  return core.ctx.clock.now() - lastReportAt + core.upstream.reportAgeMs;
 }
 
-export function heartbeatOf(core: SideCore): SideHeartbeatRes {
+/** Reply to an entry's heartbeat. */
+export function heartbeatReplyOf(core: SideCore): SideHeartbeatRes {
   const {options} = core;
   return {
     node: options.node,
@@ -65,22 +76,24 @@
   };
 }
 
-export function locate(core: SideCore, req: LocateReq): LocateRes {
+/** Reply to a `locate` call; state `none` when the request has no run here. */
+export function locateRun(core: SideCore, req: LocateReq): LocateRes {
   const run = core.table.find(req.requestId, req.organisation);
-  const state = run === undefined ? 'none' : STATE_TOLD[run.state];
+  const state = run === undefined ? 'none' : LOCATE_STATES[run.state];
   if (run === undefined || state === 'none') {
     return {state: 'none', dispatchId: '', nextSeq: 0, kind: 'completion'};
   }
   return {
     state,
     dispatchId: run.id,
-    nextSeq: run.log.count(),
+    nextSeq: run.chunkLog.count(),
     kind: run.offer.kind,
     model: modelName(run.offer),
     promptTokens: run.offer.promptTokens,
   };
 }
 
+/** Status for operators; `channels` is the number of open channels. */
 export function statusOf(core: SideCore, channels: number): SideStatus {
   return {
     incarnation: core.incarnation,
--- a/src/side/upstream_runner.ts
+++ b/src/side/upstream_runner.ts
@@ -1,34 +1,38 @@
 /**
- * Hands runs to the upstream and listens to what comes back. A stream that
- * breaks is taken up again from the next token on a new connection; a call to
- * a plain service is made once and never repeated here.
+ * Sends runs to the upstream and handles the events that come back. A broken
+ * engine stream is resumed from the next token on a new connection. A call to a
+ * plain service is sent once and never repeated here.
  */
 import type {Stream} from 'most';
 import {OnyxError} from '../types/errors.js';
 import type {CallEvent, EngineEvent} from '../types/upstream.js';
 import {SIDE_EVENTS} from '../utils/events.js';
 import type {Channels} from './channels.js';
-import type {SideCore} from './core.js';
-import {createEngineEvents} from './engine_events.js';
+import type {SideCore} from './side_core.js';
+import {createEngineEventHandler} from './engine_events.js';
 import type {Lifecycle} from './lifecycle.js';
 import {stopListening} from './lifecycle.js';
 import type {UpstreamEvent} from './messages.js';
-import {isHold, isOver, prefillLeft, ranOf} from './run.js';
+import {isHoldOnly, isFinished, prefillTokensLeft, ranOf} from './run.js';
 import type {Run} from './run.js';
 
+/** Runs work on the upstream. */
 export interface UpstreamRunner {
-  /** Hands a run to the upstream; once for each id. */
+  /** Sends a run to the upstream; at most once for each id. */
   start(run: Run, enginePriority: number): void;
-  handle(run: Run, stream: number, event: UpstreamEvent): void;
-  resume(run: Run, stream: number): void;
-  /** Treats engine streams without any event for too long as broken. */
+  /** Handles an event; drops events of earlier stream generations. */
+  handle(run: Run, generation: number, event: UpstreamEvent): void;
+  /** Resumes a broken engine stream, unless it was replaced meanwhile. */
+  resume(run: Run, generation: number): void;
+  /** Treats engine streams without an event for too long as broken. */
   sweep(): void;
 }
 
-async function* nothing(): AsyncIterable<Uint8Array> {
-  // A hold has no prompt.
+async function* emptyPrompt(): AsyncIterable<Uint8Array> {
+  // A run that only holds memory has no prompt.
 }
 
+/** Creates the runner of one side's upstream. */
 export function createUpstreamRunner(
   core: SideCore,
   channels: Channels,
@@ -37,7 +41,7 @@
   const {ctx, timing, options, table, tombstones, memory, rates} = core;
   const {upstream} = options;
 
-  const lost = (run: Run, cause: unknown) =>
+  const toLostError = (run: Run, cause: unknown) =>
     cause instanceof OnyxError
       ? cause
       : new OnyxError({
@@ -53,16 +57,21 @@
     source: Stream<E>,
     wrap: (event: E) => UpstreamEvent,
   ) => {
-    run.stream.number += 1;
-    const stream = run.stream.number;
-    const tell = (event: UpstreamEvent) =>
-      ctx.send('runs', {kind: 'upstream', dispatchId: run.id, stream, event});
-    const broken = (cause: unknown) =>
-      tell({from: 'stream', error: lost(run, cause)});
+    run.stream.generation += 1;
+    const generation = run.stream.generation;
+    const sendEvent = (event: UpstreamEvent) =>
+      ctx.send('runs', {
+        kind: 'upstream',
+        dispatchId: run.id,
+        streamGeneration: generation,
+        event,
+      });
+    const sendBroken = (cause: unknown) =>
+      sendEvent({from: 'stream', error: toLostError(run, cause)});
     const subscription = source.subscribe({
-      next: event => tell(wrap(event)),
-      error: broken,
-      complete: () => broken(new Error('the stream ended early')),
+      next: event => sendEvent(wrap(event)),
+      error: sendBroken,
+      complete: () => sendBroken(new Error('the stream ended early')),
     });
     run.stream.unsubscribe = () => subscription.unsubscribe();
   };
@@ -72,7 +81,7 @@
     listen(run, source, event => ({from: 'engine', event}));
   };
 
-  const handOver = (run: Run, enginePriority: number) => {
+  const sendToUpstream = (run: Run, enginePriority: number) => {
     const {offer} = run;
     if (upstream.kind === 'service') {
       const head = run.call ?? {method: 'GET', path: '/', headers: []};
@@ -80,7 +89,7 @@
       listen(run, answer, event => ({from: 'service', event}));
       return;
     }
-    const holdOnly = isHold(offer);
+    const holdOnly = isHoldOnly(offer);
     const req = {
       runId: run.id,
       model: offer.model,
@@ -93,21 +102,21 @@
       holdOnly,
       prefixHashes: offer.prefixHashes,
     };
-    const prompt = holdOnly ? nothing() : run.prompt.take();
+    const prompt = holdOnly ? emptyPrompt() : run.prompt.take();
     listenToEngine(run, upstream.client.start(req, prompt));
   };
 
-  const noteBusy = () => {
-    const busy = table
-      .placed()
-      .some(run => run.progress.seen && prefillLeft(run) > 0);
-    rates.prefillBusy(busy, ctx.clock.now());
+  const updatePrefillBusy = () => {
+    const isBusy = table
+      .occupyingSlots()
+      .some(run => run.progress.eventSeen && prefillTokensLeft(run) > 0);
+    rates.setPrefillBusy(isBusy, ctx.clock.now());
   };
 
-  const giveUp = (run: Run, error: OnyxError) =>
+  const failAsLost = (run: Run, error: OnyxError) =>
     lifecycle.fail(run, {code: 'upstream-lost', message: error.message});
 
-  const engineBroke = (run: Run, error: OnyxError) => {
+  const handleEngineBreak = (run: Run, error: OnyxError) => {
     ctx.log(SIDE_EVENTS.streamBroken, {
       dispatchId: run.id,
       nextToken: run.progress.nextToken,
@@ -115,84 +124,88 @@
       code: error.code,
       cause: error.message,
     });
-    const unsent =
-      error.ran === 'no' && !run.progress.seen && run.stream.resumes === 0;
+    const wasNotSent =
+      error.ran === 'no' && !run.progress.eventSeen && run.stream.resumes === 0;
     stopListening(run);
-    // The connection was never made, so no byte of the run went out: asking to
-    // take it up would end as "unknown", and a request that may not repeat
-    // would be lost though another engine could serve it.
-    if (unsent) {
+    // The connection was never established, so no byte of the run was sent. A
+    // resume would end with `ran: 'unknown'`, and a request that may not be
+    // repeated would be lost although another engine could serve it.
+    if (wasNotSent) {
       return lifecycle.fail(run, {
         code: error.code,
         message: error.message,
         ran: 'no',
       });
     }
-    // The engine answered that it has no such run: there is nothing to take up.
-    if (error.code === 'not-found') return giveUp(run, error);
-    if (run.stream.resumes >= timing.maxResumes) return giveUp(run, error);
-    const pause = timing.resumeFirstMs * 2 ** run.stream.resumes;
+    // The engine does not have the run, so there is nothing to resume.
+    if (error.code === 'not-found') return failAsLost(run, error);
+    if (run.stream.resumes >= timing.maxResumes) return failAsLost(run, error);
+    const delayMs = timing.resumeBackoffMs * 2 ** run.stream.resumes;
     run.stream.resumes += 1;
-    const stream = run.stream.number;
+    const generation = run.stream.generation;
     run.timers.push(
-      ctx.clock.after(pause, () =>
-        ctx.send('runs', {kind: 'resume-due', dispatchId: run.id, stream}),
+      ctx.clock.after(delayMs, () =>
+        ctx.send('runs', {
+          kind: 'resume-due',
+          dispatchId: run.id,
+          streamGeneration: generation,
+        }),
       ),
     );
   };
 
-  const engineEvents = createEngineEvents(
+  const handleEngineEvent = createEngineEventHandler(
     core,
     channels,
     lifecycle,
-    engineBroke,
+    handleEngineBreak,
   );
 
-  const placeFreed = (run: Run) => {
+  const releaseSlot = (run: Run) => {
     stopListening(run);
     run.lateCall = false;
     core.queueChanged = true;
   };
 
-  const callEvent = (run: Run, event: CallEvent) => {
-    run.progress.seen = true;
-    if (isOver(run)) {
-      if (event.kind === 'done') placeFreed(run);
+  const handleCallEvent = (run: Run, event: CallEvent) => {
+    run.progress.eventSeen = true;
+    if (isFinished(run)) {
+      if (event.kind === 'done') releaseSlot(run);
       return;
     }
     switch (event.kind) {
       case 'head':
-        append(run, new Uint8Array(0), event.head);
+        appendChunk(run, new Uint8Array(0), event.head);
         break;
       case 'data':
-        append(run, event.data);
+        appendChunk(run, event.data);
         break;
       case 'done':
-        rates.called(ctx.clock.now() - run.startedAt);
+        rates.recordCall(ctx.clock.now() - run.startedAt);
         lifecycle.end(run, 'done', 0);
         break;
     }
   };
 
-  const append = (
+  const appendChunk = (
     run: Run,
     data: Uint8Array,
     callHead?: (CallEvent & {kind: 'head'})['head'],
   ) => {
-    run.log.append({dispatchId: run.id, data, tokens: 0, callHead});
-    channels.pump(run);
+    run.chunkLog.append({dispatchId: run.id, data, tokens: 0, callHead});
+    channels.sendPending(run);
   };
 
-  const callBroke = (run: Run, error: OnyxError) => {
-    if (isOver(run)) return placeFreed(run);
+  const handleCallBreak = (run: Run, error: OnyxError) => {
+    if (isFinished(run)) return releaseSlot(run);
     stopListening(run);
-    // Only the client knows whether a byte was sent; once an event came back,
-    // one surely was.
-    const unsent = error.ran === 'no' && !run.progress.seen;
+    // Only the client knows whether a byte was sent. An event from the service
+    // shows that one was.
+    const wasNotSent = error.ran === 'no' && !run.progress.eventSeen;
     lifecycle.fail(run, {
       code: error.code,
       message: error.message,
-      ran: unsent ? 'no' : ranOf(run),
+      ran: wasNotSent ? 'no' : ranOf(run),
     });
   };
 
@@ -209,44 +222,49 @@
       if (upstream.kind === 'engine' && !memory.holds(run.id)) {
         memory.reserve(run.id, run.memoryTokens);
       }
-      // From the first byte on the upstream may run it, whatever becomes of
-      // this process. `started` is set and told before, so that no answer
-      // given later can claim that it did not run.
+      // The upstream may execute the run from the first byte on, even if this
+      // process fails. `started` is therefore set and sent before the first
+      // byte, so that no later reply can claim that the run did not execute.
       run.state = 'running';
       run.started = true;
       run.startedAt = ctx.clock.now();
       channels.sendStarted(run);
-      handOver(run, enginePriority);
+      sendToUpstream(run, enginePriority);
     },
-    handle: (run, stream, event) => {
-      if (stream !== run.stream.number) return;
+    handle: (run, generation, event) => {
+      if (generation !== run.stream.generation) return;
       run.progress.lastEventAt = ctx.clock.now();
       if (event.from === 'service') {
-        callEvent(run, event.event);
+        handleCallEvent(run, event.event);
       } else if (event.from === 'engine') {
-        engineEvents(run, event.event);
-        noteBusy();
+        handleEngineEvent(run, event.event);
+        updatePrefillBusy();
       } else if (run.offer.kind === 'call') {
-        callBroke(run, event.error);
+        handleCallBreak(run, event.error);
       } else {
-        engineBroke(run, event.error);
+        handleEngineBreak(run, event.error);
       }
     },
-    resume: (run, stream) => {
+    resume: (run, generation) => {
       if (upstream.kind !== 'engine' || run.state !== 'running') return;
-      if (stream !== run.stream.number) return;
+      if (generation !== run.stream.generation) return;
       const {nextToken} = run.progress;
       listenToEngine(run, upstream.client.resume(run.id, nextToken));
     },
     sweep: () => {
       if (upstream.kind !== 'engine') return;
       const now = ctx.clock.now();
-      for (const run of table.placed()) {
+      for (const run of table.occupyingSlots()) {
         if (run.stream.unsubscribe === undefined) continue;
-        const {seen, lastEventAt} = run.progress;
-        const limit = seen ? timing.engineSilenceMs : timing.firstEventMs;
-        if (now - lastEventAt <= limit) continue;
-        engineBroke(run, lost(run, new Error('the stream went silent')));
+        const {eventSeen: seen, lastEventAt} = run.progress;
+        const limitMs = seen
+          ? timing.engineSilenceMs
+          : timing.firstEventTimeoutMs;
+        if (now - lastEventAt <= limitMs) continue;
+        handleEngineBreak(
+          run,
+          toLostError(run, new Error('the stream went silent')),
+        );
       }
     },
   };
--- a/src/upstream/engine_protocol.ts
+++ b/src/upstream/engine_protocol.ts
@@ -1,6 +1,7 @@
 /**
- * What goes over HTTP between a side and its model engine: paths, the header
- * that describes a run, and the answer's lines of JSON.
+ * Defines the HTTP messages between a side and its model engine: the header
+ * that describes a run, the bodies of requests and responses, and the JSON
+ * lines of an event stream.
  */
 import {z} from 'zod';
 import type {
@@ -12,26 +13,26 @@
   EngineRunReq,
 } from '../types/upstream.js';
 
-/** Header of a start: the `EngineRunReq` as JSON. */
+/** Header of a request that starts a run; its value is an `EngineRunReq`. */
 export const RUN_HEADER = 'x-run';
 
-const count = z.number().int().min(0);
+const nonNegativeInt = z.number().int().min(0);
 
-/** Of `RUN_HEADER`. */
+/** JSON value of `RUN_HEADER`. */
 export const runReqSchema: z.ZodType<EngineRunReq> = z.object({
   runId: z.string().min(1),
   model: z.string(),
   adapter: z.string(),
   priority: z.number(),
-  promptTokens: count,
-  maxTokens: count,
-  memoryTokens: count,
+  promptTokens: nonNegativeInt,
+  maxTokens: nonNegativeInt,
+  memoryTokens: nonNegativeInt,
   groupSize: z.number().int().min(1),
   holdOnly: z.boolean(),
   prefixHashes: z.array(z.string()),
 });
 
-/** Answer to a list of runs. */
+/** Response body of a request for the list of runs. */
 export const runListSchema: z.ZodType<{
   readonly runs: readonly EngineRunInfo[];
 }> = z.object({
@@ -39,19 +40,19 @@
     z.object({
       runId: z.string(),
       state: z.enum(['waiting', 'prefill', 'decode', 'done', 'hold']),
-      memoryTokens: count,
-      tokens: count,
+      memoryTokens: nonNegativeInt,
+      tokens: nonNegativeInt,
     }),
   ),
 });
 
-/** Answer to a load report. */
+/** Response body of a request for the load report. */
 export const reportSchema: z.ZodType<EngineReport> = z.object({
-  capacityTokens: count,
-  usedTokens: count,
-  cacheTokens: count,
-  waiting: count,
-  running: count,
+  capacityTokens: nonNegativeInt,
+  usedTokens: nonNegativeInt,
+  cacheTokens: nonNegativeInt,
+  waiting: nonNegativeInt,
+  running: nonNegativeInt,
   ageMs: z.number(),
   models: z.array(
     z.object({
@@ -64,20 +65,20 @@
   ),
 });
 
-/** Answer to a read of cache events. */
+/** Response body of a request for cache events. */
 export const cacheEventsSchema: z.ZodType<{
   readonly events: readonly CacheEvent[];
 }> = z.object({
   events: z.array(
     z.object({
-      seq: count,
+      seq: nonNegativeInt,
       kind: z.enum(['stored', 'evicted']),
       hash: z.string(),
     }),
   ),
 });
 
-/** Body of an order. */
+/** Request body of an order. */
 export const orderSchema: z.ZodType<EngineOrder> = z.object({
   orderId: z.string(),
   fence: z.number(),
@@ -89,24 +90,24 @@
 });
 
 const lineSchema = z.discriminatedUnion('kind', [
-  z.object({kind: z.literal('prefill'), doneTokens: count}),
+  z.object({kind: z.literal('prefill'), doneTokens: nonNegativeInt}),
   z.object({
     kind: z.literal('tokens'),
-    index: count,
-    count,
+    index: nonNegativeInt,
+    count: nonNegativeInt,
     text: z.string(),
   }),
   z.object({
     kind: z.literal('done'),
-    tokens: count,
+    tokens: nonNegativeInt,
     finishReason: z.string(),
-    cachedTokens: count,
+    cachedTokens: nonNegativeInt,
   }),
   z.object({kind: z.literal('beat')}),
   z.object({kind: z.literal('failed'), message: z.string()}),
 ]);
 
-/** One event as a line of JSON, with its newline. */
+/** Encodes an event as a line of JSON, including the newline. */
 export function eventToLine(event: EngineEvent): string {
   if (event.kind !== 'tokens') return `${JSON.stringify(event)}\n`;
   const {kind, index} = event;
@@ -114,7 +115,7 @@
   return `${JSON.stringify({kind, index, count: event.count, text})}\n`;
 }
 
-/** Reads a line back; throws when it is none of the known events. */
+/** Decodes a line; throws if it is not a known event. */
 export function lineToEvent(line: string): EngineEvent {
   const parsed = lineSchema.parse(JSON.parse(line));
   if (parsed.kind !== 'tokens') return parsed;
--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -3,7 +3,7 @@
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
 import {createCallTimes} from '../../src/direct/call_times.js';
 import {chooseCallReplica} from '../../src/direct/decide/choose_call_replica.js';
-import {noLoad} from '../../src/direct/load_sum.js';
+import {emptyLoad} from '../../src/direct/replica_load.js';
 import type {DirectReplica} from '../../src/direct/types.js';
 import {createSeededRandom} from '../../standins/seeded_random.js';
 import {
@@ -81,7 +81,7 @@
       const chosen = chooseCallReplica(
         well.map(replica => ({
           replica,
-          load: noLoad(replica.id),
+          load: emptyLoad(replica.id),
           slowness: 1,
           brokenShare: sees(health.brokenShare(replica.id)),
         })),
@@ -126,10 +126,10 @@
 describe('the usual time of a call', () => {
   test('is learned by service', () => {
     const times = createCallTimes();
-    for (let call = 0; call < 200; call++) times.took('fast', 5);
-    times.took('slow', 400);
-    expect(times.usualMs('fast')).toBeCloseTo(5);
-    expect(times.usualMs('slow')).toBe(400);
-    expect(times.usualMs('unknown')).toBe(50);
+    for (let call = 0; call < 200; call++) times.record('fast', 5);
+    times.record('slow', 400);
+    expect(times.meanMs('fast')).toBeCloseTo(5);
+    expect(times.meanMs('slow')).toBe(400);
+    expect(times.meanMs('unknown')).toBe(50);
   });
 });
--- a/test/direct/parts.test.ts
+++ b/test/direct/parts.test.ts
@@ -1,12 +1,15 @@
 /** Small modules of the direct path, each tested alone. */
 import {describe, expect, test} from 'vitest';
 import {createEventSplitter} from '../../src/direct/event_splitter.js';
-import {createEvidence} from '../../src/direct/evidence.js';
-import {createFleet} from '../../src/direct/fleet.js';
-import {callWork, createLoadBook} from '../../src/direct/load_book.js';
+import {createStoreEvidence} from '../../src/direct/evidence.js';
+import {createReplicaTable} from '../../src/direct/replica_table.js';
+import {
+  plainCallAssignment,
+  createLoadTracker,
+} from '../../src/direct/load_tracker.js';
 import {packLoads, unpackLoads} from '../../src/direct/load_codec.js';
 import {createReplicaHealth} from '../../src/direct/replica_health.js';
-import {drawService} from '../../src/direct/route_table.js';
+import {pickService} from '../../src/direct/route_table.js';
 import type {DirectReplica, Route} from '../../src/direct/types.js';
 import {createBoundedSink} from '../../src/utils/bounded_sink.js';
 import {createMetrics} from '../../src/utils/metrics.js';
@@ -22,7 +25,7 @@
         splitter.push(Buffer.from(piece)),
       );
       expect(events.map(({id}) => id)).toEqual([1, 2]);
-      expect(splitter.rest()).toBe('id: 3\ndata'.length);
+      expect(splitter.pendingBytes()).toBe('id: 3\ndata'.length);
     }
   });
 });
@@ -31,7 +34,7 @@
   test('expires on the monotonic clock, and after a suspension', async () => {
     const clock = createVirtualClock();
     let wallAhead = 0;
-    const evidence = createEvidence(
+    const evidence = createStoreEvidence(
       clock,
       () => clock.now() + wallAhead,
       1_000,
@@ -57,15 +60,15 @@
   test('includes the loads of other entries until their reports expire', async () => {
     const clock = createVirtualClock();
     const changes: string[] = [];
-    const book = createLoadBook(clock, change => changes.push(change));
-    const work = book.enter(callWork('r', 100));
-    book.setOther('entry-2', [{...book.of('r'), running: 4}]);
-    expect(book.of('r').running).toBe(5);
+    const book = createLoadTracker(clock, change => changes.push(change));
+    const work = book.assign(plainCallAssignment('r', 100));
+    book.setPeerLoad('entry-2', [{...book.totalLoad('r'), running: 4}]);
+    expect(book.totalLoad('r').running).toBe(5);
     await clock.advance(2_000);
-    expect(book.of('r').running).toBe(1);
+    expect(book.totalLoad('r').running).toBe(1);
     work.end();
     work.end();
-    expect(book.of('r').running).toBe(0);
+    expect(book.totalLoad('r').running).toBe(0);
     expect(changes).toEqual(['more', 'less']);
   });
 });
@@ -102,13 +105,13 @@
     leaving: false,
   });
   const fleetOn = (clock: VirtualClock) =>
-    createFleet({
+    createReplicaTable({
       clock,
-      onGone: () => undefined,
+      onRemoved: () => undefined,
       onRestarted: () => undefined,
     });
-  const ids = (fleet: ReturnType<typeof createFleet>) =>
-    fleet.serving('s').map(({id}) => id);
+  const ids = (fleet: ReturnType<typeof createReplicaTable>) =>
+    fleet.availableFor('s').map(({id}) => id);
 
   test('that expired in an outage serve for a while, removed ones do not', async () => {
     const clock = createVirtualClock();
@@ -121,7 +124,7 @@
     expect(ids(fleet)).toEqual([]);
     await clock.advance(5_000);
     fleet.setAll(new Map([['b', replica('b')]]));
-    fleet.change(new Map([['b', undefined]]));
+    fleet.applyChanges(new Map([['b', undefined]]));
     expect(ids(fleet)).toEqual([]);
   });
 
@@ -154,7 +157,7 @@
         {service: 'b', weight: 10},
       ],
     } as unknown as Route;
-    expect([0, 0.89, 0.9, 0.99].map(at => drawService(route, at))).toEqual([
+    expect([0, 0.89, 0.9, 0.99].map(at => pickService(route, at))).toEqual([
       'a',
       'a',
       'b',
--- a/test/side_queue.test.ts
+++ b/test/side_queue.test.ts
@@ -152,7 +152,7 @@
       shares.charge(id, 1_000, id === 'heavy' ? 2 : 1);
     }
     expect(started).toEqual({heavy: 60, light: 30});
-    shares.arrive('new', ['heavy', 'light']);
+    shares.join('new', ['heavy', 'light']);
     expect(shares.served().get('new')).toBe(30_000);
   });
 });
@@ -170,10 +170,10 @@
   test('approach the measured rates and exclude idle time', () => {
     const rates = createLearnedRates(DEFAULT_RATE_PRIORS);
     for (let at = 0; at < 100_000; at += 1_000) {
-      rates.prefillBusy(true, at);
-      rates.prefilled(2_000, at + 100);
-      rates.prefillBusy(false, at + 100);
-      rates.decoded(4, 200);
+      rates.setPrefillBusy(true, at);
+      rates.recordPrefill(2_000, at + 100);
+      rates.setPrefillBusy(false, at + 100);
+      rates.recordDecode(4, 200);
     }
     expect(rates.prefillTokensPerSec()).toBeCloseTo(20_000, -2);
     expect(rates.stepMs()).toBeCloseTo(50, 0);
@@ -190,7 +190,7 @@
         timeLeftMs: 600_000,
       };
       await rig.offer(`r${i}.0`, offerFields);
-      rig.goWhole(`r${i}.0`, 600_000);
+      rig.goWithPrompt(`r${i}.0`, 600_000);
       await rig.clock.runFor(8_000);
     }
     const {load} = await rig.status();
@@ -204,7 +204,7 @@
 test('the start of a run is logged with the policy and the reason', async () => {
   const rig = await createSideRig();
   await rig.offer('r1.0');
-  rig.goWhole('r1.0');
+  rig.goWithPrompt('r1.0');
   await rig.clock.runFor(100);
   expect(rig.eventsOf(SIDE_EVENTS.runStarted).map(e => e.fields)).toEqual([
     {
