--- a/src/direct/decide/place_or_wait.ts
+++ b/src/direct/decide/place_or_wait.ts
@@ -7,9 +7,9 @@
  * engines would be prefilled beside twenty short streams for seconds. All of them
  * would be late, and so would the prompt. A request is therefore not placed while
  * it would cost others more than it gains its own caller, or while it would cost
- * less a moment later, after the current prefills. A request that can no longer
- * be in time is refused at once, so that its caller can retry on engines with
- * room.
+ * less a moment later, after the current prefills. A request that costs too much
+ * and would be late even on idle engines is refused at once, so that its caller
+ * can retry later, when engines may be free.
  *
  * The longest prompts miss their latency objective even on idle engines, and one
  * of them takes more engine time than a hundred short ones. At any price of
@@ -25,15 +25,15 @@
 
 /**
  * Delays for which a later placement is evaluated, in milliseconds. The shortest
- * is about the time to the next placement attempt. The longest is the prefill of
+ * is about one interval of the placement polls. The longest is the prefill of
  * a long prompt's parts on a few engines; a longer wait costs a long prompt more
  * of its latency objective than it gains.
  */
 const LATER_DELAYS_MS = [50, 200, 800] as const;
 /**
- * Added to each of these delays, in milliseconds. A later placement is made at
- * the next attempt, with load reports that are slightly old, and competes with
- * other requests that wait for the same engines. Without this, short prompts
+ * Added to each of these delays, in milliseconds. A later placement happens at
+ * the next poll, with load reports that are slightly old, and competes with other
+ * requests that wait for the same engines. Without this addition, short prompts
  * would wait until they are late.
  */
 const POLL_LATENESS_MS = 40;
@@ -55,7 +55,7 @@
  * make a stream on the engine pause too long.
  */
 const BUSY_BACKLOG_MS = 300;
-/** Shortest time after which a refused caller is told to come back. */
+/** Shortest time after which a refused caller should retry, in milliseconds. */
 const MIN_COME_BACK_MS = 250;
 
 /** Properties of the request that the decision depends on. */
@@ -69,6 +69,7 @@
 
 /** The engines of a service, and the price of their time. */
 export interface EnginePool {
+  /** Published figures, the same for all engines of the service. */
   readonly figures: EngineFigures;
   readonly candidates: readonly EngineCandidate[];
   /** Usual weight per millisecond of prefill; see `RequestWeights`. */
@@ -77,6 +78,7 @@
   readonly fullness?: Fullness;
 }
 
+/** What happens to the request now. */
 export type PlacingDecision =
   | {readonly kind: 'place'; readonly plan: EnginePlan}
   | {readonly kind: 'wait'; readonly reason: WaitReason}
@@ -87,7 +89,9 @@
       readonly comeBackMs: number;
     };
 
+/** Why a request waits; logged. */
 export type WaitReason = 'no memory' | 'costs others more' | 'better later';
+/** Why a request is refused; logged. */
 export type PlacingRefusalReason =
   'the caller would leave' | 'late for its cost';
 
@@ -118,11 +122,7 @@
  * engine time, those that arrive during the prefill.
  */
 function costToOthers(pool: EnginePool, plan: EnginePlan): number {
-  const {
-    candidates,
-    weightPerPrefillMs: weightPerPrefillMs,
-    fullness = defaultFullness,
-  } = pool;
+  const {candidates, weightPerPrefillMs, fullness = defaultFullness} = pool;
   const engineMs = plan.partPrefillMs * (1 + plan.helpers.length);
   const price =
     ENGINE_TIME_PRICE_SHARE * weightPerPrefillMs * fullness(candidates);
@@ -184,6 +184,7 @@
   });
 }
 
+/** A refusal; the caller should retry when the mean backlog is prefilled. */
 function refusal(
   pool: EnginePool,
   reason: PlacingRefusalReason,
--- a/src/direct/decide/request_weights.ts
+++ b/src/direct/decide/request_weights.ts
@@ -30,6 +30,7 @@
   weightPerPrefillMs(): number;
 }
 
+/** Creates weights without any recorded request. */
 export function createRequestWeights(): RequestWeights {
   const means = new Map<string, number>();
   let mixWeight = 0;
@@ -67,7 +68,10 @@
   return promptTokens + OUTPUT_TOKEN_SIZE * (expectedTokens ?? maxTokens);
 }
 
-/** Cost of a request being late, relative to other requests. */
+/**
+ * Cost of a request being late, relative to other requests. `size` is its
+ * `weightedSize`, and `usualSize` the mean of its route.
+ */
 export function weightOf(size: number, usualSize: number): number {
   const usual = Math.max(1, usualSize);
   const sizeFactor = FIXED_SHARE + (1 - FIXED_SHARE) * (size / usual);
--- a/src/direct/decide/score_engine.ts
+++ b/src/direct/decide/score_engine.ts
@@ -85,9 +85,9 @@
  * an engine without similar streams.
  */
 const CROWDING_SLOPE = 10;
-/** Passes from a request's arrival to its first event, besides all prefill. */
+/** Passes from a request's arrival to its first event, without any prefill. */
 const PASSES_TO_FIRST_EVENT = 1.5;
-/** Interval at which a full engine frees a slot, in milliseconds. */
+/** Mean interval at which a full engine frees a slot, in milliseconds. */
 const SLOT_WAIT_MS = 150;
 /**
  * Loss of a request that uses up its whole latency objective, as a share of its
@@ -114,8 +114,8 @@
   return {
     candidate,
     backlogMs,
-    // A backlog of 0 that was computed from other entries' reports may be out of
-    // date. Without news that they ended, the readers still count.
+    // A backlog of 0 is an estimate from other entries' reports. As long as these
+    // list readers, their prefill may still be running, so they count.
     readers: afterMs === 0 || backlogMs > 0 ? load.readers : [],
     passMs: passMs(figures, load.running + 1, load.tokens) * slowness,
     slotWaitMs: queueLength * SLOT_WAIT_MS,
@@ -157,7 +157,7 @@
   return {candidate, firstEventMs, harm, score: harm + weight * ownLoss};
 }
 
-/** Expected time to the first event on an idle engine, in milliseconds. */
+/** Time to the first event on an idle engine, a lower bound for any load. */
 export function minFirstEventMs(
   figures: EngineFigures,
   partPrefillMs: number,
--- a/src/policy/predicted_first_token.ts
+++ b/src/policy/predicted_first_token.ts
@@ -21,7 +21,8 @@
 const CALL_AHEAD_MS = 20;
 /**
  * Most backlog of longer prompts that delays a short one, in tokens. Engines
- * start a short prompt at the next step, however long the other backlog is.
+ * start a short prompt at the next step, so it waits for about one step, however
+ * long the other backlog is.
  */
 const MAX_LONGER_TOKENS = 3_000;
 /** Weight of that backlog in the prediction for a short prompt. */
@@ -30,16 +31,20 @@
 const REMAINING_PREFILL_SHARE = 0.5;
 /** Longer prompts go first to the share of engines for long prompts. */
 const LONG_PROMPT_TOKENS = 32_000;
+/** Rendezvous key of that share; it must be the same for all entries. */
 const LONG_PROMPTS_KEY = 'long prompts';
 /** Cost of an engine outside that share, as a share of the own prefill time. */
 const OUTSIDE_COST_SHARE = 0.25;
 /** Cost of another failure domain, besides the measured round trip. */
 const OTHER_DOMAIN_MS = 1;
-/** If every load report is older than this, the reports are not used. */
+/** If every load report is older than this, they no longer rank the targets. */
 const MAX_REPORT_AGE_MS = 20_000;
-/** Age of a load report at which it gets half of the full random noise. */
+/** Age of a load report at which its prediction gets half of the full noise. */
 const HALF_TRUST_AGE_MS = 2_000;
-/** Bonus of the home for a new prefix, as a share of the own prefill time. */
+/**
+ * Bonus of a prefix's home when none of it is cached there, as a share of the own
+ * prefill time; see `prefixHomeOf`.
+ */
 const NEW_PREFIX_BONUS_SHARE = 0.02;
 
 /** The routing policy; see the head of this file. */
@@ -153,6 +158,7 @@
   );
 }
 
+/** Requests that are running or queued at the target, with unreported ones. */
 function callsAhead(target: RoutingTarget): number {
   const {running, queued} = target.replica.load;
   return running + queued + target.unreportedRequests;
--- a/src/policy/routing_policies.ts
+++ b/src/policy/routing_policies.ts
@@ -46,6 +46,7 @@
   return name => byName.get(name) ?? predictedFirstToken;
 }
 
+/** A ranked target of a policy that predicts nothing. */
 function withoutPrediction(
   target: RoutingTarget,
   reason: string,
@@ -53,6 +54,7 @@
   return {target, predictedFirstTokenMs: 0, cachedTokens: 0, reason};
 }
 
+/** Running, queued and unreported requests at the target. */
 function requestCount(target: RoutingTarget): number {
   const {running, queued} = target.replica.load;
   return running + queued + target.unreportedRequests;
--- a/src/policy/side_queue.ts
+++ b/src/policy/side_queue.ts
@@ -92,6 +92,7 @@
     a.enqueuedAt - b.enqueuedAt;
 }
 
+/** Priority of the run at the engine; 0 is the most urgent. */
 function enginePriorityOf(item: QueueItem): number {
   return item.classIndex * PRIORITIES_PER_CLASS + item.priority;
 }
@@ -104,6 +105,7 @@
   };
 }
 
+/** The most urgent run that may start now, if any. */
 function chooseByClass(view: QueueView): QueueChoice | undefined {
   const order = [...view.waiting].sort(byUrgency(view));
   let isOldRunBlocked = false;
@@ -126,6 +128,7 @@
   return item.classIndex === 0 && item.memoryTokens <= unusedShortFloor(view);
 }
 
+/** Reason for the choice, for the log line of the start. */
 function reasonOf(
   view: QueueView,
   item: QueueItem,
@@ -144,6 +147,7 @@
     urgencyLevel(view, other) <= urgencyLevel(view, item),
 };
 
+/** The run that arrived first, if it may start now. */
 function chooseFirstCome(view: QueueView): QueueChoice | undefined {
   const [first] = [...view.waiting].sort((a, b) => a.enqueuedAt - b.enqueuedAt);
   if (first === undefined) return undefined;
--- a/test/direct/load_replay.test.ts
+++ b/test/direct/load_replay.test.ts
@@ -7,7 +7,7 @@
   const scenario = SCENARIOS.find(each => each.name === name);
   if (scenario === undefined) throw new Error(name);
   const {figures} = await runScenario({
-    scenario: {...scenario, lengthS: lengthS},
+    scenario: {...scenario, lengthS},
     seed,
   });
   const shareInTime = (kind: string) => {
