--- a/bench/direct/model_fleet.ts
+++ b/bench/direct/model_fleet.ts
@@ -98,7 +98,7 @@
       clock.after(options.wayMs, () => {
         const entry = entries[at];
         if (entry.isUp())
-          entry.serving.book.setPeerLoad(`entry-${from}`, loads);
+          entry.serving.loadTracker.setPeerLoad(`entry-${from}`, loads);
       });
     }
   };
@@ -220,7 +220,7 @@
     clock,
     sameDomainPeers: () => near,
     otherDomainPeers: () => far,
-    send: to => isUp() && tellFrom(at, to, serving.book.ownLoads()),
+    send: to => isUp() && tellFrom(at, to, serving.loadTracker.ownLoads()),
   });
   clock.every(HEARTBEAT_MS, telling.heartbeat);
   return {
--- a/src/direct/admit_request.ts
+++ b/src/direct/admit_request.ts
@@ -47,10 +47,10 @@
   if (refusal !== undefined) return refusal;
   const body = await readBody(req, earlyConfig.limits.maxBodyBytes);
   if (body === undefined) return refused(413, 'the body is too large');
-  const fresh = await options.keysAreFresh();
+  const isFresh = await options.keysAreFresh();
   // A configuration that arrived during the body or the store call applies.
   const config = options.config() ?? earlyConfig;
-  return authorise(options, config, req, body, fresh);
+  return authorise(options, config, req, body, isFresh);
 }
 
 function authorise(
@@ -58,7 +58,7 @@
   config: DirectConfig,
   req: IncomingMessage,
   body: Buffer,
-  fresh: boolean,
+  isFresh: boolean,
 ): AdmittedRequest | Refusal {
   const facts = options.codec.readRequest(req.headers);
   if (facts.id === undefined) return refused(400, 'the request has no id');
@@ -68,14 +68,14 @@
     ...refused(503, 'the configuration may be old'),
     retryAfterMs: retryAfterMs(options),
   };
-  if (route === undefined) return fresh ? refused(404, 'no route') : stale;
+  if (route === undefined) return isFresh ? refused(404, 'no route') : stale;
   const service = pickService(route, options.random());
   if (service === undefined) return refused(503, 'the route has no service');
   const admitted = {config, route, service, facts, id: facts.id, body};
   if (route.isPublic || config.keys === undefined) {
     return {...admitted, owner: undefined};
   }
-  if (!fresh) return stale;
+  if (!isFresh) return stale;
   const owner = config.keys.get(facts.key ?? '');
   return owner === undefined
     ? refused(401, 'unknown key')
--- a/src/direct/call_attempt.ts
+++ b/src/direct/call_attempt.ts
@@ -49,10 +49,12 @@
   if (!ctx.crashes.maySend(exchange)) {
     return Promise.resolve({kind: 'quarantined'});
   }
-  const {health, losses, book, clock, metrics, callTimes} = ctx;
+  const {health, losses, loadTracker, clock, metrics, callTimes} = ctx;
   const {service} = exchange;
   const startedAt = clock.now();
-  const work = book.assign(plainCallAssignment(replica.id, Infinity));
+  const assignment = loadTracker.assign(
+    plainCallAssignment(replica.id, Infinity),
+  );
   exchange.attempts++;
   return new Promise(resolve => {
     let head: AnswerHead | undefined;
@@ -61,7 +63,7 @@
     let isStreaming = false;
 
     const finish = (outcome: CallOutcome) => {
-      work.end();
+      assignment.end();
       stopWatching();
       exchange.signal.removeEventListener('abort', onAbort);
       resolve(outcome);
--- a/src/direct/crash_watch.ts
+++ b/src/direct/crash_watch.ts
@@ -56,7 +56,7 @@
   readonly node: string;
   /** Whether the replica was told to leave, so that its end is no crash. */
   isLeaving(replicaId: string): boolean;
-  /** Sends a report to the other entries. */
+  /** Sends a report to the peers, which are the other entries. */
   shareReport(report: CrashReport): void;
   /**
    * Called when a request is quarantined, to store it. `isOwn` is true when
@@ -92,7 +92,7 @@
       options.onCleared(digest, isOwn);
     },
   });
-  const lostRuns = createLostRuns({
+  const lost = createLostRuns({
     clock,
     probePort: options.probePort,
     isLeaving: options.isLeaving,
@@ -140,19 +140,18 @@
       return exchange.isTrial;
     },
     runBroken: (exchange, replica) =>
-      lostRuns.runBroken(exchange.digest(), replica),
+      lost.runBroken(exchange.digest(), replica),
     runCancelled: (exchange, replica) => {
       const digest = exchange.digest();
-      if (suspects.isSuspect(digest))
-        lostRuns.suspectRunCancelled(digest, replica);
-      else lostRuns.runCancelled(digest, replica);
+      if (suspects.isSuspect(digest)) lost.suspectRunCancelled(digest, replica);
+      else lost.runCancelled(digest, replica);
     },
     runSucceeded: exchange => {
       const isSmall = exchange.body.length <= MAX_ALWAYS_DIGESTED_BYTES;
       if (isSmall || suspects.suspectCount() > 0)
         suspects.runSucceeded(exchange.digest());
     },
-    replicaEnded: lostRuns.replicaEnded,
-    recordRemoved: lostRuns.recordRemoved,
+    replicaEnded: lost.replicaEnded,
+    recordRemoved: lost.recordRemoved,
   };
 }
--- a/src/direct/front.ts
+++ b/src/direct/front.ts
@@ -48,7 +48,7 @@
 /** The drain ends this long before the grace time, to send the last answers. */
 const GRACE_MARGIN_MS = 500;
 /**
- * Interval at which some crash reports are sent to one other entry. The
+ * Interval at which some crash reports are sent to one peer. The
  * repetition makes up for reports that were lost.
  */
 const CRASH_REPORT_INTERVAL_MS = 1_000;
@@ -134,8 +134,8 @@
     holdMs: options.holdMs,
     unusedMs: options.unusedMs,
     isDraining: () => isDraining,
-    shareLoads: (loads, isLong) =>
-      ctx.send('sharing', {kind: 'load', loads, hasLongRead: isLong}),
+    shareLoads: (loads, hasLongPrefill) =>
+      ctx.send('sharing', {kind: 'load', loads, hasLongRead: hasLongPrefill}),
     shareCrashReports: reports =>
       ctx.send('sharing', {kind: 'crash-reports', reports, toAll: true}),
     quarantine: {
@@ -158,7 +158,7 @@
 
   const shownEvidenceAgeMs = () =>
     Math.round(Math.min(evidence.ageMs(), NO_EVIDENCE_AGE_MS));
-  const {setPeerLoad} = serving.book;
+  const {setPeerLoad} = serving.loadTracker;
   const readGauges = () => ({
     evidenceAgeMs: shownEvidenceAgeMs(),
     openRequests: serving.openRequests(),
@@ -293,7 +293,7 @@
           !isDraining &&
             server !== undefined &&
             serving.replicas.size() > 0 &&
-            // When keys cannot be confirmed, the other entries cannot confirm
+            // When keys cannot be confirmed, the peers cannot confirm
             // them either, so this one stays in the load balancer's rotation.
             (evidence.ageMs() < maxReadyAgeMs(revokeMs) ||
               keysUnconfirmedMs() > 0),
--- a/src/direct/place_request.ts
+++ b/src/direct/place_request.ts
@@ -138,7 +138,7 @@
   const pool = {
     figures,
     candidates,
-    weightPerPrefillMs: ctx.worth.weightPerPrefillMs(),
+    weightPerPrefillMs: ctx.requestWeights.weightPerPrefillMs(),
     fullness: ctx.fullness,
   };
   const decision = placeOrWait(pool, req);
--- a/src/direct/request_placement.ts
+++ b/src/direct/request_placement.ts
@@ -40,7 +40,7 @@
   /** Calls `onLost` when no answer is expected any more. */
   watchLoss(onLost: (loss: PlacementLoss) => void): Cancel;
   /** Records that the first event came after `tookMs`. */
-  firstEventReceived(tookMs: number): void;
+  onFirstEvent(tookMs: number): void;
   /**
    * Records that the replica refused the request. `faultAt` is the address of
    * the member at fault, if the replica named one.
@@ -60,8 +60,9 @@
   plan: EnginePlan,
 ): Promise<RequestPlacement | {readonly refusedBy: string}> {
   const {helpers, partTokens, lead} = plan;
-  const openWork = addWork(ctx, exchange, plan);
-  const endWork = () => openWork.forEach(work => work.end());
+  const assignments = assignPlan(ctx, exchange, plan);
+  const endAssignments = () =>
+    assignments.forEach(assignment => assignment.end());
   let group: Group | undefined;
   if (partTokens > 0 && helpers.length > 0) {
     const opened = await ctx.groups.open({
@@ -71,7 +72,7 @@
       tokens: partTokens,
     });
     if ('refusedBy' in opened) {
-      endWork();
+      endAssignments();
       return opened;
     }
     group = opened;
@@ -92,8 +93,8 @@
       group?.members ??
       addresses.map(address => ({address, reservation: undefined})),
     firstEventMs: plan.firstEventMs,
-    firstEventReceived: tookMs => {
-      openWork.forEach(work => work.markPromptRead());
+    onFirstEvent: tookMs => {
+      assignments.forEach(assignment => assignment.markPromptRead());
       if (helpers.length > 0) return;
       ctx.health.answered(lead.replica.id, tookMs, plan.firstEventMs);
     },
@@ -102,7 +103,7 @@
       if (helper !== undefined) ctx.health.failed(helper.replica.id);
     },
     close: () => {
-      endWork();
+      endAssignments();
       group?.close();
     },
   };
@@ -119,7 +120,7 @@
   return () => cancels.forEach(cancel => cancel());
 }
 
-function addWork(
+function assignPlan(
   ctx: ServeContext,
   exchange: Exchange,
   plan: EnginePlan,
@@ -134,15 +135,15 @@
     aimMarginMs: aimMarginMs(route.aimMs),
     pauseAimMs: route.pauseAimMs,
   };
-  const leadWork = ctx.book.assign({
+  const leadAssignment = ctx.loadTracker.assign({
     ...shared,
     replicaId: lead.replica.id,
     places: 1,
     tokens: totalTokens - partTokens * helpers.length,
     weight: exchange.weight,
   });
-  const helperWork = helpers.map(({replica}) =>
-    ctx.book.assign({
+  const helperAssignments = helpers.map(({replica}) =>
+    ctx.loadTracker.assign({
       ...shared,
       replicaId: replica.id,
       places: 0,
@@ -151,7 +152,7 @@
       weight: exchange.weight / Math.sqrt(1 + helpers.length),
     }),
   );
-  return [leadWork, ...helperWork];
+  return [leadAssignment, ...helperAssignments];
 }
 
 function logPlan(
@@ -186,16 +187,18 @@
   if (chosen === undefined) return undefined;
   const {replica} = chosen;
   const {pauseAimMs} = exchange.route;
-  const work = ctx.book.assign(plainCallAssignment(replica.id, pauseAimMs));
+  const assignment = ctx.loadTracker.assign(
+    plainCallAssignment(replica.id, pauseAimMs),
+  );
   return {
     replica,
     noteActivity: () => undefined,
     watchLoss: onLost => watchRestarts(ctx, [chosen], onLost),
     helpers: [],
     firstEventMs: DEFAULT_FIRST_EVENT_MS,
-    firstEventReceived: tookMs =>
+    onFirstEvent: tookMs =>
       ctx.health.answered(replica.id, tookMs, DEFAULT_FIRST_EVENT_MS),
     refused: () => undefined,
-    close: () => work.end(),
+    close: () => assignment.end(),
   };
 }
--- a/src/direct/serve_call.ts
+++ b/src/direct/serve_call.ts
@@ -98,7 +98,7 @@
   ctx.log(DIRECT_EVENTS.dispatched, {
     requestId: exchange.id,
     replica: id,
-    running: ctx.book.totalLoad(id).running,
+    running: ctx.loadTracker.totalLoad(id).running,
     slowness: ctx.health.slowness(id),
     config: exchange.config.version,
   });
--- a/src/direct/serve_context.ts
+++ b/src/direct/serve_context.ts
@@ -40,8 +40,8 @@
   readonly health: ReplicaHealth;
   readonly losses: ReplicaLosses;
   readonly crashes: CrashWatch;
-  readonly book: LoadTracker;
-  readonly worth: RequestWeights;
+  readonly loadTracker: LoadTracker;
+  readonly requestWeights: RequestWeights;
   readonly fullness: Fullness | undefined;
   readonly callTimes: CallTimes;
   readonly pollPace: PlacementPollPace;
@@ -73,12 +73,12 @@
 
 /** Adds to each replica its known load, slowness and share of failures. */
 export function withLoads(
-  {book, health}: ServeContext,
+  {loadTracker, health}: ServeContext,
   replicas: readonly DirectReplica[],
 ): readonly (EngineCandidate & CallCandidate)[] {
   return replicas.map(replica => ({
     replica,
-    load: book.totalLoad(replica.id),
+    load: loadTracker.totalLoad(replica.id),
     slowness: health.slowness(replica.id),
     brokenShare: health.brokenShare(replica.id),
   }));
@@ -173,12 +173,10 @@
   {status, headers}: AnswerHead,
 ): HeadVerdict {
   const facts = codec.readAnswer(status, headers);
-  const isOwnAnswer = facts.requestId === exchange.id && !facts.encoded;
-  if (isOwnAnswer && facts.notRun)
-    return {kind: 'not-run', faultAt: facts.faultAt};
+  const isOwn = facts.requestId === exchange.id && !facts.encoded;
+  if (isOwn && facts.notRun) return {kind: 'not-run', faultAt: facts.faultAt};
   exchange.mayHaveRun = true;
-  if (!isOwnAnswer)
-    return {kind: 'foreign', reason: 'an answer to another request'};
+  if (!isOwn) return {kind: 'foreign', reason: 'an answer to another request'};
   if (status >= 300) return {kind: 'failure'};
   return facts.signed
     ? {kind: 'success'}
--- a/src/direct/serving.ts
+++ b/src/direct/serving.ts
@@ -36,7 +36,7 @@
 import type {HeaderCodec, ReadReport, Reservations} from './types.js';
 
 /**
- * New load is sent to the other entries after this delay, which batches what
+ * New load is sent to the peers after this delay, which batches what
  * arrives at the same instant. Within it, two entries may choose the same
  * replica.
  */
@@ -79,11 +79,11 @@
   readonly fullness?: Fullness;
   isDraining(): boolean;
   /**
-   * Sends this entry's load to the other entries. `isLong` is true when a long
+   * Sends this entry's load to the peers. `hasLongPrefill` is true when a long
    * prefill was added since the last call.
    */
-  shareLoads(loads: readonly ReplicaLoad[], isLong: boolean): void;
-  /** Sends crash reports to the other entries. */
+  shareLoads(loads: readonly ReplicaLoad[], hasLongPrefill: boolean): void;
+  /** Sends crash reports to the peers. */
   shareCrashReports(reports: readonly CrashReport[]): void;
   /** See `CrashWatchOptions`. */
   readonly quarantine: Pick<
@@ -94,7 +94,7 @@
 
 export interface Serving {
   readonly replicas: ReplicaTable;
-  readonly book: LoadTracker;
+  readonly loadTracker: LoadTracker;
   readonly crashes: Pick<CrashWatch, 'merge' | 'release' | 'nextReports'>;
   /** Serves a request until its final answer; `arrivedAt` is its arrival. */
   serve(
@@ -121,7 +121,7 @@
   const {clock, log, metrics, random, codec, dispatch, retries} = options;
   let entryCount = 1;
   const openExchanges = new Set<Exchange>();
-  const worth = createRequestWeights();
+  const requestWeights = createRequestWeights();
   const health = createReplicaHealth(clock);
   const losses = createReplicaLosses();
   const replicas = createReplicaTable({
@@ -156,10 +156,10 @@
   });
   let hasLongPrefill = false;
   const scheduleLoads = createBatcher(clock, () => {
-    options.shareLoads(book.ownLoads(), hasLongPrefill);
+    options.shareLoads(loadTracker.ownLoads(), hasLongPrefill);
     hasLongPrefill = false;
   });
-  const book = createLoadTracker(clock, change => {
+  const loadTracker = createLoadTracker(clock, change => {
     hasLongPrefill ||= change === 'long';
     scheduleLoads(
       change === 'less' ? SHARE_ENDED_LOAD_MS : SHARE_ADDED_LOAD_MS,
@@ -177,8 +177,8 @@
     health,
     losses,
     crashes,
-    book,
-    worth,
+    loadTracker,
+    requestWeights,
     fullness: options.fullness,
     callTimes: createCallTimes(),
     pollPace: createPlacementPollPace(),
@@ -207,7 +207,7 @@
     const figures = config.services.get(service)?.engine;
     const ms =
       figures === undefined ? 0 : prefillMs(figures, facts.promptTokens, 1);
-    return worth.weigh(route.name, weightedSize(facts), ms);
+    return requestWeights.weigh(route.name, weightedSize(facts), ms);
   };
 
   const serveOrRefuse = async (exchange: Exchange): Promise<void> => {
@@ -255,7 +255,7 @@
 
   return {
     replicas,
-    book,
+    loadTracker,
     crashes,
     serve,
     setEntryCount: count => {
--- a/src/direct/stream_attempt.ts
+++ b/src/direct/stream_attempt.ts
@@ -67,7 +67,7 @@
       signal.removeEventListener('abort', onAbort);
       resolve(outcome);
     };
-    const failAtReplica = (reason: string) => {
+    const fail = (reason: string) => {
       health.failed(replica.id);
       ctx.crashes.runBroken(exchange, replica);
       endBroken(reason);
@@ -96,7 +96,7 @@
       const verdict = classifyHead(ctx, exchange, received);
       head = received;
       if (verdict.kind === 'failure') failure = [];
-      if (verdict.kind === 'foreign') failAtReplica(verdict.reason);
+      if (verdict.kind === 'foreign') fail(verdict.reason);
       if (verdict.kind !== 'not-run') return;
       dispatch.cancel();
       placement.refused(verdict.faultAt);
@@ -113,8 +113,7 @@
     const keepFailure = (kept: Buffer[], chunk: Buffer) => {
       kept.push(chunk);
       failureBytes += chunk.length;
-      if (failureBytes > MAX_FAILURE_BYTES)
-        failAtReplica('a failure without end');
+      if (failureBytes > MAX_FAILURE_BYTES) fail('a failure without end');
     };
     const onData = (chunk: Buffer) => {
       if (failure !== undefined) {
@@ -122,8 +121,7 @@
         return;
       }
       for (const event of splitter.push(chunk)) {
-        if (eventCount++ === 0)
-          placement.firstEventReceived(clock.now() - startedAt);
+        if (eventCount++ === 0) placement.onFirstEvent(clock.now() - startedAt);
         forwardEvent(event);
       }
       silence.onEvent();
@@ -135,7 +133,7 @@
         health.failed(replica.id);
         finish({kind: 'failure', head, body: Buffer.concat(failure)});
       } else if (splitter.pendingBytes() > 0) {
-        failAtReplica('ended within an event');
+        fail('ended within an event');
       } else {
         ctx.crashes.runSucceeded(exchange);
         finish({kind: 'whole', head});
@@ -154,7 +152,7 @@
     };
 
     const silence = watchSilence(ctx, exchange, replica.id, () =>
-      failAtReplica('silent'),
+      fail('silent'),
     );
     const lastEventId =
       progress.events > 0 ? String(progress.lastId) : undefined;
--- a/src/direct/stream_silence.ts
+++ b/src/direct/stream_silence.ts
@@ -42,7 +42,7 @@
 
 /** `onSilent` is called once, and only while another replica may be tried. */
 export function watchSilence(
-  {clock, book}: ServeContext,
+  {clock, loadTracker}: ServeContext,
   exchange: Exchange,
   replicaId: string,
   onSilent: () => void,
@@ -56,7 +56,7 @@
   const allowedMs = (limitMs: number): number =>
     Math.max(
       limitMs,
-      Math.min(limitMs + book.totalLoad(replicaId).readMs, maxMs),
+      Math.min(limitMs + loadTracker.totalLoad(replicaId).readMs, maxMs),
     );
   const wait = (limitMs: number, since: number): void => {
     stop();
--- a/src/direct/suspects.ts
+++ b/src/direct/suspects.ts
@@ -63,7 +63,7 @@
   readonly clock: Clock;
   /** Name of this entry. */
   readonly self: string;
-  /** Called with a report that the other entries should get. */
+  /** Called with a report that the peers should get. */
   onChanged(report: CrashReport): void;
   /**
    * A request is refused from now on. `isOwn` is true when this entry observed
@@ -95,11 +95,11 @@
    * answered, so that the trial may still be free.
    */
   trialSettled(digest: string, isAnswered: boolean): void;
-  /** Merges reports of another entry or of the store. */
+  /** Merges reports of a peer or of the store. */
   merge(reports: readonly CrashReport[]): void;
   /** Ends the quarantine that an operator has released. */
   release(digest: string): void;
-  /** The next `count` reports, in rotation, to send to another entry. */
+  /** The next `count` reports, in rotation, to send to a peer. */
   nextReports(count: number): readonly CrashReport[];
   suspectCount(): number;
   quarantinedCount(): number;
--- a/test/support/direct_fleet.ts
+++ b/test/support/direct_fleet.ts
@@ -46,7 +46,7 @@
 export interface FleetOptions {
   /** Name of the entry. @default 'entry-1' */
   readonly node?: string;
-  /** Another entry that is announced in the store, and its IP:PORT for peers. */
+  /** A peer that is announced in the store, with its IP:PORT for peers. */
   readonly other?: {readonly node: string; readonly peers: string};
   /** Number of engine replicas. @default 2 */
   readonly pool?: number;
