--- a/bench/direct/model_fleet.ts
+++ b/bench/direct/model_fleet.ts
@@ -111,7 +111,7 @@
     entries.forEach(({serving}) => tell(serving));
   tellAll(serving => {
     serving.setEntryCount(options.entries);
-    serving.replicas.setAll(
+    serving.replicas.replaceAll(
       new Map(engines.map((it, at) => [it.name, replicaOf(at)])),
     );
   });
--- a/src/direct/front.ts
+++ b/src/direct/front.ts
@@ -268,7 +268,7 @@
       case 'confirmed':
         return evidence.confirm(message.asOf, message.askedAt);
       case 'replicas':
-        return serving.replicas.setAll(message.replicas);
+        return serving.replicas.replaceAll(message.replicas);
       case 'replica-changes':
         return serving.replicas.applyChanges(message.replicas);
       case 'keys-unconfirmed':
--- a/src/direct/lost_runs.ts
+++ b/src/direct/lost_runs.ts
@@ -27,7 +27,9 @@
 const CANCELLED_PROBE_DELAY_MS = 300;
 
 interface LostRun {
+  /** Digest of the request. */
   readonly digest: string;
+  /** Time of the loss on this process's clock, in milliseconds. */
   readonly at: number;
   /**
    * True when the connection broke, false when this entry cancelled the run.
@@ -68,6 +70,7 @@
   const {clock} = options;
   /** Lost runs by replica id; each start of a replica has its own id. */
   const lostRuns = new Map<string, LostRun[]>();
+  /** Times at which replicas were found to have ended, by replica id. */
   const endedAt = new Map<string, number>();
   /** Scheduled probes, as replica id and delay. */
   const scheduledProbes = new Set<string>();
--- a/src/direct/replica_table.ts
+++ b/src/direct/replica_table.ts
@@ -42,7 +42,7 @@
 
 export interface ReplicaTable {
   /** Replaces all replicas, by name. */
-  setAll(replicas: ReadonlyMap<string, DirectReplica>): void;
+  replaceAll(replicas: ReadonlyMap<string, DirectReplica>): void;
   /** Applies changes, by name; an undefined value means removed. */
   applyChanges(replicas: ReadonlyMap<string, DirectReplica | undefined>): void;
   /** Records that a call to the store failed just now. */
@@ -70,6 +70,7 @@
 
 interface Removed {
   readonly replica: DirectReplica;
+  /** Time of the removal on this process's clock, in milliseconds. */
   readonly removedAt: number;
   /** Until then the replica gets work, since its record may only have expired. */
   readonly usedUntil: number;
@@ -77,6 +78,7 @@
 
 interface EarlierStart {
   readonly replica: DirectReplica;
+  /** Time at which such a record was first seen, in milliseconds. */
   readonly since: number;
 }
 
@@ -158,7 +160,7 @@
   };
 
   return {
-    setAll: replicas => {
+    replaceAll: replicas => {
       untrusted.clear();
       for (const name of [...present.keys()]) {
         if (!replicas.has(name)) remove(name);
--- a/src/direct/suspects.ts
+++ b/src/direct/suspects.ts
@@ -109,6 +109,7 @@
   const {clock, self} = options;
   /** Suspects by digest, the oldest first. */
   const suspects = new Map<string, Suspect>();
+  /** End of the grace after a release, by digest. */
   const released = new Map<string, number>();
   const earlierSuccesses = createSuccessCounts(clock);
   let nextIndex = 0;
--- a/test/direct/parts.test.ts
+++ b/test/direct/parts.test.ts
@@ -116,14 +116,14 @@
   test('that expired in an outage serve for a while, removed ones do not', async () => {
     const clock = createVirtualClock();
     const fleet = fleetOn(clock);
-    fleet.setAll(new Map([['a', replica('a')]]));
+    fleet.replaceAll(new Map([['a', replica('a')]]));
     fleet.storeFailed();
-    fleet.setAll(new Map());
+    fleet.replaceAll(new Map());
     expect(ids(fleet)).toEqual(['a']);
     await clock.advance(2_000);
     expect(ids(fleet)).toEqual([]);
     await clock.advance(5_000);
-    fleet.setAll(new Map([['b', replica('b')]]));
+    fleet.replaceAll(new Map([['b', replica('b')]]));
     fleet.applyChanges(new Map([['b', undefined]]));
     expect(ids(fleet)).toEqual([]);
   });
--- a/test/direct/restored_store.test.ts
+++ b/test/direct/restored_store.test.ts
@@ -44,7 +44,7 @@
       onRemoved: () => undefined,
       onRestarted: () => undefined,
     });
-    fleet.setAll(byName(...replicas));
+    fleet.replaceAll(byName(...replicas));
     const names = () => fleet.availableFor('pool').map(({name}) => name);
     return {clock, fleet, names};
   }
@@ -55,7 +55,7 @@
     const {clock, fleet, names} = createTable(replica('a'), replica('b', true));
     await clock.runFor(100);
     fleet.storeRestored();
-    fleet.setAll(byName(replica('a'), replica('b')));
+    fleet.replaceAll(byName(replica('a'), replica('b')));
     expect(names()).toEqual(['a']);
     fleet.applyChanges(byName(replica('b', true)));
     await clock.runFor(DOUBT_MS);
@@ -68,9 +68,9 @@
     fleet.applyChanges(new Map([['b', undefined]]));
     await clock.runFor(100);
     fleet.storeRestored();
-    fleet.setAll(byName(replica('a'), replica('b')));
+    fleet.replaceAll(byName(replica('a'), replica('b')));
     expect(names()).toEqual(['a']);
-    fleet.setAll(byName(replica('a')));
+    fleet.replaceAll(byName(replica('a')));
     await clock.runFor(DOUBT_MS);
     expect(names()).toEqual(['a']);
   });
@@ -79,7 +79,7 @@
     const {fleet, names} = createTable(replica('a'), replica('b'));
     fleet.applyChanges(new Map([['b', undefined]]));
     fleet.storeRestored();
-    fleet.setAll(byName(replica('a'), replica('b')));
+    fleet.replaceAll(byName(replica('a'), replica('b')));
     fleet.applyChanges(byName(replica('b')));
     expect(names().sort()).toEqual(['a', 'b']);
   });
@@ -89,7 +89,7 @@
   test('are used again when the store keeps listing them', async () => {
     const {clock, fleet, names} = createTable(replica('a'), replica('b', true));
     fleet.storeRestored();
-    fleet.setAll(byName(replica('a'), replica('b')));
+    fleet.replaceAll(byName(replica('a'), replica('b')));
     await clock.runFor(DOUBT_MS);
     expect(names().sort()).toEqual(['a', 'b']);
   });
@@ -99,7 +99,7 @@
   test('stay in use for a while when the copy lists none of them', () => {
     const {fleet, names} = createTable(replica('a'));
     fleet.storeRestored();
-    fleet.setAll(new Map());
+    fleet.replaceAll(new Map());
     expect(names()).toEqual(['a']);
   });
 });
