--- a/bench/claims.ts
+++ b/bench/claims.ts
@@ -8,7 +8,7 @@
 import {writeFileSync} from 'node:fs';
 import {parseArgs} from 'node:util';
 import type {Either} from 'purify-ts';
-import {createClaimsService} from '../src/entry/claims/claims.js';
+import {createClaimsService} from '../src/entry/claims/claims_per_key.js';
 import {createBatchedClaimsService} from '../src/entry/claims/claims_batched.js';
 import {createKernel} from '../src/kernel/kernel.js';
 import type {Kernel} from '../src/kernel/kernel.js';
--- a/src/entry/admission/admission.ts
+++ b/src/entry/admission/admission.ts
@@ -17,7 +17,7 @@
 import type {CallHead} from '../../types/peer_messages.js';
 import type {Body, RequestSpec} from '../../types/services.js';
 import type {CompletionFields} from '../front/completion_fields.js';
-import {badRequest} from '../faults.js';
+import {badRequest} from '../entry_errors.js';
 import {prefixHashes} from './prefix_hashes.js';
 import type {RequestOptions} from '../front/request_options.js';
 
--- a/src/entry/claims/claims_batched.ts
+++ b/src/entry/claims/claims_batched.ts
@@ -12,14 +12,14 @@
 import type {ObjectStore} from '../../types/platform.js';
 import type {ClaimOutcome, ClaimsMessage} from '../../types/services.js';
 import {claimHash} from './claim_record.js';
-import {claimRefused} from './claim_refused.js';
+import {claimRefused} from './claim_error.js';
 import {
   decideClaims,
   formatShardTable,
   parseShardTable,
 } from './claim_shard.js';
 import type {ShardTable, WaitingClaim} from './claim_shard.js';
-import {CLAIMS_METRIC} from './claims.js';
+import {CLAIMS_METRIC} from './claims_per_key.js';
 import {createRecentMap} from '../../utils/recent_map.js';
 
 const PREFIX = 'claims-batched';
--- a/src/entry/claims/claims.ts
+++ b/src/entry/claims/claims_per_key.ts
@@ -13,7 +13,7 @@
 import {PLATFORM_EVENTS} from '../../utils/events.js';
 import {claimKey, formatClaimRecord, parseClaimRecord} from './claim_record.js';
 import type {ClaimRecord} from './claim_record.js';
-import {claimRefused} from './claim_refused.js';
+import {claimRefused} from './claim_error.js';
 import {createRecentMap} from '../../utils/recent_map.js';
 
 const NONCE_BYTES = 12;
--- a/src/entry/front/callers_state.ts
+++ b/src/entry/front/callers_state.ts
@@ -7,7 +7,7 @@
 import {OnyxError} from '../../types/errors.js';
 import type {RequestId} from '../../types/ids.js';
 import type {MembershipView} from '../../types/services.js';
-import type {Link} from '../run/answer_link.js';
+import type {Link} from '../run/caller_link.js';
 
 /**
  * `Retry-After` of a request that is refused because the entry is full,
--- a/src/entry/front/completion_fields.ts
+++ b/src/entry/front/completion_fields.ts
@@ -6,7 +6,7 @@
  */
 import {z} from 'zod';
 import type {Body} from '../../types/services.js';
-import {badRequest} from '../faults.js';
+import {badRequest} from '../entry_errors.js';
 import type {ParsedCompletion} from './completion_parser.js';
 
 /** `max_tokens` of a request without it, as in the common API. */
--- a/src/entry/front/completion_parser.ts
+++ b/src/entry/front/completion_parser.ts
@@ -7,7 +7,7 @@
 import type {ParsedElementInfo, ParsedTokenInfo} from '@streamparser/json';
 import {OnyxError} from '../../types/errors.js';
 import type {Body} from '../../types/services.js';
-import {badRequest} from '../faults.js';
+import {badRequest} from '../entry_errors.js';
 import {createPieceBuffer} from './piece_buffer.js';
 import type {PieceBuffer} from './piece_buffer.js';
 
--- a/src/entry/front/existing_request_routes.ts
+++ b/src/entry/front/existing_request_routes.ts
@@ -15,7 +15,7 @@
 import type {ResponseWriter, ResumePoint} from './response_writers.js';
 import {withLookupTimeout, attachToRequest} from './callers_exchange.js';
 import type {Exchange, CallersDeps} from './callers_exchange.js';
-import {badRequest, noSuchRequest} from '../faults.js';
+import {badRequest, noSuchRequest} from '../entry_errors.js';
 import {sendJson} from './http_errors.js';
 
 const MS_PER_SEC = 1000;
--- a/src/entry/front/http_body.ts
+++ b/src/entry/front/http_body.ts
@@ -13,7 +13,7 @@
   parseSmallCompletion,
 } from './completion_parser.js';
 import type {ParsedCompletion} from './completion_parser.js';
-import {badRequest} from '../faults.js';
+import {badRequest} from '../entry_errors.js';
 import {createPieceBuffer} from './piece_buffer.js';
 
 /**
--- a/src/entry/front/http_operators.ts
+++ b/src/entry/front/http_operators.ts
@@ -12,7 +12,7 @@
 import {FRONT_EVENTS} from '../../utils/events.js';
 import type {YieldLoop} from '../../utils/event_loop.js';
 import type {VerifyKey} from './authenticator.js';
-import {asOnyxError, badRequest} from '../faults.js';
+import {asOnyxError, badRequest} from '../entry_errors.js';
 import {createBodyReader} from './http_body.js';
 import type {BodyReader} from './http_body.js';
 import {
--- a/src/entry/front/new_request_routes.ts
+++ b/src/entry/front/new_request_routes.ts
@@ -24,7 +24,7 @@
 import type {Exchange, CallersDeps} from './callers_exchange.js';
 import type {RequestSlot} from './callers_state.js';
 import {EMPTY_BODY_OPTIONS, validateCompletion} from './completion_fields.js';
-import {badRequest} from '../faults.js';
+import {badRequest} from '../entry_errors.js';
 import {declaredLength} from './http_body.js';
 import {readRequestOptions} from './request_options.js';
 
--- a/src/entry/front/request_options.ts
+++ b/src/entry/front/request_options.ts
@@ -4,7 +4,7 @@
  * options.
  */
 import type {IncomingHttpHeaders} from 'node:http';
-import {badRequest} from '../faults.js';
+import {badRequest} from '../entry_errors.js';
 import type {BodyOptions} from './completion_fields.js';
 
 /** Longest time limit of a request. A longer one is refused. */
--- a/src/entry/groups/group_reserve.ts
+++ b/src/entry/groups/group_reserve.ts
@@ -6,10 +6,10 @@
  */
 import type {ErrorDetails} from '../../types/errors.js';
 import type {RequestSpec} from '../../types/services.js';
-import {memoryOf, planGroup} from './group.js';
-import type {GroupPart, GroupPlan} from './group.js';
-import {sendOffer, withdrawOffer} from '../routing/offer_call.js';
-import type {AcceptedOffer, OfferDeps} from '../routing/offer_call.js';
+import {memoryOf, planGroup} from './group_plan.js';
+import type {GroupPart, GroupPlan} from './group_plan.js';
+import {sendOffer, withdrawOffer} from '../routing/send_offer.js';
+import type {AcceptedOffer, OfferDeps} from '../routing/send_offer.js';
 import {isOver} from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
 import {RETRY_AFTER_MS, refusedBy} from '../routing/refusals.js';
--- a/src/entry/groups/group_run.ts
+++ b/src/entry/groups/group_run.ts
@@ -8,8 +8,8 @@
 import {startAttempt} from '../run/attempt.js';
 import type {Attempt, AttemptOutcome} from '../run/attempt.js';
 import type {ReservedPart} from './group_reserve.js';
-import {withdrawOffer} from '../routing/offer_call.js';
-import type {OfferDeps} from '../routing/offer_call.js';
+import {withdrawOffer} from '../routing/send_offer.js';
+import type {OfferDeps} from '../routing/send_offer.js';
 import type {OpenRequest} from '../open_request.js';
 
 /** Resolves with the lead's outcome; all members are cancelled by then. */
--- a/src/entry/requests.ts
+++ b/src/entry/requests.ts
@@ -21,12 +21,12 @@
 import type {RoutingPolicy} from '../policy/routing.js';
 import {REQUEST_EVENTS} from '../utils/events.js';
 import {modelName} from '../utils/model_name.js';
-import {acquirePlace, claimKey} from './admission/admit.js';
+import {acquirePlace, claimKey} from './admission/preconditions.js';
 import {createAnswerLog} from './run/answer_log.js';
 import type {FinalEvent} from './run/answer_log.js';
-import {cancelElsewhere} from './resume/cancel_elsewhere.js';
-import {driveRequest} from './run/drive_request.js';
-import type {DriveDeps} from './run/drive_request.js';
+import {cancelElsewhere} from './resume/cancel_at_sides.js';
+import {driveRequest} from './run/execute_request.js';
+import type {DriveDeps} from './run/execute_request.js';
 import {
   createOpenRequest,
   failedEvent,
@@ -36,7 +36,7 @@
 } from './open_request.js';
 import type {OpenRequest} from './open_request.js';
 import {createRequestTable} from './request_table.js';
-import {createResumer} from './resume/resume.js';
+import {createResumer} from './resume/resumer.js';
 import {createRetryBudget} from '../limits/retry_budget.js';
 import {createRouter} from './routing/router.js';
 import {DEFAULT_REQUEST_TIMING} from './timing.js';
--- a/src/entry/resume/adopt.ts
+++ b/src/entry/resume/adopt_run.ts
@@ -6,11 +6,11 @@
 import {REQUEST_EVENTS} from '../../utils/events.js';
 import {startAttempt} from '../run/attempt.js';
 import type {AttemptOutcome} from '../run/attempt.js';
-import type {DriveDeps} from '../run/drive_request.js';
-import type {Located} from './locate.js';
+import type {DriveDeps} from '../run/execute_request.js';
+import type {Located} from './locate_run.js';
 import {failedEvent, isOver, isTakenOver} from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
-import {judgeOutcome} from '../run/verdict.js';
+import {judgeOutcome} from '../run/attempt_decision.js';
 
 export interface Adoption {
   readonly open: OpenRequest;
--- a/src/entry/resume/resume.ts
+++ b/src/entry/resume/resumer.ts
@@ -10,11 +10,11 @@
   RequestState,
   RequestsMessage,
 } from '../../types/services.js';
-import {adoptRun} from './adopt.js';
+import {adoptRun} from './adopt_run.js';
 import {createAnswerLog} from '../run/answer_log.js';
-import type {DriveDeps} from '../run/drive_request.js';
-import {locateRun} from './locate.js';
-import type {Located} from './locate.js';
+import type {DriveDeps} from '../run/execute_request.js';
+import {locateRun} from './locate_run.js';
+import type {Located} from './locate_run.js';
 import {createOpenRequest, failedEvent, isOver} from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
 import {stateOf} from '../request_table.js';
--- a/src/entry/routing/offers.ts
+++ b/src/entry/routing/offer_round.ts
@@ -5,8 +5,8 @@
 import type {ErrorDetails} from '../../types/errors.js';
 import type {RequestSpec} from '../../types/services.js';
 import type {RankedTarget} from '../../policy/routing.js';
-import {sendOffer, withdrawOffer} from './offer_call.js';
-import type {AcceptedOffer, OfferAnswer, OfferDeps} from './offer_call.js';
+import {sendOffer, withdrawOffer} from './send_offer.js';
+import type {AcceptedOffer, OfferAnswer, OfferDeps} from './send_offer.js';
 import {isOver} from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
 import {refusedBy} from './refusals.js';
--- a/src/entry/routing/router.ts
+++ b/src/entry/routing/router.ts
@@ -19,9 +19,9 @@
 } from '../../types/services.js';
 import type {RankedTarget, RoutingPolicy} from '../../policy/routing.js';
 import {ROUTING_EVENTS} from '../../utils/events.js';
-import type {GroupPart} from '../groups/group.js';
+import type {GroupPart} from '../groups/group_plan.js';
 import {createAssignments} from './assignments.js';
-import {createPrefixMemory} from './prefix_memory.js';
+import {createPrefixMemory} from './prefix_history.js';
 
 /** Requests whose decisions are kept for `explain`. */
 const KEEP_EXPLAINED = 1_024;
--- a/src/entry/run/attempt.ts
+++ b/src/entry/run/attempt.ts
@@ -23,7 +23,7 @@
 import type {Transport} from '../../types/transport.js';
 import {REQUEST_EVENTS} from '../../utils/events.js';
 import {abandonDispatch} from './abandon.js';
-import {createAnswerCheck} from './answer_check.js';
+import {createAnswerCheck} from './answer_verifier.js';
 import type {AnswerLog} from './answer_log.js';
 import {sendPrompt} from './prompt_sender.js';
 import {openRunLink} from './run_link.js';
--- a/src/entry/run/answer_link.ts
+++ b/src/entry/run/caller_link.ts
@@ -9,7 +9,7 @@
 import type {RequestEvent, RequestListener} from '../../types/services.js';
 import {FRONT_EVENTS} from '../../utils/events.js';
 import type {ResponseWriter} from '../front/response_writers.js';
-import {asOnyxError} from '../faults.js';
+import {asOnyxError} from '../entry_errors.js';
 
 /** How a request ended for its caller. */
 export type Outcome =
--- a/src/entry/run/drive_request.ts
+++ b/src/entry/run/execute_request.ts
@@ -9,12 +9,12 @@
 import type {FinalEvent} from './answer_log.js';
 import {startAttempt} from './attempt.js';
 import type {AttemptOutcome} from './attempt.js';
-import {planGroup} from '../groups/group.js';
+import {planGroup} from '../groups/group_plan.js';
 import {reserveGroup} from '../groups/group_reserve.js';
 import type {ReservedPart} from '../groups/group_reserve.js';
 import {runGroup} from '../groups/group_run.js';
-import type {AcceptedOffer, OfferDeps} from '../routing/offer_call.js';
-import {offerRound} from '../routing/offers.js';
+import type {AcceptedOffer, OfferDeps} from '../routing/send_offer.js';
+import {offerRound} from '../routing/offer_round.js';
 import {
   failedEvent,
   isOver,
@@ -24,8 +24,8 @@
 import type {OpenRequest} from '../open_request.js';
 import {RETRY_AFTER_MS} from '../routing/refusals.js';
 import type {RetryBudget} from '../../limits/retry_budget.js';
-import {judgeOutcome} from './verdict.js';
-import type {Verdict} from './verdict.js';
+import {judgeOutcome} from './attempt_decision.js';
+import type {Verdict} from './attempt_decision.js';
 
 export interface DriveDeps extends OfferDeps {
   readonly budget: RetryBudget;
--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -14,7 +14,7 @@
 import {createConfigService} from './config/config_service.js';
 import {fleetOfHosts} from './config/validate.js';
 import type {KnownFleet} from './config/validate.js';
-import {createClaimsService} from './entry/claims/claims.js';
+import {createClaimsService} from './entry/claims/claims_per_key.js';
 import {createEntryPeersService} from './entry/entry_peers.js';
 import {createCallersService} from './entry/front/http_callers.js';
 import {createOperatorsService} from './entry/front/http_operators.js';
--- a/test/claims.test.ts
+++ b/test/claims.test.ts
@@ -1,6 +1,6 @@
 import type {Either} from 'purify-ts';
 import {describe, expect, it} from 'vitest';
-import {createClaimsService} from '../src/entry/claims/claims.js';
+import {createClaimsService} from '../src/entry/claims/claims_per_key.js';
 import {createBatchedClaimsService} from '../src/entry/claims/claims_batched.js';
 import {createKernel} from '../src/kernel/kernel.js';
 import type {Kernel} from '../src/kernel/kernel.js';
--- a/test/locate.test.ts
+++ b/test/locate.test.ts
@@ -1,6 +1,6 @@
 import {Right} from 'purify-ts';
 import {describe, expect, it} from 'vitest';
-import {locateRun} from '../src/entry/resume/locate.js';
+import {locateRun} from '../src/entry/resume/locate_run.js';
 import {DEFAULT_REQUEST_TIMING} from '../src/entry/timing.js';
 import {createVirtualClock} from './support/virtual_clock.js';
 import type {LocateRes} from '../src/types/peer_messages.js';
