--- a/bench/claims.ts
+++ b/bench/claims.ts
@@ -70,7 +70,7 @@
 ): ServiceSpec<'claims'> {
   return scenario.form === 'per key'
     ? createClaimsService({store})
-    : createBatchedClaimsService({store, wallNow, shards: scenario.shards});
+    : createBatchedClaimsService({store, wallNow, shardCount: scenario.shards});
 }
 
 function quantile(values: readonly number[], share: number): number {
--- a/src/entry/admission/admission.ts
+++ b/src/entry/admission/admission.ts
@@ -31,7 +31,7 @@
 export const CALL_LENGTH_CLASS = 'call';
 
 /** What is known of a request before its body is looked at. */
-export interface Arrival {
+export interface ArrivedRequest {
   readonly id: RequestId;
   readonly organisation: Organisation;
   readonly config: NumberedDeclarations;
@@ -46,7 +46,7 @@
 
 /** Throws an `OnyxError` when the request cannot be admitted. */
 export function admitCompletion(
-  arrival: Arrival,
+  arrival: ArrivedRequest,
   fields: CompletionFields,
   options: RequestOptions,
 ): RequestSpec {
@@ -54,12 +54,12 @@
   const {model, adapter} = findModel(declarations, fields.model);
   const promptTokens = estimateTokens(fields.prompt.bytes);
   if (promptTokens > model.maxPromptTokens) {
-    throw tooLong(promptTokens, model);
+    throw promptTooLong(promptTokens, model);
   }
   const lengthClass = findLengthClass(declarations, promptTokens);
   const scope = `${arrival.organisation.id}\n${model.id}\n${adapter}`;
   return {
-    ...common(arrival, options, lengthClass.defaultTimeLimitMs),
+    ...commonFields(arrival, options, lengthClass.defaultTimeLimitMs),
     kind: 'completion',
     pool: '',
     model: model.id,
@@ -77,14 +77,14 @@
 
 /** Throws an `OnyxError` when the call cannot be admitted. */
 export function admitCall(
-  arrival: Arrival,
+  arrival: ArrivedRequest,
   service: PlainService,
   call: CallHead,
   body: Body,
   options: RequestOptions,
 ): RequestSpec {
   return {
-    ...common(arrival, options, service.defaultTimeLimitMs),
+    ...commonFields(arrival, options, service.defaultTimeLimitMs),
     kind: 'call',
     pool: service.pool,
     model: '',
@@ -113,8 +113,8 @@
   return found;
 }
 
-function common(
-  arrival: Arrival,
+function commonFields(
+  arrival: ArrivedRequest,
   options: RequestOptions,
   defaultTimeLimitMs: number,
 ) {
@@ -142,25 +142,25 @@
 /** `MODEL` or `MODEL:ADAPTER`; none for the default model. */
 function findModel(
   declarations: Declarations,
-  wanted: string | undefined,
+  requested: string | undefined,
 ): ModelChoice {
   const {models} = declarations;
-  const whole =
-    wanted === undefined
+  const exact =
+    requested === undefined
       ? models.find(model => model.isDefault)
-      : models.find(model => model.id === wanted);
-  if (whole !== undefined) return {model: whole, adapter: ''};
-  const colon = (wanted ?? '').lastIndexOf(':');
-  const id = (wanted ?? '').slice(0, Math.max(0, colon));
-  const adapter = (wanted ?? '').slice(colon + 1);
+      : models.find(model => model.id === requested);
+  if (exact !== undefined) return {model: exact, adapter: ''};
+  const colon = (requested ?? '').lastIndexOf(':');
+  const id = (requested ?? '').slice(0, Math.max(0, colon));
+  const adapter = (requested ?? '').slice(colon + 1);
   const base = models.find(
     model => model.id === id && model.adapters.includes(adapter),
   );
   if (base !== undefined) return {model: base, adapter};
   throw badRequest(
-    wanted === undefined
+    requested === undefined
       ? 'no model was named and none is the default'
-      : `no model "${wanted}"`,
+      : `no model "${requested}"`,
     'validate',
     'unknown-model',
   );
@@ -196,7 +196,7 @@
   });
 }
 
-function tooLong(promptTokens: number, model: Model): OnyxError {
+function promptTooLong(promptTokens: number, model: Model): OnyxError {
   return badRequest(
     `the prompt has some ${promptTokens} tokens; ` +
       `"${model.id}" takes ${model.maxPromptTokens}`,
--- a/src/entry/admission/preconditions.ts
+++ b/src/entry/admission/preconditions.ts
@@ -11,11 +11,11 @@
 type Ctx = ServiceContext<'requests'>;
 
 /** Takes a place; `release` must follow when the request is over. */
-export function acquirePlace(
+export function acquireLimit(
   ctx: Ctx,
   spec: RequestSpec,
 ): Promise<Either<OnyxError, void>> {
-  return asked(
+  return rejectionAsLeft(
     ctx.ask('limits', (reply: (value: Either<OnyxError, void>) => void) => ({
       kind: 'acquire',
       organisation: spec.organisation,
@@ -26,7 +26,7 @@
 }
 
 /** A request that may be repeated, or has no key, is always ours. */
-export function claimKey(
+export function claimIdempotencyKey(
   ctx: Ctx,
   spec: RequestSpec,
 ): Promise<Either<OnyxError, ClaimOutcome>> {
@@ -34,7 +34,7 @@
   if (spec.repeatable || key === undefined) {
     return Promise.resolve(Right({kind: 'ours'}));
   }
-  return asked(
+  return rejectionAsLeft(
     ctx.ask(
       'claims',
       (reply: (value: Either<OnyxError, ClaimOutcome>) => void) => ({
@@ -49,7 +49,7 @@
 }
 
 /** `ask` rejects when the other service has ended. */
-async function asked<T>(
+async function rejectionAsLeft<T>(
   answer: Promise<Either<OnyxError, T>>,
 ): Promise<Either<OnyxError, T>> {
   try {
--- a/src/entry/admission/prefix_hashes.ts
+++ b/src/entry/admission/prefix_hashes.ts
@@ -20,7 +20,10 @@
  * in it, no organisation learns from a cache hit what another has sent.
  */
 export function prefixHashes(body: Body, scope: string): readonly string[] {
-  const leading = leadingBytes(body, PREFIX_BLOCK_BYTES * MAX_PREFIX_BLOCKS);
+  const leading = copyLeadingBytes(
+    body,
+    PREFIX_BLOCK_BYTES * MAX_PREFIX_BLOCKS,
+  );
   const hashes: string[] = [];
   let chain = chainHash(0n, encoder.encode(scope));
   for (
@@ -34,8 +37,8 @@
   return hashes;
 }
 
-function leadingBytes(body: Body, most: number): Uint8Array {
-  const leading = new Uint8Array(Math.min(most, body.bytes));
+function copyLeadingBytes(body: Body, maxBytes: number): Uint8Array {
+  const leading = new Uint8Array(Math.min(maxBytes, body.bytes));
   let used = 0;
   for (const piece of body.pieces) {
     if (used === leading.length) break;
--- a/src/entry/claims/claim_error.ts
+++ b/src/entry/claims/claim_error.ts
@@ -4,7 +4,7 @@
 import type {Random} from '../../types/runtime.js';
 
 /** `retryAfterMs` is spread up to twice, lest all come back at one moment. */
-export function claimRefused(
+export function createClaimError(
   requestId: RequestId,
   retryAfterMs: number,
   random: Random,
--- a/src/entry/claims/claim_record.ts
+++ b/src/entry/claims/claim_record.ts
@@ -9,9 +9,9 @@
 import {z} from 'zod';
 import type {OrganisationId, RequestId} from '../../types/ids.js';
 
-const PREFIX = 'claims';
+const KEY_PREFIX = 'claims';
 /** Hex digits of the hash that name the shard: 256 shards. */
-const SHARD_DIGITS = 2;
+const SHARD_HASH_DIGITS = 2;
 
 export interface ClaimRecord {
   readonly requestId: RequestId;
@@ -34,14 +34,17 @@
 }
 
 /** Shard of a hash, as hex digits. */
-export function claimShard(hash: string): string {
-  return hash.slice(0, SHARD_DIGITS);
+export function claimShardOf(hash: string): string {
+  return hash.slice(0, SHARD_HASH_DIGITS);
 }
 
 /** Object key of the record: `claims/<shard>/<hash>`. */
-export function claimKey(organisation: OrganisationId, key: string): string {
+export function claimObjectKey(
+  organisation: OrganisationId,
+  key: string,
+): string {
   const hash = claimHash(organisation, key);
-  return `${PREFIX}/${claimShard(hash)}/${hash}`;
+  return `${KEY_PREFIX}/${claimShardOf(hash)}/${hash}`;
 }
 
 export function formatClaimRecord(record: ClaimRecord): string {
--- a/src/entry/claims/claim_shard.ts
+++ b/src/entry/claims/claim_shard.ts
@@ -13,21 +13,21 @@
   readonly requestId: RequestId;
   readonly nonce: string;
   /** Wall-clock time of the claim, in milliseconds; decides only expiry. */
-  readonly at: number;
+  readonly claimedAt: number;
 }
 
 export type ShardTable = ReadonlyMap<string, ShardClaim>;
 
 /** A claim that waits for the next update. */
-export interface WaitingClaim {
+export interface PendingClaim {
   readonly hash: string;
   readonly claim: ShardClaim;
   /** Nonces of refused claims of this process on the same key. */
-  readonly unresolved: readonly string[];
+  readonly unresolvedNonces: readonly string[];
 }
 
 /** What an update would hold, and what each claim would be told after it. */
-export interface ShardDecision {
+export interface ShardUpdate {
   readonly table: ShardTable;
   /** False when all that was asked is in the table already. */
   readonly changed: boolean;
@@ -43,7 +43,7 @@
     hash,
     it.requestId,
     it.nonce,
-    it.at,
+    it.claimedAt,
   ]);
   return JSON.stringify(rows);
 }
@@ -54,9 +54,9 @@
     const rows = tableSchema.parse(JSON.parse(value));
     return Just(
       new Map(
-        rows.map(([hash, requestId, nonce, at]) => [
+        rows.map(([hash, requestId, nonce, claimedAt]) => [
           hash,
-          {requestId, nonce, at},
+          {requestId, nonce, claimedAt},
         ]),
       ),
     );
@@ -65,30 +65,32 @@
   }
 }
 
-function isOurs(stored: ShardClaim, waiting: WaitingClaim): boolean {
+function isOwnClaim(stored: ShardClaim, pending: PendingClaim): boolean {
   // Our own update, whose answer was lost.
-  return stored.nonce === waiting.claim.nonce;
+  return stored.nonce === pending.claim.nonce;
 }
 
-function isFree(stored: ShardClaim | undefined, waiting: WaitingClaim) {
+function isClaimable(stored: ShardClaim | undefined, claim: PendingClaim) {
   // A claim of this process whose request was refused as not run is free for
   // one repeat; that puts its own nonce there, so a second finds it taken.
-  return stored === undefined || waiting.unresolved.includes(stored.nonce);
+  return stored === undefined || claim.unresolvedNonces.includes(stored.nonce);
 }
 
 /** Applies claims in order to a table; drops what was made before `expireAt`. */
-export function decideClaims(
+export function applyClaims(
   before: ShardTable,
-  waiting: readonly WaitingClaim[],
+  pending: readonly PendingClaim[],
   expireAt: number,
-): ShardDecision {
-  const kept = [...before].filter(([, claim]) => claim.at >= expireAt);
-  const table = new Map(kept);
+): ShardUpdate {
+  const unexpired = [...before].filter(
+    ([, claim]) => claim.claimedAt >= expireAt,
+  );
+  const table = new Map(unexpired);
   let changed = false;
-  const outcomes = waiting.map((it): ClaimOutcome => {
+  const outcomes = pending.map((it): ClaimOutcome => {
     const stored = table.get(it.hash);
-    if (stored !== undefined && isOurs(stored, it)) return {kind: 'ours'};
-    if (stored !== undefined && !isFree(stored, it)) {
+    if (stored !== undefined && isOwnClaim(stored, it)) return {kind: 'ours'};
+    if (stored !== undefined && !isClaimable(stored, it)) {
       return {kind: 'taken', requestId: stored.requestId};
     }
     table.set(it.hash, it.claim);
--- a/src/entry/claims/claims_batched.ts
+++ b/src/entry/claims/claims_batched.ts
@@ -12,58 +12,54 @@
 import type {ObjectStore} from '../../types/platform.js';
 import type {ClaimOutcome, ClaimsMessage} from '../../types/services.js';
 import {claimHash} from './claim_record.js';
-import {claimRefused} from './claim_error.js';
-import {
-  decideClaims,
-  formatShardTable,
-  parseShardTable,
-} from './claim_shard.js';
-import type {ShardTable, WaitingClaim} from './claim_shard.js';
+import {createClaimError} from './claim_error.js';
+import {applyClaims, formatShardTable, parseShardTable} from './claim_shard.js';
+import type {ShardTable, PendingClaim} from './claim_shard.js';
 import {CLAIMS_METRIC} from './claims_per_key.js';
 import {createRecentMap} from '../../utils/recent_map.js';
 
-const PREFIX = 'claims-batched';
+const KEY_PREFIX = 'claims-batched';
 const NONCE_BYTES = 12;
-const HASH_DIGITS = 32;
-const SHARD_DIGITS = 8;
-const REMEMBERED = 10_000;
+const KEY_HASH_DIGITS = 32;
+const SHARD_HASH_DIGITS = 8;
+const MAX_UNRESOLVED_KEYS = 10_000;
 const DAY_MS = 86_400_000;
 /** Added to the time a key is remembered: wall clocks differ. */
 const CLOCK_SKEW_MS = 3_600_000;
-const FIRST_PAUSE_MS = 5;
+const RETRY_BACKOFF_MS = 5;
 
 export interface BatchedClaimsOptions {
   readonly store: ObjectStore;
   /** Wall clock, in milliseconds; decides only when a key is forgotten. */
   readonly wallNow: () => number;
   /** Objects over which claims are spread. @default 16 */
-  readonly shards?: number;
+  readonly shardCount?: number;
   /** How long a shard collects claims before it writes. @default 25 */
-  readonly batchMs?: number;
+  readonly batchWindowMs?: number;
   /**
    * How long a key is remembered at least, in milliseconds, while the hosts'
    * wall clocks differ by less than an hour. @default 86400000
    */
-  readonly rememberMs?: number;
+  readonly minRetentionMs?: number;
   /** Tries of one update. @default 8 */
-  readonly tries?: number;
+  readonly maxAttempts?: number;
   /** Told to callers that were refused, in milliseconds. @default 1000 */
   readonly retryAfterMs?: number;
 }
 
-type Outcome = Either<OnyxError, ClaimOutcome>;
+type ClaimResult = Either<OnyxError, ClaimOutcome>;
 
-interface Queued extends WaitingClaim {
+interface QueuedClaim extends PendingClaim {
   readonly message: ClaimsMessage;
 }
 
-interface Shard {
+interface ShardState {
   readonly key: string;
-  queue: Queued[];
+  queue: QueuedClaim[];
   /** Newest state known to be stored; version 0 before the first. */
   version: number;
   table: ShardTable;
-  busy: boolean;
+  isFlushing: boolean;
 }
 
 export function createBatchedClaimsService(
@@ -72,30 +68,37 @@
   return {
     name: 'claims',
     start: ctx => {
-      const enqueue = createBatches(options, ctx);
+      const enqueue = createBatcher(options, ctx);
       void ctx.mailbox.observe(enqueue);
     },
   };
 }
 
-function createBatches(
+function createBatcher(
   options: BatchedClaimsOptions,
   ctx: ServiceContext<'claims'>,
 ) {
-  const {store, wallNow, shards = 16, batchMs = 25, tries = 8} = options;
-  const {rememberMs = DAY_MS, retryAfterMs = 1_000} = options;
+  const {
+    store,
+    wallNow,
+    shardCount: shardCount = 16,
+    batchWindowMs: batchWindowMs = 25,
+    maxAttempts: maxAttempts = 8,
+  } = options;
+  const {minRetentionMs = DAY_MS, retryAfterMs = 1_000} = options;
   const {clock, random, metrics} = ctx;
-  const unresolved = createRecentMap<readonly string[]>(REMEMBERED);
-  const byIndex = new Map<number, Shard>();
+  const unresolvedNonces =
+    createRecentMap<readonly string[]>(MAX_UNRESOLVED_KEYS);
+  const shardsByIndex = new Map<number, ShardState>();
 
-  const shardOf = (hash: string): Shard => {
-    const index = parseInt(hash.slice(0, SHARD_DIGITS), 16) % shards;
-    const known = byIndex.get(index);
+  const shardOf = (hash: string): ShardState => {
+    const index = parseInt(hash.slice(0, SHARD_HASH_DIGITS), 16) % shardCount;
+    const known = shardsByIndex.get(index);
     if (known !== undefined) return known;
-    const key = `${PREFIX}/${shards}/${index}`;
+    const key = `${KEY_PREFIX}/${shardCount}/${index}`;
     const table = new Map();
-    const shard = {key, queue: [], version: 0, table, busy: false};
-    byIndex.set(index, shard);
+    const shard = {key, queue: [], version: 0, table, isFlushing: false};
+    shardsByIndex.set(index, shard);
     return shard;
   };
 
@@ -104,17 +107,17 @@
       clock.after(ms, resolve);
     });
 
-  const refusal = (message: ClaimsMessage): Outcome =>
-    Left(claimRefused(message.requestId, retryAfterMs, random));
+  const refuse = (message: ClaimsMessage): ClaimResult =>
+    Left(createClaimError(message.requestId, retryAfterMs, random));
 
-  const reply = (queued: Queued, outcome: Outcome) => {
+  const reply = (queued: QueuedClaim, outcome: ClaimResult) => {
     const kind = outcome.map(it => it.kind).orDefault('refused' as never);
     metrics.count(CLAIMS_METRIC, {outcome: kind});
     queued.message.reply(outcome);
   };
 
   /** Reads the shard; false when that did not show its newest state. */
-  const refresh = async (shard: Shard): Promise<boolean> => {
+  const refresh = async (shard: ShardState): Promise<boolean> => {
     const read = await store.get(shard.key, 'claim');
     const object = read.toMaybe().join().extract();
     // A stale read shows a version that is passed; what is known is newer.
@@ -127,7 +130,7 @@
     return true;
   };
 
-  const save = async (shard: Shard, table: ShardTable) => {
+  const save = async (shard: ShardState, table: ShardTable) => {
     const value = formatShardTable(table);
     const written =
       shard.version === 0
@@ -140,17 +143,20 @@
   };
 
   /** Undefined when the store gave no answer to go by. */
-  const settle = async (shard: Shard, batch: readonly Queued[]) => {
+  const writeBatch = async (
+    shard: ShardState,
+    batch: readonly QueuedClaim[],
+  ) => {
     let isFresh = false;
-    for (let count = 0; count < tries; count++) {
+    for (let count = 0; count < maxAttempts; count++) {
       // After a conflict or a lost answer the stored table tells; claims of
       // ours that are in it are known by their nonces.
       if (count > 0) {
-        await sleep(FIRST_PAUSE_MS * 2 ** Math.min(count, 5) * random.next());
+        await sleep(RETRY_BACKOFF_MS * 2 ** Math.min(count, 5) * random.next());
         isFresh = await refresh(shard);
       }
-      const expireAt = wallNow() - rememberMs - CLOCK_SKEW_MS;
-      const decision = decideClaims(shard.table, batch, expireAt);
+      const expireAt = wallNow() - minRetentionMs - CLOCK_SKEW_MS;
+      const decision = applyClaims(shard.table, batch, expireAt);
       if (decision.changed) {
         if (await save(shard, decision.table)) return decision.outcomes;
       } else if (isFresh) {
@@ -162,44 +168,45 @@
     return undefined;
   };
 
-  const flush = async (shard: Shard) => {
+  const flush = async (shard: ShardState) => {
     const batch = shard.queue;
     shard.queue = [];
-    const outcomes = await settle(shard, batch);
+    const outcomes = await writeBatch(shard, batch);
     batch.forEach((queued, index) => {
       const {hash, claim} = queued;
       if (outcomes !== undefined) {
-        unresolved.delete(hash);
+        unresolvedNonces.delete(hash);
         reply(queued, Right(outcomes[index]));
         return;
       }
-      const nonces = unresolved.get(hash) ?? [];
-      unresolved.set(hash, [...nonces, claim.nonce]);
-      reply(queued, refusal(queued.message));
+      const nonces = unresolvedNonces.get(hash) ?? [];
+      unresolvedNonces.set(hash, [...nonces, claim.nonce]);
+      reply(queued, refuse(queued.message));
     });
   };
 
-  const run = async (shard: Shard) => {
-    shard.busy = true;
+  const flushUntilEmpty = async (shard: ShardState) => {
+    shard.isFlushing = true;
     while (shard.queue.length > 0) {
-      await sleep(batchMs);
+      await sleep(batchWindowMs);
       // A repeat may have been queued before its first claim was refused.
       shard.queue = shard.queue.map(queued => ({
         ...queued,
-        unresolved: unresolved.get(queued.hash) ?? [],
+        unresolvedNonces: unresolvedNonces.get(queued.hash) ?? [],
       }));
       await flush(shard);
     }
-    shard.busy = false;
+    shard.isFlushing = false;
   };
 
   return (message: ClaimsMessage) => {
     const {organisation, key, requestId} = message;
-    const hash = claimHash(organisation, key).slice(0, HASH_DIGITS);
+    const hash = claimHash(organisation, key).slice(0, KEY_HASH_DIGITS);
     const nonce = random.hex(NONCE_BYTES);
-    const claim = {requestId, nonce, at: wallNow()};
+    const claim = {requestId, nonce, claimedAt: wallNow()};
     const shard = shardOf(hash);
-    shard.queue.push({hash, claim, unresolved: [], message});
-    if (!shard.busy) run(shard).catch(cause => ctx.fail(cause));
+    shard.queue.push({hash, claim, unresolvedNonces: [], message});
+    if (!shard.isFlushing)
+      flushUntilEmpty(shard).catch(cause => ctx.fail(cause));
   };
 }
--- a/src/entry/claims/claims_per_key.ts
+++ b/src/entry/claims/claims_per_key.ts
@@ -11,45 +11,49 @@
 import type {ObjectStore, StoredObject} from '../../types/platform.js';
 import type {ClaimOutcome, ClaimsMessage} from '../../types/services.js';
 import {PLATFORM_EVENTS} from '../../utils/events.js';
-import {claimKey, formatClaimRecord, parseClaimRecord} from './claim_record.js';
+import {
+  claimObjectKey,
+  formatClaimRecord,
+  parseClaimRecord,
+} from './claim_record.js';
 import type {ClaimRecord} from './claim_record.js';
-import {claimRefused} from './claim_error.js';
+import {createClaimError} from './claim_error.js';
 import {createRecentMap} from '../../utils/recent_map.js';
 
 const NONCE_BYTES = 12;
-const DEFAULT_TRIES = 3;
-const DEFAULT_LIMIT_MS = 2_000;
+const DEFAULT_MAX_ATTEMPTS = 3;
+const DEFAULT_TIME_LIMIT_MS = 2_000;
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 /** Pause before the first repeat of a failed try; doubles each time. */
-const FIRST_PAUSE_MS = 20;
+const RETRY_BACKOFF_MS = 20;
 /** Claims of unknown effect, and claims won, that a process remembers. */
-const REMEMBERED = 10_000;
+const MAX_REMEMBERED_KEYS = 10_000;
 
 export const CLAIMS_METRIC = 'onyxloft_claims_total';
 
 export interface ClaimsOptions {
   readonly store: ObjectStore;
   /** Tries of one claim, each a create and at need a read. @default 3 */
-  readonly tries?: number;
+  readonly maxAttempts?: number;
   /** No new try after this long, in milliseconds. @default 2000 */
-  readonly limitMs?: number;
+  readonly timeLimitMs?: number;
   /** Told to callers that were refused, in milliseconds. @default 1000 */
   readonly retryAfterMs?: number;
 }
 
 /** Outcome of one try: an answer for the caller, or none yet. */
-type Verdict =
+type AttemptResult =
   | {readonly kind: 'settled'; readonly outcome: ClaimOutcome}
   /** Not there, as far as can be told. */
   | {readonly kind: 'open'}
   /** The store does not answer; nothing was learned. */
   | {readonly kind: 'no-answer'};
 
-const OURS: Verdict = {kind: 'settled', outcome: {kind: 'ours'}};
-const OPEN: Verdict = {kind: 'open'};
-const NO_ANSWER: Verdict = {kind: 'no-answer'};
+const OURS: AttemptResult = {kind: 'settled', outcome: {kind: 'ours'}};
+const UNCLAIMED: AttemptResult = {kind: 'open'};
+const NO_ANSWER: AttemptResult = {kind: 'no-answer'};
 
-type Outcome = Either<OnyxError, ClaimOutcome>;
+type ClaimResult = Either<OnyxError, ClaimOutcome>;
 
 export function createClaimsService(
   options: ClaimsOptions,
@@ -67,16 +71,16 @@
 
 /** Claims one key at a time; different keys at once. */
 function createClaimer(options: ClaimsOptions, ctx: ServiceContext<'claims'>) {
-  const {store, tries = DEFAULT_TRIES} = options;
-  const {limitMs = DEFAULT_LIMIT_MS} = options;
+  const {store, maxAttempts = DEFAULT_MAX_ATTEMPTS} = options;
+  const {timeLimitMs = DEFAULT_TIME_LIMIT_MS} = options;
   const {retryAfterMs = DEFAULT_RETRY_AFTER_MS} = options;
   const {clock, random, log, metrics} = ctx;
-  const turns = new Map<string, Promise<unknown>>();
+  const pendingByKey = new Map<string, Promise<unknown>>();
   // Nonces of claims that were refused while their effect was unknown. Such a
   // claim may stand in the store though its request never ran, and would burn
   // the key; a repeat in this process knows it by the nonce and takes it over.
-  const unresolved = createRecentMap<ClaimRecord>(REMEMBERED);
-  const won = createRecentMap<string>(REMEMBERED);
+  const unresolvedByKey = createRecentMap<ClaimRecord>(MAX_REMEMBERED_KEYS);
+  const ownedRequestByKey = createRecentMap<string>(MAX_REMEMBERED_KEYS);
 
   const sleep = (ms: number) =>
     new Promise<void>(resolve => {
@@ -84,107 +88,121 @@
     });
 
   /** Waits for earlier claims of the same key in this process. */
-  const inTurn = async <T>(key: string, job: () => Promise<T>): Promise<T> => {
+  const runExclusive = async <T>(
+    key: string,
+    job: () => Promise<T>,
+  ): Promise<T> => {
     // Two repeats at once would both know an unresolved claim by its nonce,
     // and both would run. One after the other, the second finds it taken.
-    const turn = (turns.get(key) ?? Promise.resolve()).then(job, job);
-    turns.set(key, turn);
+    const result = (pendingByKey.get(key) ?? Promise.resolve()).then(job, job);
+    pendingByKey.set(key, result);
     try {
-      return await turn;
+      return await result;
     } finally {
-      if (turns.get(key) === turn) turns.delete(key);
+      if (pendingByKey.get(key) === result) pendingByKey.delete(key);
     }
   };
 
-  const create = async (key: string, mine: ClaimRecord): Promise<Verdict> => {
-    const made = await store.create(key, formatClaimRecord(mine), 'claim');
-    if (made.isRight()) return OURS;
-    const {kind, effect} = made.swap().unsafeCoerce();
+  const attemptClaim = async (
+    key: string,
+    mine: ClaimRecord,
+  ): Promise<AttemptResult> => {
+    const created = await store.create(key, formatClaimRecord(mine), 'claim');
+    if (created.isRight()) return OURS;
+    const {kind, effect} = created.swap().unsafeCoerce();
     if (kind === 'unavailable' && effect === 'none') return NO_ANSWER;
-    if (kind === 'unavailable') unresolved.set(key, mine);
+    if (kind === 'unavailable') unresolvedByKey.set(key, mine);
     // A conflict may be with our own earlier try, whose answer was lost; and
     // after a lost answer the record may be there or not. What is stored tells.
     return readBack(key, mine);
   };
 
-  const readBack = async (key: string, mine: ClaimRecord): Promise<Verdict> => {
+  const readBack = async (
+    key: string,
+    mine: ClaimRecord,
+  ): Promise<AttemptResult> => {
     const read = await store.get(key, 'claim');
     if (read.isLeft()) return NO_ANSWER;
     const object = read.unsafeCoerce().extract();
-    if (object === undefined) return OPEN;
+    if (object === undefined) return UNCLAIMED;
     const theirs = parseClaimRecord(object.value).extract();
-    if (theirs?.nonce === mine.nonce) return adopt(object, theirs, mine);
+    if (theirs?.nonce === mine.nonce)
+      return takeOverOwnClaim(object, theirs, mine);
     const requestId = theirs?.requestId ?? '';
     return {kind: 'settled', outcome: {kind: 'taken', requestId}};
   };
 
   /** Puts our request's id on a claim that an earlier request of ours made. */
-  const adopt = async (
+  const takeOverOwnClaim = async (
     object: StoredObject,
     stored: ClaimRecord,
     mine: ClaimRecord,
-  ): Promise<Verdict> => {
+  ): Promise<AttemptResult> => {
     if (stored.requestId === mine.requestId) return OURS;
     const value = formatClaimRecord(mine);
     const {key, version} = object;
     const written = await store.update(key, value, version, 'claim');
-    return written.isRight() ? OURS : OPEN;
+    return written.isRight() ? OURS : UNCLAIMED;
   };
 
-  const settle = async (
+  const attemptUntilSettled = async (
     key: string,
     mine: ClaimRecord,
   ): Promise<ClaimOutcome | undefined> => {
-    const endAt = clock.now() + limitMs;
-    for (let count = 0; count < tries && clock.now() < endAt; count++) {
+    const endAt = clock.now() + timeLimitMs;
+    for (let count = 0; count < maxAttempts && clock.now() < endAt; count++) {
       if (count > 0) {
-        const pauseMs = FIRST_PAUSE_MS * 2 ** (count - 1);
+        const pauseMs = RETRY_BACKOFF_MS * 2 ** (count - 1);
         await sleep(pauseMs * (0.5 + random.next()));
       }
-      const verdict = await create(key, mine);
-      if (verdict.kind === 'settled') return verdict.outcome;
+      const result = await attemptClaim(key, mine);
+      if (result.kind === 'settled') return result.outcome;
     }
     return undefined;
   };
 
-  const refuse = (message: ClaimsMessage, key: string): Outcome => {
-    if (unresolved.get(key) !== undefined) {
+  const refuse = (message: ClaimsMessage, key: string): ClaimResult => {
+    if (unresolvedByKey.get(key) !== undefined) {
       log(PLATFORM_EVENTS.claimUnknown, {
         requestId: message.requestId,
         organisation: message.organisation,
         key,
       });
     }
-    return Left(claimRefused(message.requestId, retryAfterMs, random));
+    return Left(createClaimError(message.requestId, retryAfterMs, random));
   };
 
-  const noteWon = (key: string, message: ClaimsMessage) => {
-    const before = won.get(key) ?? message.requestId;
+  const recordClaimed = (key: string, message: ClaimsMessage) => {
+    const before = ownedRequestByKey.get(key) ?? message.requestId;
     ctx.invariant(before === message.requestId, 'claimed-once', {
       key,
       requestId: message.requestId,
       before,
     });
-    won.set(key, message.requestId);
+    ownedRequestByKey.set(key, message.requestId);
   };
 
   const claim = async (
     key: string,
     message: ClaimsMessage,
-  ): Promise<Outcome> => {
+  ): Promise<ClaimResult> => {
     const {organisation, requestId} = message;
-    const nonce = unresolved.get(key)?.nonce ?? random.hex(NONCE_BYTES);
-    const outcome = await settle(key, {requestId, organisation, nonce});
+    const nonce = unresolvedByKey.get(key)?.nonce ?? random.hex(NONCE_BYTES);
+    const outcome = await attemptUntilSettled(key, {
+      requestId,
+      organisation,
+      nonce,
+    });
     const kind = outcome?.kind ?? 'refused';
     metrics.count(CLAIMS_METRIC, {outcome: kind});
     if (outcome === undefined) return refuse(message, key);
-    unresolved.delete(key);
-    if (outcome.kind === 'ours') noteWon(key, message);
+    unresolvedByKey.delete(key);
+    if (outcome.kind === 'ours') recordClaimed(key, message);
     return Right(outcome);
   };
 
-  return (message: ClaimsMessage): Promise<Outcome> => {
-    const key = claimKey(message.organisation, message.key);
-    return inTurn(key, () => claim(key, message));
+  return (message: ClaimsMessage): Promise<ClaimResult> => {
+    const key = claimObjectKey(message.organisation, message.key);
+    return runExclusive(key, () => claim(key, message));
   };
 }
--- a/src/entry/entry_peers.ts
+++ b/src/entry/entry_peers.ts
@@ -27,7 +27,7 @@
   return {
     name: 'entryPeers',
     start: async ctx => {
-      const handlers = handlersOf(ctx);
+      const handlers = createPeerHandlers(ctx);
       const listener: Listener = await options.transport.listen(
         options.address,
         handlers,
@@ -41,7 +41,7 @@
   };
 }
 
-function handlersOf(ctx: ServiceContext<'entryPeers'>): PeerHandlers {
+function createPeerHandlers(ctx: ServiceContext<'entryPeers'>): PeerHandlers {
   return {
     entryHeartbeat: req =>
       ctx.ask('membership', (reply: (res: EntryHeartbeatRes) => void) => ({
@@ -71,12 +71,12 @@
           reply,
         }),
       );
-      return locateResOf(state);
+      return toLocateRes(state);
     },
   };
 }
 
-function locateResOf(state: RequestState): LocateRes {
+function toLocateRes(state: RequestState): LocateRes {
   return {
     state: state.state,
     dispatchId: state.dispatchId,
--- a/src/entry/front/callers_exchange.ts
+++ b/src/entry/front/callers_exchange.ts
@@ -10,8 +10,8 @@
 import type {LogFields} from '../../types/runtime.js';
 import type {RequestListener} from '../../types/services.js';
 import {FRONT_EVENTS} from '../../utils/events.js';
-import {createLink} from '../run/caller_link.js';
-import type {LinkTiming, Outcome} from '../run/caller_link.js';
+import {createCallerLink} from '../run/caller_link.js';
+import type {CallerLinkTiming, CallerOutcome} from '../run/caller_link.js';
 import type {ResponseWriter} from './response_writers.js';
 import type {Authenticator} from './authenticator.js';
 import type {CallersState, RequestSlot} from './callers_state.js';
@@ -26,7 +26,7 @@
   readonly authenticator: Authenticator;
   readonly bodyReader: BodyReader;
   readonly firstTokenMetrics: FirstTokenMetrics;
-  readonly timing: LinkTiming & {readonly lookupTimeoutMs: number};
+  readonly timing: CallerLinkTiming & {readonly lookupTimeoutMs: number};
   /**
    * Largest part of a response that may wait in memory for a slow caller. The
    * connection is closed when more is waiting.
@@ -104,12 +104,12 @@
   const {organisation, slot} = options;
   let firstTokenMs = 0;
 
-  const link = createLink(ctx, {
+  const link = createCallerLink(ctx, {
     ...options,
     id,
     res,
     timing: deps.timing,
-    maxAnswerBytes: deps.maxUnsentResponseBytes,
+    maxUnsentResponseBytes: deps.maxUnsentResponseBytes,
     cancelRun: () => ctx.send('requests', {kind: 'cancel', id, organisation}),
     onFirstChunk: () => {
       firstTokenMs = ctx.clock.now() - arrivedAt;
@@ -158,7 +158,11 @@
   });
 }
 
-function countOutcome(deps: CallersDeps, outcome: Outcome, error?: OnyxError) {
+function countOutcome(
+  deps: CallersDeps,
+  outcome: CallerOutcome,
+  error?: OnyxError,
+) {
   const {metrics} = deps.ctx;
   metrics.count('onyxloft_requests_total', {outcome});
   if (error === undefined || outcome !== 'refused') return;
--- a/src/entry/front/callers_state.ts
+++ b/src/entry/front/callers_state.ts
@@ -7,7 +7,7 @@
 import {OnyxError} from '../../types/errors.js';
 import type {RequestId} from '../../types/ids.js';
 import type {MembershipView} from '../../types/services.js';
-import type {Link} from '../run/caller_link.js';
+import type {CallerLink} from '../run/caller_link.js';
 
 /**
  * `Retry-After` of a request that is refused because the entry is full,
@@ -52,10 +52,10 @@
    * Throws an `OnyxError` when the entry is full.
    */
   reserveResumeSlot(): RequestSlot;
-  link(id: RequestId): Link | undefined;
-  addLink(id: RequestId, link: Link): void;
+  link(id: RequestId): CallerLink | undefined;
+  addLink(id: RequestId, link: CallerLink): void;
   /** Does nothing if another link has replaced this one. */
-  removeLink(id: RequestId, link: Link): void;
+  removeLink(id: RequestId, link: CallerLink): void;
   /** Refuses new requests from now on; calls `done` when none is open. */
   drain(done: () => void): void;
   /** Number of slots that are reserved. */
@@ -66,7 +66,7 @@
 
 /** Creates the state without a configuration or membership. */
 export function createCallersState(capacity: CallersCapacity): CallersState {
-  const links = new Map<RequestId, Link>();
+  const links = new Map<RequestId, CallerLink>();
   let newestConfig: NumberedDeclarations | undefined;
   let membership: MembershipView | undefined;
   let draining = false;
--- a/src/entry/front/existing_request_routes.ts
+++ b/src/entry/front/existing_request_routes.ts
@@ -15,7 +15,7 @@
 import type {ResponseWriter, ResumePoint} from './response_writers.js';
 import {withLookupTimeout, attachToRequest} from './callers_exchange.js';
 import type {Exchange, CallersDeps} from './callers_exchange.js';
-import {badRequest, noSuchRequest} from '../entry_errors.js';
+import {badRequest, requestNotFound} from '../entry_errors.js';
 import {sendJson} from './http_errors.js';
 
 const MS_PER_SEC = 1000;
@@ -57,7 +57,7 @@
       reply,
     })),
   );
-  if (!found) throw noSuchRequest();
+  if (!found) throw requestNotFound();
   sendJson(res, 200, {id, cancelled: true});
 }
 
@@ -76,7 +76,7 @@
  * is never looked up.
  */
 function assertValidId(id: RequestId): void {
-  if (!REQUEST_ID.test(id)) throw noSuchRequest();
+  if (!REQUEST_ID.test(id)) throw requestNotFound();
 }
 
 async function findState(
@@ -94,7 +94,7 @@
       reply,
     })),
   );
-  if (state.state === 'none') throw noSuchRequest();
+  if (state.state === 'none') throw requestNotFound();
   return state;
 }
 
--- a/src/entry/front/http_callers.ts
+++ b/src/entry/front/http_callers.ts
@@ -16,7 +16,7 @@
 import {cancelRequest, showRequest} from './existing_request_routes.js';
 import {createCallersState} from './callers_state.js';
 import {submitCall, submitCompletion} from './new_request_routes.js';
-import {asOnyxError, badRequest} from '../entry_errors.js';
+import {toOnyxError, badRequest} from '../entry_errors.js';
 import {followConfig} from '../../config/follow_config.js';
 import {followMembership} from '../../membership/follow_membership.js';
 import {createFirstTokenMetrics} from '../run/first_token_metrics.js';
@@ -242,7 +242,7 @@
   req.on('error', () => undefined);
   res.setHeader('X-Request-Id', id);
   route(deps, exchange, path, requestId !== undefined).catch(thrown => {
-    const error = asOnyxError(thrown, 'read');
+    const error = toOnyxError(thrown, 'read');
     if (error !== thrown) {
       const cause = thrown instanceof Error ? thrown.stack : String(thrown);
       ctx.log(FRONT_EVENTS.frontFailed, {requestId: id, cause});
--- a/src/entry/front/http_operators.ts
+++ b/src/entry/front/http_operators.ts
@@ -12,7 +12,7 @@
 import {FRONT_EVENTS} from '../../utils/events.js';
 import type {YieldLoop} from '../../utils/event_loop.js';
 import type {VerifyKey} from './authenticator.js';
-import {asOnyxError, badRequest} from '../entry_errors.js';
+import {toOnyxError, badRequest} from '../entry_errors.js';
 import {createBodyReader} from './http_body.js';
 import type {BodyReader} from './http_body.js';
 import {
@@ -183,7 +183,7 @@
   thrown: unknown,
 ): void {
   const {req, res, path} = exchange;
-  const error = asOnyxError(thrown, 'config');
+  const error = toOnyxError(thrown, 'config');
   if (error !== thrown) {
     const cause = thrown instanceof Error ? thrown.stack : String(thrown);
     ctx.log(FRONT_EVENTS.frontFailed, {requestId: '', cause});
--- a/src/entry/front/new_request_routes.ts
+++ b/src/entry/front/new_request_routes.ts
@@ -13,7 +13,7 @@
   admitCompletion,
   findService,
 } from '../admission/admission.js';
-import type {Arrival} from '../admission/admission.js';
+import type {ArrivedRequest} from '../admission/admission.js';
 import {
   createServiceResponseWriter,
   createEventStreamWriter,
@@ -107,7 +107,7 @@
 async function withSlot(
   deps: CallersDeps,
   exchange: Exchange,
-  handler: (arrival: Arrival, slot: RequestSlot) => Promise<void>,
+  handler: (arrival: ArrivedRequest, slot: RequestSlot) => Promise<void>,
 ): Promise<void> {
   const {req, id, arrivedAt} = exchange;
   const config = deps.state.config();
--- a/src/entry/groups/group_plan.ts
+++ b/src/entry/groups/group_plan.ts
@@ -9,12 +9,12 @@
  * Share of its members' memory that a group takes where it can. A group that
  * fills its members stops all short work on them for as long as it runs.
  */
-const GROUP_SHARE = 0.85;
+const TARGET_MEMORY_SHARE = 0.85;
 
 /** One engine of a group and its part. */
 export interface GroupPart {
   readonly ranked: RankedTarget;
-  readonly lead: boolean;
+  readonly isLead: boolean;
   readonly holdTokens: number;
 }
 
@@ -26,7 +26,7 @@
   | {readonly kind: 'too-large'; readonly haveTokens: number};
 
 /** Memory that the request takes: prompt and answer, in tokens. */
-export function memoryOf(spec: RequestSpec): number {
+export function requiredTokens(spec: RequestSpec): number {
   return spec.promptTokens + spec.maxTokens;
 }
 
@@ -34,20 +34,25 @@
   spec: RequestSpec,
   ranked: readonly RankedTarget[],
 ): GroupPlan {
-  const needed = memoryOf(spec);
+  const needed = requiredTokens(spec);
   const known = ranked.filter(one => capacityOf(one) > 0);
   // An engine that has not reported its memory may well take it alone.
-  const unknown = known.length < ranked.length || ranked.length === 0;
-  const fits = unknown || known.some(one => capacityOf(one) >= needed);
-  if (spec.kind === 'call' || fits) return {kind: 'single'};
-  const roomiest = [...known].sort(
+  const hasUnknown = known.length < ranked.length || ranked.length === 0;
+  const mayFitOne = hasUnknown || known.some(one => capacityOf(one) >= needed);
+  if (spec.kind === 'call' || mayFitOne) return {kind: 'single'};
+  const byFreeMemory = [...known].sort(
     (a, b) => freeOf(b) - freeOf(a) || capacityOf(b) - capacityOf(a),
   );
   // Engines that together leave room beside the group; where there are too few
   // of them, any that hold it.
-  const beside = fewest(roomiest, needed / GROUP_SHARE);
-  const holds = capacitySum(beside) >= needed / GROUP_SHARE;
-  const members = holds ? beside : fewest(roomiest, needed);
+  const withHeadroom = smallestGroup(
+    byFreeMemory,
+    needed / TARGET_MEMORY_SHARE,
+  );
+  const hasHeadroom = capacitySum(withHeadroom) >= needed / TARGET_MEMORY_SHARE;
+  const members = hasHeadroom
+    ? withHeadroom
+    : smallestGroup(byFreeMemory, needed);
   const haveTokens = capacitySum(members);
   if (haveTokens < needed) return {kind: 'too-large', haveTokens};
   return {kind: 'group', parts: partsOf(members, needed, haveTokens)};
@@ -57,29 +62,33 @@
  * The smallest size is found from capacities; the members are then the
  * roomiest of that size that suffice, so free memory decides between equals.
  */
-function fewest(
-  roomiest: readonly RankedTarget[],
+function smallestGroup(
+  byFreeMemory: readonly RankedTarget[],
   needed: number,
 ): readonly RankedTarget[] {
-  const largest = [...roomiest].sort((a, b) => capacityOf(b) - capacityOf(a));
+  const byCapacity = [...byFreeMemory].sort(
+    (a, b) => capacityOf(b) - capacityOf(a),
+  );
   let sum = 0;
-  const size = 1 + largest.findIndex(one => (sum += capacityOf(one)) >= needed);
-  if (size === 0) return largest;
-  const free = roomiest.slice(0, size);
-  const enough = free.reduce((all, one) => all + capacityOf(one), 0) >= needed;
-  return enough ? free : largest.slice(0, size);
+  const size =
+    1 + byCapacity.findIndex(one => (sum += capacityOf(one)) >= needed);
+  if (size === 0) return byCapacity;
+  const freest = byFreeMemory.slice(0, size);
+  const suffices =
+    freest.reduce((sum, one) => sum + capacityOf(one), 0) >= needed;
+  return suffices ? freest : byCapacity.slice(0, size);
 }
 
 function partsOf(
   members: readonly RankedTarget[],
   needed: number,
-  haveTokens: number,
+  totalCapacity: number,
 ): readonly GroupPart[] {
   return members
-    .map((ranked, at) => ({
+    .map((ranked, index) => ({
       ranked,
-      lead: at === 0,
-      holdTokens: Math.ceil((needed * capacityOf(ranked)) / haveTokens),
+      isLead: index === 0,
+      holdTokens: Math.ceil((needed * capacityOf(ranked)) / totalCapacity),
     }))
     .sort((a, b) => (addressOf(a.ranked) < addressOf(b.ranked) ? -1 : 1));
 }
--- a/src/entry/groups/group_reserve.ts
+++ b/src/entry/groups/group_reserve.ts
@@ -6,13 +6,13 @@
  */
 import type {ErrorDetails} from '../../types/errors.js';
 import type {RequestSpec} from '../../types/services.js';
-import {memoryOf, planGroup} from './group_plan.js';
+import {requiredTokens, planGroup} from './group_plan.js';
 import type {GroupPart, GroupPlan} from './group_plan.js';
 import {sendOffer, withdrawOffer} from '../routing/send_offer.js';
 import type {AcceptedOffer, OfferDeps} from '../routing/send_offer.js';
-import {isOver} from '../open_request.js';
+import {isFinished} from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
-import {RETRY_AFTER_MS, refusedBy} from '../routing/refusals.js';
+import {RETRY_AFTER_MS, refusalDetails} from '../routing/refusals.js';
 import type {Refusal} from '../routing/refusals.js';
 
 export interface ReservedPart {
@@ -20,13 +20,13 @@
   readonly offer: AcceptedOffer;
 }
 
-export type GroupOutcome =
+export type ReserveGroupResult =
   | {readonly kind: 'reserved'; readonly parts: readonly ReservedPart[]}
   | {readonly kind: 'none'; readonly details: ErrorDetails}
   | {readonly kind: 'over'};
 
 /** Longest pause between two tries to gather the group. */
-const LONGEST_PAUSE_MS = 2_000;
+const MAX_BACKOFF_MS = 2_000;
 
 /**
  * Tries until the group is whole or the time left is too short to run it.
@@ -37,57 +37,66 @@
   open: OpenRequest,
   spec: RequestSpec,
   rank: () => Parameters<typeof planGroup>[1],
-): Promise<GroupOutcome> {
+): Promise<ReserveGroupResult> {
   const startedAt = deps.clock.now();
   for (let tries = 0; ; tries++) {
     const ranked = rank();
     const plan = planGroup(spec, ranked);
     if (plan.kind !== 'group') {
-      return cannotGather(spec, plan, deps.router.someAway(spec));
+      return reservationFailure(
+        spec,
+        plan,
+        deps.router.hasUnavailableReplica(spec),
+      );
     }
-    deps.router.decidedGroup(spec, open.attempts + 1, plan.parts, ranked);
+    deps.router.recordGroupDecision(
+      spec,
+      open.lastAttempt + 1,
+      plan.parts,
+      ranked,
+    );
     const waitedMs = deps.clock.now() - startedAt;
-    const outcome = await tryOnce(deps, open, spec, plan.parts, waitedMs);
-    if (isOver(open)) {
-      if (outcome.kind === 'reserved') releaseParts(deps, outcome.parts);
+    const outcome = await reserveOnce(deps, open, spec, plan.parts, waitedMs);
+    if (isFinished(open)) {
+      if (outcome.kind === 'reserved') withdrawParts(deps, outcome.parts);
       return {kind: 'over'};
     }
     if (outcome.kind === 'reserved') return outcome;
     const neededMs = Math.min(
       ...plan.parts.map(part => part.ranked.predictedFirstTokenMs),
     );
-    const pauseMs = pauseOf(deps, tries);
+    const pauseMs = backoffMs(deps, tries);
     if (deps.clock.now() + pauseMs + neededMs >= spec.deadlineAt) {
       return outcome;
     }
     await new Promise<void>(resolve => deps.clock.after(pauseMs, resolve));
-    if (isOver(open)) return {kind: 'over'};
+    if (isFinished(open)) return {kind: 'over'};
   }
 }
 
-export function releaseParts(
+export function withdrawParts(
   deps: OfferDeps,
   parts: readonly ReservedPart[],
 ): void {
   for (const {offer} of parts) withdrawOffer(deps, offer);
 }
 
-async function tryOnce(
+async function reserveOnce(
   deps: OfferDeps,
   open: OpenRequest,
   spec: RequestSpec,
   parts: readonly GroupPart[],
   waitedMs: number,
-): Promise<Exclude<GroupOutcome, {kind: 'over'}>> {
+): Promise<Exclude<ReserveGroupResult, {kind: 'over'}>> {
   const reserved: ReservedPart[] = [];
-  const until = deps.clock.now() + deps.timing.groupHoldMs;
+  const reserveBy = deps.clock.now() + deps.timing.groupHoldMs;
   for (const part of parts) {
     const answer = await sendOffer(deps, open, spec, {
       candidate: part.ranked,
       incarnation: part.ranked.target.replica.incarnation,
       priority: agedPriority(spec, waitedMs),
       group: {
-        lead: part.lead,
+        lead: part.isLead,
         size: parts.length,
         holdTokens: part.holdTokens,
       },
@@ -95,10 +104,10 @@
     if (answer.kind === 'accepted') reserved.push({part, offer: answer});
     // Held memory is idle memory: a group that does not come together at once
     // gives it back and tries again later.
-    const late = deps.clock.now() > until;
-    if (answer.kind === 'refused' || late || isOver(open)) {
-      releaseParts(deps, reserved);
-      return {kind: 'none', details: refusedBy(refusalsOf(answer))};
+    const isLate = deps.clock.now() > reserveBy;
+    if (answer.kind === 'refused' || isLate || isFinished(open)) {
+      withdrawParts(deps, reserved);
+      return {kind: 'none', details: refusalDetails(refusalsOf(answer))};
     }
   }
   return {kind: 'reserved', parts: reserved};
@@ -115,27 +124,28 @@
 /** A group that waits grows more urgent, so that short work cannot starve it. */
 function agedPriority(spec: RequestSpec, waitedMs: number): number {
   const {ageingMs} = spec.config.declarations.policy;
-  const lifted = ageingMs > 0 ? Math.floor(waitedMs / ageingMs) : 0;
-  return Math.max(0, spec.priority - lifted);
+  const levels = ageingMs > 0 ? Math.floor(waitedMs / ageingMs) : 0;
+  return Math.max(0, spec.priority - levels);
 }
 
-function pauseOf(deps: OfferDeps, tries: number): number {
-  const grown = deps.timing.retryPauseMs * 2 ** Math.min(tries, 10);
-  return Math.min(LONGEST_PAUSE_MS, grown) * (0.5 + deps.random.next());
+function backoffMs(deps: OfferDeps, tries: number): number {
+  const exponentialMs = deps.timing.retryBackoffMs * 2 ** Math.min(tries, 10);
+  return Math.min(MAX_BACKOFF_MS, exponentialMs) * (0.5 + deps.random.next());
 }
 
-function cannotGather(
+function reservationFailure(
   spec: RequestSpec,
   plan: Exclude<GroupPlan, {kind: 'group'}>,
-  someAway: boolean,
-): GroupOutcome {
-  if (plan.kind === 'single') return {kind: 'none', details: refusedBy([])};
+  someUnavailable: boolean,
+): ReserveGroupResult {
+  if (plan.kind === 'single')
+    return {kind: 'none', details: refusalDetails([])};
   const message =
-    `needs memory for ${memoryOf(spec)} tokens; ` +
+    `needs memory for ${requiredTokens(spec)} tokens; ` +
     `the engines in reach have ${plan.haveTokens}`;
   return {
     kind: 'none',
-    details: someAway
+    details: someUnavailable
       ? {
           code: 'no-upstream',
           step: 'route',
--- a/src/entry/groups/group_run.ts
+++ b/src/entry/groups/group_run.ts
@@ -21,7 +21,7 @@
 ): Promise<AttemptOutcome> {
   const run = createGroupRun(deps, open, spec);
   for (const part of parts) run.own(part);
-  const outcome = await run.go(parts);
+  const outcome = await run.runLead(parts);
   for (const part of parts) run.disown(part);
   return outcome;
 }
@@ -29,35 +29,35 @@
 function createGroupRun(deps: OfferDeps, open: OpenRequest, spec: RequestSpec) {
   const members: Attempt[] = [];
   let lead: Attempt | undefined;
-  let lostMember: string | undefined;
+  let lostMemberId: string | undefined;
   /** A member's word that the caller ended the request at another entry. */
-  let cancelled: AttemptOutcome | undefined;
+  let cancelledOutcome: AttemptOutcome | undefined;
   let stopped = false;
 
-  const tell = (kind: 'own' | 'disown', {offer}: ReservedPart) =>
-    deps.tellMembership({
+  const reportOwnership = (kind: 'own' | 'disown', {offer}: ReservedPart) =>
+    deps.sendToMembership({
       kind,
       address: offer.ranked.target.replica.address,
       dispatchId: offer.dispatchId,
     });
 
-  const start = (
+  const startPart = (
     {part, offer}: ReservedPart,
-    answer = open.answer,
+    answerLog = open.answerLog,
     onStarted: () => void = () => undefined,
   ): Attempt => {
     const side = offer.ranked.target.replica.address;
-    const body = part.lead ? spec.body : {pieces: [], bytes: 0};
+    const body = part.isLead ? spec.body : {pieces: [], bytes: 0};
     return startAttempt(deps, {
       side,
       dispatchId: offer.dispatchId,
       incarnation: offer.incarnation,
       organisation: spec.organisation,
       go: {body, call: undefined, deadlineAt: spec.deadlineAt},
-      answer,
+      answerLog: answerLog,
       onStarted,
       onEvidence: (what, incarnation) =>
-        deps.tellMembership({
+        deps.sendToMembership({
           kind: 'evidence',
           address: side,
           what,
@@ -70,9 +70,9 @@
     for (const member of members) member.stop();
   };
 
-  const letGo = () => {
-    open.stopAttempt = undefined;
-    open.attemptRan = undefined;
+  const releaseMembers = () => {
+    open.stopCurrentAttempt = undefined;
+    open.currentAttemptRan = undefined;
     stopMembers();
   };
 
@@ -80,77 +80,81 @@
   const startMember = (reserved: ReservedPart): Promise<void> =>
     new Promise(resolve => {
       const {dispatchId} = reserved.offer;
-      const nothing = createAnswerLog(dispatchId, 0, deps.invariant);
-      const member = start(reserved, nothing, resolve);
+      const emptyLog = createAnswerLog(dispatchId, 0, deps.invariant);
+      const member = startPart(reserved, emptyLog, resolve);
       members.push(member);
       void member.outcome.then(outcome => {
         if (outcome.kind !== 'stopped') {
-          lostMember = dispatchId;
-          if (isCancelled(outcome)) cancelled = outcome;
+          lostMemberId = dispatchId;
+          if (isCancelled(outcome)) cancelledOutcome = outcome;
           lead?.abandon(`group member ${dispatchId} lost`);
         }
         resolve();
       });
     });
 
-  const holdAll = async (parts: readonly ReservedPart[]): Promise<boolean> => {
+  const startMembers = async (
+    parts: readonly ReservedPart[],
+  ): Promise<boolean> => {
     const holding = Promise.all(
-      parts.filter(one => !one.part.lead).map(startMember),
+      parts.filter(one => !one.part.isLead).map(startMember),
     ).then(() => true);
-    const late = new Promise<boolean>(resolve =>
+    const timeout = new Promise<boolean>(resolve =>
       deps.clock.after(deps.timing.groupHoldMs, () => resolve(false)),
     );
-    return (await Promise.race([holding, late])) && lostMember === undefined;
+    return (
+      (await Promise.race([holding, timeout])) && lostMemberId === undefined
+    );
   };
 
-  const go = async (
+  const runLead = async (
     parts: readonly ReservedPart[],
   ): Promise<AttemptOutcome> => {
-    const leading = parts.find(one => one.part.lead);
-    if (leading === undefined) return {kind: 'stopped'};
-    const {offer} = leading;
+    const leadPart = parts.find(one => one.part.isLead);
+    if (leadPart === undefined) return {kind: 'stopped'};
+    const {offer} = leadPart;
     open.side = offer.ranked.target.replica.address;
     open.dispatchId = offer.dispatchId;
-    open.stopAttempt = () => {
+    open.stopCurrentAttempt = () => {
       stopped = true;
       stopMembers();
       lead?.stop();
     };
     // The members hold no part of the prompt: until the lead's go is sent,
     // nothing has run.
-    open.attemptRan = () => lead?.ran() ?? 'no';
-    const held = await holdAll(parts);
+    open.currentAttemptRan = () => lead?.ran() ?? 'no';
+    const allHold = await startMembers(parts);
     if (stopped) return {kind: 'stopped'};
-    if (!held) {
-      letGo();
+    if (!allHold) {
+      releaseMembers();
       withdrawOffer(deps, offer);
       return (
-        cancelled ?? {
+        cancelledOutcome ?? {
           kind: 'lost',
           ran: 'no',
           reason: 'the group did not assemble',
         }
       );
     }
-    open.answer.placed({
+    open.answerLog.setPlacement({
       kind: 'placed',
       dispatchId: offer.dispatchId,
       side: open.side,
     });
-    lead = start(leading);
+    lead = startPart(leadPart);
     const outcome = await lead.outcome;
-    letGo();
+    releaseMembers();
     // Taken for a lost member, it would be run again for nobody.
-    return cancelled ?? outcome;
+    return cancelledOutcome ?? outcome;
   };
 
   return {
-    go,
-    own: (part: ReservedPart) => tell('own', part),
+    runLead,
+    own: (part: ReservedPart) => reportOwnership('own', part),
     disown: (part: ReservedPart) => {
-      tell('disown', part);
+      reportOwnership('disown', part);
       const {ranked, dispatchId} = part.offer;
-      deps.router.attemptOver(ranked.target.replica.address, dispatchId);
+      deps.router.endAssignment(ranked.target.replica.address, dispatchId);
     },
   };
 }
--- a/src/entry/open_request.ts
+++ b/src/entry/open_request.ts
@@ -14,7 +14,7 @@
 import type {AnswerLog, FinalEvent} from './run/answer_log.js';
 import type {AttemptOutcome} from './run/attempt.js';
 
-export interface RequestIdentity {
+export interface RequestSummary {
   readonly id: RequestId;
   readonly organisation: OrganisationId;
   readonly kind: WorkKind;
@@ -23,50 +23,50 @@
   readonly promptTokens: number;
 }
 
-export interface OpenRequest extends RequestIdentity {
-  readonly answer: AnswerLog;
+export interface OpenRequest extends RequestSummary {
+  readonly answerLog: AnswerLog;
   /** Side and dispatch of the newest attempt; empty before the first. */
   side: Address;
   dispatchId: DispatchId;
   /** Highest attempt number given out. */
-  attempts: number;
+  lastAttempt: number;
   /** What the attempts that are over let us say. */
   ran: Ran;
   /** Another entry took the run over: what is known here is out of date. */
   takenOver: boolean;
   /** Ends the attempt that runs now. */
-  stopAttempt: (() => void) | undefined;
+  stopCurrentAttempt: (() => void) | undefined;
   /** What the running attempt lets us say. */
-  attemptRan: (() => Ran) | undefined;
+  currentAttemptRan: (() => Ran) | undefined;
 }
 
 export function createOpenRequest(
-  identity: RequestIdentity,
-  answer: AnswerLog,
+  identity: RequestSummary,
+  answerLog: AnswerLog,
 ): OpenRequest {
   return {
     ...identity,
-    answer,
+    answerLog: answerLog,
     side: '',
     dispatchId: '',
-    attempts: 0,
+    lastAttempt: 0,
     ran: 'no',
     takenOver: false,
-    stopAttempt: undefined,
-    attemptRan: undefined,
+    stopCurrentAttempt: undefined,
+    currentAttemptRan: undefined,
   };
 }
 
 const RAN_ORDER: readonly Ran[] = ['no', 'unknown', 'yes'];
 
 /** The stronger claim of two: `yes` over `unknown` over `no`. */
-export function strongerRan(a: Ran, b: Ran): Ran {
+export function mergeRan(a: Ran, b: Ran): Ran {
   return RAN_ORDER.indexOf(a) >= RAN_ORDER.indexOf(b) ? a : b;
 }
 
 /** What may be said now about the whole request. */
-export function ranSoFar(open: OpenRequest): Ran {
-  return strongerRan(open.ran, open.attemptRan?.() ?? 'no');
+export function currentRan(open: OpenRequest): Ran {
+  return mergeRan(open.ran, open.currentAttemptRan?.() ?? 'no');
 }
 
 /** Whether the outcome is a side's word that another entry has the run. */
@@ -74,8 +74,8 @@
   return outcome.kind === 'failed' && outcome.failed.code === 'superseded';
 }
 
-export function isOver(open: OpenRequest): boolean {
-  return open.answer.final() !== undefined;
+export function isFinished(open: OpenRequest): boolean {
+  return open.answerLog.finalEvent() !== undefined;
 }
 
 /** The failure as the caller gets it, with id and `ran` filled in. */
@@ -88,7 +88,7 @@
     error: new OnyxError({
       ...details,
       requestId: open.id,
-      ran: details.ran ?? ranSoFar(open),
+      ran: details.ran ?? currentRan(open),
     }),
   };
 }
--- a/src/entry/requests.ts
+++ b/src/entry/requests.ts
@@ -21,18 +21,18 @@
 import type {RoutingPolicy} from '../policy/routing.js';
 import {REQUEST_EVENTS} from '../utils/events.js';
 import {modelName} from '../utils/model_name.js';
-import {acquirePlace, claimKey} from './admission/preconditions.js';
+import {acquireLimit, claimIdempotencyKey} from './admission/preconditions.js';
 import {createAnswerLog} from './run/answer_log.js';
 import type {FinalEvent} from './run/answer_log.js';
-import {cancelElsewhere} from './resume/cancel_at_sides.js';
-import {driveRequest} from './run/execute_request.js';
-import type {DriveDeps} from './run/execute_request.js';
+import {cancelAtSides} from './resume/cancel_at_sides.js';
+import {executeRequest} from './run/execute_request.js';
+import type {ExecuteDeps} from './run/execute_request.js';
 import {
   createOpenRequest,
   failedEvent,
-  isOver,
-  ranSoFar,
-  strongerRan,
+  isFinished,
+  currentRan,
+  mergeRan,
 } from './open_request.js';
 import type {OpenRequest} from './open_request.js';
 import {createRequestTable} from './request_table.js';
@@ -45,7 +45,7 @@
 type CancelMessage = Extract<RequestsMessage, {readonly kind: 'cancel'}>;
 
 /** A membership that was restarted has lost its subscribers. */
-const SUBSCRIBE_EVERY_MS = 5_000;
+const RESUBSCRIBE_INTERVAL_MS = 5_000;
 /** When to come back to another entry while this one drains. */
 const DRAIN_RETRY_AFTER_MS = 200;
 /** Prompt blocks are hashed by 1 KiB, some 256 tokens of text. */
@@ -74,12 +74,12 @@
   options: RequestsOptions,
 ): void {
   const timing = {...DEFAULT_REQUEST_TIMING, ...options.timing};
-  const table = createRequestTable(ctx.clock, timing.keepEndedMs);
+  const table = createRequestTable(ctx.clock, timing.endedRetentionMs);
   /** What to release when a request is over. */
-  const releases = new Map<OpenRequest, Array<() => void>>();
-  const drained: Array<() => void> = [];
+  const releaseCallbacks = new Map<OpenRequest, Array<() => void>>();
+  const drainReplies: Array<() => void> = [];
   /** Resumes whose run is still being looked for; not in the table yet. */
-  let locating = 0;
+  let resumesInProgress = 0;
   let draining = false;
   let view: MembershipView = {replicas: [], allSides: [], entries: []};
 
@@ -91,47 +91,55 @@
     prefixBlockTokens: options.prefixBlockTokens ?? DEFAULT_PREFIX_BLOCK_TOKENS,
   });
 
-  const isIdle = () => table.size() === 0 && locating === 0;
+  const isIdle = () => table.openCount() === 0 && resumesInProgress === 0;
 
-  const tellDrained = () => {
+  const notifyIfDrained = () => {
     if (!draining || !isIdle()) return;
-    for (const reply of drained.splice(0)) reply();
+    for (const reply of drainReplies.splice(0)) reply();
   };
 
   const finish = (open: OpenRequest, event: FinalEvent) => {
-    const first = open.answer.finish(event);
-    ctx.invariant(first, 'one-final-event', {requestId: open.id});
-    if (!first) return;
-    open.stopAttempt?.();
-    for (const release of releases.get(open) ?? []) release();
-    releases.delete(open);
-    table.end(open);
-    logEnd(ctx, open, event);
-    ctx.metrics.gauge('onyxloft_owned_requests', {}, table.size());
-    tellDrained();
+    const isFirst = open.answerLog.finish(event);
+    ctx.invariant(isFirst, 'one-final-event', {requestId: open.id});
+    if (!isFirst) return;
+    open.stopCurrentAttempt?.();
+    for (const release of releaseCallbacks.get(open) ?? []) release();
+    releaseCallbacks.delete(open);
+    table.markEnded(open);
+    logOutcome(ctx, open, event);
+    ctx.metrics.gauge('onyxloft_owned_requests', {}, table.openCount());
+    notifyIfDrained();
   };
 
-  const deps: DriveDeps = {
+  const deps: ExecuteDeps = {
     ...ctx,
     transport: options.transport,
     timing,
     node: options.node,
     router,
-    budget: createRetryBudget(),
-    tellMembership: message => ctx.send('membership', message),
+    retryBudget: createRetryBudget(),
+    sendToMembership: message => ctx.send('membership', message),
     finish,
   };
 
-  const open = (request: OpenRequest, release: readonly (() => void)[]) => {
+  const addRequest = (
+    request: OpenRequest,
+    release: readonly (() => void)[],
+  ) => {
     table.add(request);
-    releases.set(request, [...release]);
-    ctx.metrics.gauge('onyxloft_owned_requests', {}, table.size());
+    releaseCallbacks.set(request, [...release]);
+    ctx.metrics.gauge('onyxloft_owned_requests', {}, table.openCount());
   };
 
-  const resumer = createResumer({deps, table, open, view: () => view});
+  const resumer = createResumer({
+    deps,
+    table,
+    addRequest: addRequest,
+    view: () => view,
+  });
 
   const submit = (spec: RequestSpec, listener: RequestListener) => {
-    const answer = createAnswerLog(spec.id, 0, ctx.invariant);
+    const answerLog = createAnswerLog(spec.id, 0, ctx.invariant);
     const request = createOpenRequest(
       {
         id: spec.id,
@@ -140,11 +148,11 @@
         model: modelName(spec),
         promptTokens: spec.promptTokens,
       },
-      answer,
+      answerLog,
     );
-    answer.subscribe(0, listener, spec.streamed);
+    answerLog.subscribe(0, listener, spec.streamed);
     if (draining) {
-      answer.finish(
+      answerLog.finish(
         failedEvent(request, {
           code: 'draining',
           step: 'validate',
@@ -154,17 +162,17 @@
       );
       return;
     }
-    open(request, [
+    addRequest(request, [
       // A caller is told at its deadline, whatever else is still awaited.
       ctx.clock.after(spec.deadlineAt - ctx.clock.now(), () =>
         onDeadline(request),
       ),
     ]);
-    guard(request, admitAndDrive(request, spec));
+    failOnError(request, admitAndDrive(request, spec));
   };
 
   const onDeadline = (request: OpenRequest) => {
-    if (isOver(request)) return;
+    if (isFinished(request)) return;
     finish(
       request,
       failedEvent(request, {
@@ -177,35 +185,35 @@
   };
 
   const admitAndDrive = async (request: OpenRequest, spec: RequestSpec) => {
-    const place = await acquirePlace(ctx, spec);
-    if (place.isLeft()) {
-      place.ifLeft(err => failWith(request, err));
+    const acquired = await acquireLimit(ctx, spec);
+    if (acquired.isLeft()) {
+      acquired.ifLeft(err => failWith(request, err));
       return;
     }
     const release = () =>
       ctx.send('limits', {kind: 'release', organisation: spec.organisation});
-    if (isOver(request)) {
+    if (isFinished(request)) {
       release();
       return;
     }
-    releases.get(request)?.push(release);
-    const claim = await claimKey(ctx, spec);
-    if (isOver(request)) return;
+    releaseCallbacks.get(request)?.push(release);
+    const claim = await claimIdempotencyKey(ctx, spec);
+    if (isFinished(request)) return;
     await claim.caseOf<Promise<void>>({
       Left: err => Promise.resolve(failWith(request, err)),
       Right: outcome =>
         outcome.kind === 'ours'
-          ? driveRequest(deps, request, spec)
-          : resumer.followEarlier(request, outcome.requestId),
+          ? executeRequest(deps, request, spec)
+          : resumer.followEarlierRequest(request, outcome.requestId),
     });
   };
 
   const failWith = (request: OpenRequest, err: Error) => {
-    if (!isOver(request)) finish(request, asFinal(request, err));
+    if (!isFinished(request)) finish(request, toFinalEvent(request, err));
   };
 
   /** A fault of ours must not leave a caller without its final event. */
-  const guard = (request: OpenRequest, work: Promise<void>) => {
+  const failOnError = (request: OpenRequest, work: Promise<void>) => {
     work.catch(err => {
       failWith(request, err instanceof Error ? err : new Error(String(err)));
     });
@@ -213,7 +221,7 @@
 
   const cancel = (id: RequestId, organisation: OrganisationId): boolean => {
     const request = table.find(id, organisation);
-    if (request === undefined || isOver(request)) return false;
+    if (request === undefined || isFinished(request)) return false;
     finish(
       request,
       failedEvent(request, {
@@ -226,21 +234,21 @@
     return true;
   };
 
-  const cancelAnywhere = async (
+  const cancelElsewhere = async (
     {id, organisation}: CancelMessage,
     reply: (found: boolean) => void,
   ) => {
     const sides = view.allSides;
-    reply(await cancelElsewhere(deps, {id, organisation, sides}));
+    reply(await cancelAtSides(deps, {id, organisation, sides}));
   };
 
   const resume = (message: Extract<RequestsMessage, {kind: 'resume'}>) => {
     // A drain that ends while the run is looked for would cut the caller that
     // came for its answer.
-    locating++;
+    resumesInProgress++;
     void resumer.resume(message).finally(() => {
-      locating--;
-      tellDrained();
+      resumesInProgress--;
+      notifyIfDrained();
     });
   };
 
@@ -252,14 +260,18 @@
       case 'cancel': {
         const found = cancel(message.id, message.organisation);
         if (found || message.reply === undefined) message.reply?.(found);
-        else void cancelAnywhere(message, message.reply);
+        else void cancelElsewhere(message, message.reply);
         return;
       }
       case 'resume':
         resume(message);
         return;
       case 'state':
-        void resumer.state(message.id, message.organisation, message.reply);
+        void resumer.reportState(
+          message.id,
+          message.organisation,
+          message.reply,
+        );
         return;
       case 'local-state':
         message.reply(resumer.localState(message.id, message.organisation));
@@ -270,10 +282,10 @@
       case 'drain':
         draining = true;
         if (isIdle()) message.reply();
-        else drained.push(message.reply);
+        else drainReplies.push(message.reply);
         return;
       case 'count':
-        message.reply(table.size());
+        message.reply(table.openCount());
         return;
     }
   };
@@ -283,16 +295,16 @@
     view = next;
   };
   subscribe();
-  ctx.own(ctx.clock.every(SUBSCRIBE_EVERY_MS, subscribe));
+  ctx.own(ctx.clock.every(RESUBSCRIBE_INTERVAL_MS, subscribe));
   ctx.own(() => {
-    for (const request of table.open()) {
+    for (const request of table.openRequests()) {
       failWith(request, new Error('the request service ended'));
     }
   });
   void ctx.mailbox.observe(onMessage);
 }
 
-function asFinal(request: OpenRequest, err: Error): FinalEvent {
+function toFinalEvent(request: OpenRequest, err: Error): FinalEvent {
   if (!(err instanceof OnyxError)) {
     return failedEvent(request, {
       code: 'internal',
@@ -302,11 +314,11 @@
     });
   }
   const {code, step, peer, message, retryAfterMs} = err;
-  const ran = strongerRan(err.ran, ranSoFar(request));
+  const ran = mergeRan(err.ran, currentRan(request));
   return failedEvent(request, {code, step, peer, message, ran, retryAfterMs});
 }
 
-function logEnd(
+function logOutcome(
   ctx: ServiceContext<'requests'>,
   request: OpenRequest,
   event: FinalEvent,
--- a/src/entry/resume/adopt_run.ts
+++ b/src/entry/resume/adopt_run.ts
@@ -6,15 +6,15 @@
 import {REQUEST_EVENTS} from '../../utils/events.js';
 import {startAttempt} from '../run/attempt.js';
 import type {AttemptOutcome} from '../run/attempt.js';
-import type {DriveDeps} from '../run/execute_request.js';
-import type {Located} from './locate_run.js';
-import {failedEvent, isOver, isTakenOver} from '../open_request.js';
+import type {ExecuteDeps} from '../run/execute_request.js';
+import type {LocatedRun} from './locate_run.js';
+import {failedEvent, isFinished, isTakenOver} from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
-import {judgeOutcome} from '../run/attempt_decision.js';
+import {decideAfterAttempt} from '../run/attempt_decision.js';
 
-export interface Adoption {
+export interface AdoptRunOptions {
   readonly open: OpenRequest;
-  readonly located: Located;
+  readonly located: LocatedRun;
   /** First chunk that the caller wants. */
   readonly fromSeq: number;
   /** Incarnation of the side, as far as known; may be empty. */
@@ -23,8 +23,8 @@
 
 /** Resolves when the run is over. */
 export async function adoptRun(
-  deps: DriveDeps,
-  adoption: Adoption,
+  deps: ExecuteDeps,
+  adoption: AdoptRunOptions,
 ): Promise<void> {
   const {open, located} = adoption;
   const {side} = located;
@@ -37,22 +37,22 @@
     side,
     fromSeq: adoption.fromSeq,
   });
-  deps.tellMembership({kind: 'own', address: side, dispatchId});
-  open.answer.placed({kind: 'placed', dispatchId, side});
+  deps.sendToMembership({kind: 'own', address: side, dispatchId});
+  open.answerLog.setPlacement({kind: 'placed', dispatchId, side});
   // From the first chunk where the side still has it: then the digest holds
   // over the whole answer, not only over what the caller lacks.
-  let outcome = await attachTo(deps, adoption);
-  if (isPastTheStart(outcome) && adoption.fromSeq > 0 && !isOver(open)) {
-    open.answer.beginAt(adoption.fromSeq);
-    outcome = await attachTo(deps, adoption);
+  let outcome = await attachToRun(deps, adoption);
+  if (lacksFirstChunks(outcome) && adoption.fromSeq > 0 && !isFinished(open)) {
+    open.answerLog.startAt(adoption.fromSeq);
+    outcome = await attachToRun(deps, adoption);
   }
-  deps.tellMembership({kind: 'disown', address: side, dispatchId});
-  conclude(deps, open, side, outcome);
+  deps.sendToMembership({kind: 'disown', address: side, dispatchId});
+  finishRequest(deps, open, side, outcome);
 }
 
-async function attachTo(
-  deps: DriveDeps,
-  adoption: Adoption,
+async function attachToRun(
+  deps: ExecuteDeps,
+  adoption: AdoptRunOptions,
 ): Promise<AttemptOutcome> {
   const {open, located} = adoption;
   const attempt = startAttempt(deps, {
@@ -60,58 +60,58 @@
     dispatchId: located.res.dispatchId,
     incarnation: adoption.incarnation,
     organisation: open.organisation,
-    answer: open.answer,
+    answerLog: open.answerLog,
     onEvidence: (what, incarnation) =>
-      deps.tellMembership({
+      deps.sendToMembership({
         kind: 'evidence',
         address: located.side,
         what,
         incarnation,
       }),
   });
-  open.stopAttempt = attempt.stop;
-  open.attemptRan = attempt.ran;
+  open.stopCurrentAttempt = attempt.stop;
+  open.currentAttemptRan = attempt.ran;
   const outcome = await attempt.outcome;
-  open.stopAttempt = undefined;
-  open.attemptRan = undefined;
+  open.stopCurrentAttempt = undefined;
+  open.currentAttemptRan = undefined;
   return outcome;
 }
 
 /** The side has let go of the chunks that the first owner acknowledged. */
-function isPastTheStart(outcome: AttemptOutcome): boolean {
+function lacksFirstChunks(outcome: AttemptOutcome): boolean {
   return (
     outcome.kind === 'failed' && outcome.failed.code === 'answer-incomplete'
   );
 }
 
 /** An adopted run is never tried elsewhere: its prompt is not here. */
-function conclude(
-  deps: DriveDeps,
+function finishRequest(
+  deps: ExecuteDeps,
   open: OpenRequest,
   side: Address,
   outcome: AttemptOutcome,
 ): void {
   open.takenOver = isTakenOver(outcome);
-  const verdict = judgeOutcome(outcome, {
+  const decision = decideAfterAttempt(outcome, {
     side,
     repeatable: false,
-    received: open.answer.nextSeq(),
-    delivered: open.answer.delivered(),
+    receivedChunks: open.answerLog.nextSeq(),
+    deliveredChunks: open.answerLog.deliveredSeq(),
   });
-  if (verdict === undefined || isOver(open)) return;
-  if (verdict.kind !== 'end') {
+  if (decision === undefined || isFinished(open)) return;
+  if (decision.kind !== 'end') {
     // That this attempt did not run says nothing of the others, which the
     // entry that made them knew of and this one does not.
-    const ran = verdict.ran === 'no' ? 'unknown' : verdict.ran;
-    const {details} = verdict;
+    const ran = decision.ran === 'no' ? 'unknown' : decision.ran;
+    const {details} = decision;
     deps.finish(open, failedEvent(open, {...details, ran}));
     return;
   }
-  const {end} = verdict.outcome;
+  const {end} = decision.outcome;
   deps.finish(open, {
     kind: 'end',
     count: end.count,
-    tokens: open.answer.tokens(),
+    tokens: open.answerLog.tokens(),
     finishReason: end.finishReason,
     cachedTokens: end.cachedTokens,
   });
--- a/src/entry/resume/cancel_at_sides.ts
+++ b/src/entry/resume/cancel_at_sides.ts
@@ -9,36 +9,36 @@
 import type {AbandonDeps} from '../run/abandon.js';
 
 /** Sides asked at once. */
-const PARALLEL = 16;
+const MAX_PARALLEL_CALLS = 16;
 
-export interface ElsewhereRequest {
+export interface CancelAtSidesOptions {
   readonly id: RequestId;
   readonly organisation: OrganisationId;
   readonly sides: readonly Address[];
 }
 
 /** Resolves with whether some side had it queued or running. */
-export async function cancelElsewhere(
+export async function cancelAtSides(
   deps: AbandonDeps,
-  request: ElsewhereRequest,
+  request: CancelAtSidesOptions,
 ): Promise<boolean> {
-  const waiting = [...request.sides];
+  const remaining = [...request.sides];
   let found = false;
-  const work = async () => {
+  const worker = async () => {
     for (;;) {
-      const side = waiting.shift();
+      const side = remaining.shift();
       if (side === undefined) return;
-      if (await cancelAt(deps, request, side)) found = true;
+      if (await cancelAtSide(deps, request, side)) found = true;
     }
   };
-  const workers = Math.min(PARALLEL, waiting.length);
-  await Promise.all(Array.from({length: workers}, work));
+  const workerCount = Math.min(MAX_PARALLEL_CALLS, remaining.length);
+  await Promise.all(Array.from({length: workerCount}, worker));
   return found;
 }
 
-async function cancelAt(
+async function cancelAtSide(
   deps: AbandonDeps,
-  {id, organisation}: ElsewhereRequest,
+  {id, organisation}: CancelAtSidesOptions,
   side: Address,
 ): Promise<boolean> {
   const located = await deps.transport.call(
@@ -47,9 +47,9 @@
     {requestId: id, organisation},
     deps.timing.locateTimeoutMs,
   );
-  const trace = located.toMaybe().filter(isOpen).extract();
-  if (trace === undefined) return false;
-  const {dispatchId} = trace;
+  const openRun = located.toMaybe().filter(isOpen).extract();
+  if (openRun === undefined) return false;
+  const {dispatchId} = openRun;
   const target = {side, dispatchId, incarnation: '', organisation};
   const {answered} = await abandonDispatch(deps, target);
   return answered;
--- a/src/entry/resume/locate_run.ts
+++ b/src/entry/resume/locate_run.ts
@@ -9,14 +9,14 @@
 import type {RequestTiming} from '../timing.js';
 
 /** Sides asked at once. */
-const LOCATE_PARALLEL = 16;
+const MAX_PARALLEL_CALLS = 16;
 
-export interface Located {
+export interface LocatedRun {
   readonly side: Address;
   readonly res: LocateRes;
 }
 
-export interface LocateOptions {
+export interface LocateRunOptions {
   readonly transport: Transport;
   readonly clock: Clock;
   readonly timing: RequestTiming;
@@ -32,16 +32,16 @@
  * undefined when no side knows the request.
  */
 export async function locateRun(
-  options: LocateOptions,
-): Promise<Located | undefined> {
+  options: LocateRunOptions,
+): Promise<LocatedRun | undefined> {
   // Only known sides are asked: the hint comes from the caller, and must not
   // make this process connect to wherever it says.
   const hinted = options.allSides.includes(options.sideHint)
-    ? await askSide(options, options.sideHint)
+    ? await locateAtSide(options, options.sideHint)
     : undefined;
-  if (hinted !== undefined && isOfUse(hinted)) return hinted;
+  if (hinted !== undefined && mayHaveAnswer(hinted)) return hinted;
   const others = options.allSides.filter(one => one !== options.sideHint);
-  return askAll(options, others, hinted);
+  return locateAtAll(options, others, hinted);
 }
 
 /**
@@ -49,37 +49,40 @@
  * after those of a later one would be an answer that no run gave. Sides that
  * do not answer hold this up for one waiting time at most.
  */
-async function askAll(
-  options: LocateOptions,
+async function locateAtAll(
+  options: LocateRunOptions,
   sides: readonly Address[],
-  hinted: Located | undefined,
-): Promise<Located | undefined> {
+  hinted: LocatedRun | undefined,
+): Promise<LocatedRun | undefined> {
   const {clock, timing} = options;
-  const waiting = [...sides];
+  const remaining = [...sides];
   let best = hinted;
-  let until = Infinity;
-  const work = async () => {
+  let stopAskingAt = Infinity;
+  const worker = async () => {
     for (;;) {
-      const side = waiting.shift();
-      if (side === undefined || clock.now() > until) return;
-      const found = await askSide(options, side);
+      const side = remaining.shift();
+      if (side === undefined || clock.now() > stopAskingAt) return;
+      const found = await locateAtSide(options, side);
       // Read only after the wait: a side that knows nothing and answers last
       // would otherwise undo what another has told in the meantime.
-      best = better(best, found);
-      if (best !== undefined && isOfUse(best)) {
-        until = Math.min(until, clock.now() + timing.locateTimeoutMs);
+      best = preferred(best, found);
+      if (best !== undefined && mayHaveAnswer(best)) {
+        stopAskingAt = Math.min(
+          stopAskingAt,
+          clock.now() + timing.locateTimeoutMs,
+        );
       }
     }
   };
-  const workers = Math.min(LOCATE_PARALLEL, waiting.length);
-  await Promise.all(Array.from({length: workers}, work));
+  const workerCount = Math.min(MAX_PARALLEL_CALLS, remaining.length);
+  await Promise.all(Array.from({length: workerCount}, worker));
   return best;
 }
 
-async function askSide(
-  options: LocateOptions,
+async function locateAtSide(
+  options: LocateRunOptions,
   side: Address,
-): Promise<Located | undefined> {
+): Promise<LocatedRun | undefined> {
   const res = await options.transport.call(
     side,
     'locate',
@@ -94,20 +97,20 @@
 }
 
 /** There is an answer, or will be. */
-function isOfUse(found: Located): boolean {
+function mayHaveAnswer(found: LocatedRun): boolean {
   return found.res.state !== 'failed';
 }
 
-function better(
-  a: Located | undefined,
-  b: Located | undefined,
-): Located | undefined {
+function preferred(
+  a: LocatedRun | undefined,
+  b: LocatedRun | undefined,
+): LocatedRun | undefined {
   if (a === undefined || b === undefined) return a ?? b;
-  if (isOfUse(a) !== isOfUse(b)) return isOfUse(a) ? a : b;
-  return attemptOf(b) > attemptOf(a) ? b : a;
+  if (mayHaveAnswer(a) !== mayHaveAnswer(b)) return mayHaveAnswer(a) ? a : b;
+  return attemptNumberOf(b) > attemptNumberOf(a) ? b : a;
 }
 
 /** Number of the attempt, from its dispatch id. */
-function attemptOf({res}: Located): number {
+function attemptNumberOf({res}: LocatedRun): number {
   return Number(res.dispatchId.slice(res.dispatchId.lastIndexOf('.') + 1));
 }
--- a/src/entry/resume/resumer.ts
+++ b/src/entry/resume/resumer.ts
@@ -12,19 +12,19 @@
 } from '../../types/services.js';
 import {adoptRun} from './adopt_run.js';
 import {createAnswerLog} from '../run/answer_log.js';
-import type {DriveDeps} from '../run/execute_request.js';
+import type {ExecuteDeps} from '../run/execute_request.js';
 import {locateRun} from './locate_run.js';
-import type {Located} from './locate_run.js';
-import {createOpenRequest, failedEvent, isOver} from '../open_request.js';
+import type {LocatedRun} from './locate_run.js';
+import {createOpenRequest, failedEvent, isFinished} from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
-import {stateOf} from '../request_table.js';
+import {requestStateOf} from '../request_table.js';
 import type {RequestTable} from '../request_table.js';
 
 type ResumeMessage = Extract<RequestsMessage, {readonly kind: 'resume'}>;
 
 export interface Resumer {
   resume(message: ResumeMessage): Promise<void>;
-  state(
+  reportState(
     id: RequestId,
     organisation: OrganisationId,
     reply: (state: RequestState) => void,
@@ -32,13 +32,16 @@
   /** From what is known at this entry alone. */
   localState(id: RequestId, organisation: OrganisationId): RequestState;
   /** Gives `open` the answer of the request that took its key before. */
-  followEarlier(open: OpenRequest, earlier: RequestId): Promise<void>;
+  followEarlierRequest(open: OpenRequest, earlier: RequestId): Promise<void>;
 }
 
 export interface ResumerOptions {
-  readonly deps: DriveDeps;
+  readonly deps: ExecuteDeps;
   readonly table: RequestTable;
-  readonly open: (open: OpenRequest, release: readonly (() => void)[]) => void;
+  readonly addRequest: (
+    open: OpenRequest,
+    release: readonly (() => void)[],
+  ) => void;
   readonly view: () => MembershipView;
 }
 
@@ -46,7 +49,7 @@
   const {deps, table} = options;
 
   /** Not one that another entry has by now: the sides know how it goes on. */
-  const find = (id: RequestId, organisation: OrganisationId) => {
+  const findCurrent = (id: RequestId, organisation: OrganisationId) => {
     const known = table.find(id, organisation);
     return known?.takenOver === true ? undefined : known;
   };
@@ -66,8 +69,8 @@
       allSides: options.view().allSides,
     });
 
-  const adopt = (located: Located, message: ResumeMessage) => {
-    const answer = createAnswerLog(message.id, 0, deps.invariant);
+  const adopt = (located: LocatedRun, message: ResumeMessage) => {
+    const answerLog = createAnswerLog(message.id, 0, deps.invariant);
     const open = createOpenRequest(
       {
         id: message.id,
@@ -76,10 +79,10 @@
         model: located.res.model ?? '',
         promptTokens: located.res.promptTokens ?? 0,
       },
-      answer,
+      answerLog,
     );
-    options.open(open, []);
-    answer.subscribe(message.fromSeq, message.listener, message.streamed);
+    options.addRequest(open, []);
+    answerLog.subscribe(message.fromSeq, message.listener, message.streamed);
     const known = options
       .view()
       .replicas.find(one => one.address === located.side);
@@ -89,7 +92,7 @@
       fromSeq: message.fromSeq,
       incarnation: known?.incarnation ?? '',
     }).catch(err => {
-      if (isOver(open)) return;
+      if (isFinished(open)) return;
       deps.finish(
         open,
         failedEvent(open, {
@@ -104,32 +107,36 @@
 
   const resume = async (message: ResumeMessage) => {
     const {id, organisation, fromSeq, listener, streamed} = message;
-    const known = find(id, organisation);
+    const known = findCurrent(id, organisation);
     if (known !== undefined) {
-      known.answer.subscribe(fromSeq, listener, streamed);
+      known.answerLog.subscribe(fromSeq, listener, streamed);
       return;
     }
     const located = await locate(id, organisation, message.sideHint);
     // Another resume of the same request may have been faster.
-    const meanwhile = find(id, organisation);
-    if (meanwhile !== undefined) {
-      meanwhile.answer.subscribe(fromSeq, listener, streamed);
+    const addedMeanwhile = findCurrent(id, organisation);
+    if (addedMeanwhile !== undefined) {
+      addedMeanwhile.answerLog.subscribe(fromSeq, listener, streamed);
     } else if (located !== undefined) adopt(located, message);
     else listener({kind: 'failed', error: notFound(id)});
   };
 
   const localState: Resumer['localState'] = (id, organisation) => {
-    const known = find(id, organisation);
-    return known === undefined ? unknownState(id) : stateOf(known);
+    const known = findCurrent(id, organisation);
+    return known === undefined ? unknownState(id) : requestStateOf(known);
   };
 
   /** What was known here last, also of a run that was taken over. */
-  const ownState = (id: RequestId, organisation: OrganisationId) => {
+  const lastKnownState = (id: RequestId, organisation: OrganisationId) => {
     const known = table.find(id, organisation);
-    return known === undefined ? undefined : stateOf(known);
+    return known === undefined ? undefined : requestStateOf(known);
   };
 
-  const state: Resumer['state'] = async (id, organisation, reply) => {
+  const reportState: Resumer['reportState'] = async (
+    id,
+    organisation,
+    reply,
+  ) => {
     const known = localState(id, organisation);
     if (known.state !== 'none') {
       reply(known);
@@ -137,41 +144,41 @@
     }
     const located = await locate(id, organisation, '');
     if (located !== undefined) reply({...located.res, id, side: located.side});
-    else reply(ownState(id, organisation) ?? known);
+    else reply(lastKnownState(id, organisation) ?? known);
   };
 
   /** Copies the events of the earlier request into the later one's answer. */
-  const copyTo =
+  const copyEventsTo =
     (open: OpenRequest): RequestListener =>
     event => {
-      if (isOver(open)) return;
+      if (isFinished(open)) return;
       if (event.kind === 'placed') {
         open.side = event.side;
         open.dispatchId = event.dispatchId;
-        open.answer.placed(event);
+        open.answerLog.setPlacement(event);
       } else if (event.kind === 'chunk') {
-        open.answer.append(event);
+        open.answerLog.append(event);
       } else if (event.kind === 'restarted') {
-        open.answer.restart();
+        open.answerLog.discardChunks();
       } else if (event.kind === 'end') {
         deps.finish(open, event);
       } else {
-        deps.finish(open, earlierFailed(open, event.error));
+        deps.finish(open, earlierFailure(open, event.error));
       }
     };
 
   return {
     resume,
-    state,
+    reportState: reportState,
     localState,
-    followEarlier: async (open, earlier) => {
+    followEarlierRequest: async (open, earlier) => {
       await resume({
         kind: 'resume',
         id: earlier,
         organisation: open.organisation,
         fromSeq: 0,
         sideHint: '',
-        listener: copyTo(open),
+        listener: copyEventsTo(open),
       });
     },
   };
@@ -202,7 +209,7 @@
  * The key was taken, so this request does not run. The earlier one's trace is
  * gone or cannot be reached: whether that one ran is not known.
  */
-function earlierFailed(open: OpenRequest, error: OnyxError) {
+function earlierFailure(open: OpenRequest, error: OnyxError) {
   if (error.code !== 'not-found') {
     return {kind: 'failed', error} as const;
   }
--- a/src/entry/routing/assignments.ts
+++ b/src/entry/routing/assignments.ts
@@ -12,19 +12,19 @@
  * what others sent there; kept until a report comes, it would stay for good
  * where reports have stopped, and the lists would grow with each request.
  */
-const OVER_COUNTS_MS = 10_000;
+const ENDED_RETENTION_MS = 10_000;
 
-interface Assignment {
+interface OpenAssignment {
   readonly at: number;
   readonly tokens: number;
 }
 
-interface Over {
+interface EndedAssignment {
   readonly side: Address;
   readonly at: number;
 }
 
-export interface Unreported {
+export interface UnreportedLoad {
   readonly requests: number;
   readonly tokens: number;
 }
@@ -34,43 +34,44 @@
   /** The side refused it: it adds no load there. */
   remove(side: Address, dispatchId: DispatchId): void;
   /** Its attempt is over. */
-  over(side: Address, dispatchId: DispatchId, at: number): void;
+  markEnded(side: Address, dispatchId: DispatchId, at: number): void;
   /** Drops what has been over for long. */
-  forgetOver(now: number): void;
+  dropExpired(now: number): void;
   /** Sums what the replica's last report cannot have counted. */
-  since(replica: Replica): Unreported;
+  unreportedLoad(replica: Replica): UnreportedLoad;
 }
 
 export function createAssignments(): Assignments {
-  const bySide = new Map<Address, Map<DispatchId, Assignment>>();
+  const assignmentsBySide = new Map<Address, Map<DispatchId, OpenAssignment>>();
   /** Oldest first. */
-  const overs = new Map<DispatchId, Over>();
+  const ended = new Map<DispatchId, EndedAssignment>();
 
   const remove = (side: Address, dispatchId: DispatchId) => {
-    const list = bySide.get(side);
+    const list = assignmentsBySide.get(side);
     list?.delete(dispatchId);
-    if (list?.size === 0) bySide.delete(side);
+    if (list?.size === 0) assignmentsBySide.delete(side);
   };
 
   return {
     add: (side, dispatchId, tokens, at) => {
-      const list = bySide.get(side) ?? new Map<DispatchId, Assignment>();
+      const list =
+        assignmentsBySide.get(side) ?? new Map<DispatchId, OpenAssignment>();
       list.set(dispatchId, {at, tokens});
-      bySide.set(side, list);
+      assignmentsBySide.set(side, list);
     },
     remove,
-    over: (side, dispatchId, at) => {
-      overs.set(dispatchId, {side, at});
+    markEnded: (side, dispatchId, at) => {
+      ended.set(dispatchId, {side, at});
     },
-    forgetOver: now => {
-      for (const [dispatchId, {side, at}] of overs) {
-        if (now - at < OVER_COUNTS_MS) return;
-        overs.delete(dispatchId);
+    dropExpired: now => {
+      for (const [dispatchId, {side, at}] of ended) {
+        if (now - at < ENDED_RETENTION_MS) return;
+        ended.delete(dispatchId);
         remove(side, dispatchId);
       }
     },
-    since: replica => {
-      const list = bySide.get(replica.address);
+    unreportedLoad: replica => {
+      const list = assignmentsBySide.get(replica.address);
       if (list === undefined) return {requests: 0, tokens: 0};
       // A report left the side about half a round trip before it came in.
       const reportedAt = replica.loadAt - replica.rttMs / 2;
@@ -79,7 +80,7 @@
         if (one.at < reportedAt) list.delete(dispatchId);
         else tokens += one.tokens;
       }
-      if (list.size === 0) bySide.delete(replica.address);
+      if (list.size === 0) assignmentsBySide.delete(replica.address);
       return {requests: list.size, tokens};
     },
   };
--- a/src/entry/routing/offer_round.ts
+++ b/src/entry/routing/offer_round.ts
@@ -6,45 +6,45 @@
 import type {RequestSpec} from '../../types/services.js';
 import type {RankedTarget} from '../../policy/routing.js';
 import {sendOffer, withdrawOffer} from './send_offer.js';
-import type {AcceptedOffer, OfferAnswer, OfferDeps} from './send_offer.js';
-import {isOver} from '../open_request.js';
+import type {AcceptedOffer, OfferResult, OfferDeps} from './send_offer.js';
+import {isFinished} from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
-import {refusedBy} from './refusals.js';
+import {refusalDetails} from './refusals.js';
 import type {Refusal} from './refusals.js';
 
-export type OfferOutcome =
+export type OfferRoundResult =
   | AcceptedOffer
   | {readonly kind: 'none'; readonly details: ErrorDetails}
   /** The request got its final event meanwhile. */
   | {readonly kind: 'over'};
 
-export async function offerRound(
+export async function runOfferRound(
   deps: OfferDeps,
   open: OpenRequest,
   spec: RequestSpec,
   ranked: readonly RankedTarget[],
-): Promise<OfferOutcome> {
+): Promise<OfferRoundResult> {
   const refusals: Refusal[] = [];
   const {maxOffers} = spec.config.declarations.policy;
   for (const candidate of ranked.slice(0, maxOffers)) {
-    deps.router.decided(spec, open.attempts + 1, candidate, ranked);
-    const answer = await offerTo(deps, open, spec, candidate);
-    if (isOver(open)) {
+    deps.router.recordDecision(spec, open.lastAttempt + 1, candidate, ranked);
+    const answer = await offerToCandidate(deps, open, spec, candidate);
+    if (isFinished(open)) {
       if (answer.kind === 'accepted') withdrawOffer(deps, answer);
       return {kind: 'over'};
     }
     if (answer.kind === 'accepted') return answer;
     refusals.push(answer);
   }
-  return {kind: 'none', details: refusedBy(refusals)};
+  return {kind: 'none', details: refusalDetails(refusals)};
 }
 
-async function offerTo(
+async function offerToCandidate(
   deps: OfferDeps,
   open: OpenRequest,
   spec: RequestSpec,
   candidate: RankedTarget,
-): Promise<OfferAnswer> {
+): Promise<OfferResult> {
   const {priority} = spec;
   const {incarnation} = candidate.target.replica;
   const first = await sendOffer(deps, open, spec, {
@@ -55,7 +55,7 @@
   if (first.kind === 'accepted' || first.incarnation === undefined) {
     return first;
   }
-  if (isOver(open)) return first;
+  if (isFinished(open)) return first;
   // The side was restarted since its last heartbeat: the refusal names its
   // new incarnation, which may take the request.
   return sendOffer(deps, open, spec, {
--- a/src/entry/routing/router.ts
+++ b/src/entry/routing/router.ts
@@ -21,12 +21,12 @@
 import {ROUTING_EVENTS} from '../../utils/events.js';
 import type {GroupPart} from '../groups/group_plan.js';
 import {createAssignments} from './assignments.js';
-import {createPrefixMemory} from './prefix_history.js';
+import {createPrefixHistory} from './prefix_history.js';
 
 /** Requests whose decisions are kept for `explain`. */
-const KEEP_EXPLAINED = 1_024;
+const MAX_EXPLAINED_REQUESTS = 1_024;
 /** Candidates shown in a decision, the best first. */
-const SHOWN_CANDIDATES = 8;
+const MAX_SHOWN_CANDIDATES = 8;
 
 export interface Router {
   /** Eligible replicas, best first, without the incarnations in `except`. */
@@ -35,27 +35,31 @@
     except: ReadonlySet<Incarnation>,
   ): readonly RankedTarget[];
   /** Some replica that may do this work is not to be had just now. */
-  someAway(spec: RequestSpec): boolean;
+  hasUnavailableReplica(spec: RequestSpec): boolean;
   /** Logs and keeps a decision. */
-  decided(
+  recordDecision(
     spec: RequestSpec,
     attempt: number,
     chosen: RankedTarget,
     ranked: readonly RankedTarget[],
   ): void;
   /** The same for a group; the lead is the one chosen. */
-  decidedGroup(
+  recordGroupDecision(
     spec: RequestSpec,
     attempt: number,
     parts: readonly GroupPart[],
     ranked: readonly RankedTarget[],
   ): void;
-  assigned(spec: RequestSpec, side: Address, dispatchId: DispatchId): void;
-  refused(side: Address, dispatchId: DispatchId): void;
+  recordAssignment(
+    spec: RequestSpec,
+    side: Address,
+    dispatchId: DispatchId,
+  ): void;
+  removeAssignment(side: Address, dispatchId: DispatchId): void;
   /** The attempt is over, whatever its outcome. */
-  attemptOver(side: Address, dispatchId: DispatchId): void;
+  endAssignment(side: Address, dispatchId: DispatchId): void;
   /** An answer ended whole: what the engine found in its prefix cache. */
-  ended(spec: RequestSpec, cachedTokens: number): void;
+  recordCachedTokens(spec: RequestSpec, cachedTokens: number): void;
   explain(id: RequestId): readonly RoutingDecision[];
 }
 
@@ -72,15 +76,15 @@
 export function createRouter(options: RouterOptions): Router {
   const {runtime} = options;
   const assignments = createAssignments();
-  const prefixes = createPrefixMemory(options.prefixBlockTokens);
-  const explained = new Map<RequestId, RoutingDecision[]>();
+  const prefixHistory = createPrefixHistory(options.prefixBlockTokens);
+  const decisionsByRequest = new Map<RequestId, RoutingDecision[]>();
 
   const rank = (spec: RequestSpec, except: ReadonlySet<Incarnation>) => {
-    assignments.forgetOver(runtime.clock.now());
+    assignments.dropExpired(runtime.clock.now());
     const eligible = options
       .view()
       .replicas.filter(
-        one => !except.has(one.incarnation) && serves(one, spec),
+        one => !except.has(one.incarnation) && canServe(one, spec),
       );
     const {policy, lengthClasses} = spec.config.declarations;
     const shortest = lengthClasses[0]?.maxTokens ?? 0;
@@ -92,8 +96,8 @@
         prefixHashes: spec.prefixHashes,
         short: spec.promptTokens <= shortest,
       },
-      targets: usable(eligible).map(replica => {
-        const unreported = assignments.since(replica);
+      targets: preferLive(eligible).map(replica => {
+        const unreported = assignments.unreportedLoad(replica);
         return {
           replica,
           unreportedRequests: unreported.requests,
@@ -104,30 +108,32 @@
       now: runtime.clock.now(),
       random: runtime.random,
       weights: policy,
-      prefixHitRatio: prefixes.hitRatio(),
-      knownPrefixTokens: prefixes.knownTokens(spec.prefixHashes),
+      prefixHitRatio: prefixHistory.hitRatio(),
+      knownPrefixTokens: prefixHistory.knownTokens(spec.prefixHashes),
     });
   };
 
-  const shown = (ranked: readonly RankedTarget[]) => {
+  const shownCandidates = (ranked: readonly RankedTarget[]) => {
     const now = runtime.clock.now();
-    return ranked.slice(0, SHOWN_CANDIDATES).map(one => candidateOf(one, now));
+    return ranked
+      .slice(0, MAX_SHOWN_CANDIDATES)
+      .map(one => toRoutingCandidate(one, now));
   };
 
-  const keep = (decision: RoutingDecision): RoutingDecision => {
-    const list = explained.get(decision.requestId) ?? [];
+  const storeDecision = (decision: RoutingDecision): RoutingDecision => {
+    const list = decisionsByRequest.get(decision.requestId) ?? [];
     list.push(decision);
-    explained.set(decision.requestId, list);
-    for (const oldest of explained.keys()) {
-      if (explained.size <= KEEP_EXPLAINED) break;
-      explained.delete(oldest);
+    decisionsByRequest.set(decision.requestId, list);
+    for (const oldest of decisionsByRequest.keys()) {
+      if (decisionsByRequest.size <= MAX_EXPLAINED_REQUESTS) break;
+      decisionsByRequest.delete(oldest);
     }
     return decision;
   };
 
   return {
     rank,
-    someAway: spec =>
+    hasUnavailableReplica: spec =>
       options
         .view()
         .replicas.some(
@@ -136,48 +142,49 @@
             one.incarnation === '' ||
             (spec.kind === 'completion' && one.load.capacityTokens === 0),
         ),
-    decided: (spec, attempt, chosen, ranked) => {
-      const decision = keep({
+    recordDecision: (spec, attempt, chosen, ranked) => {
+      const decision = storeDecision({
         requestId: spec.id,
         attempt,
         chosen: chosen.target.replica.address,
         reason: chosen.reason,
-        candidates: shown(ranked),
+        candidates: shownCandidates(ranked),
       });
       runtime.log(ROUTING_EVENTS.decided, {
-        ...fieldsOf(spec, decision),
+        ...decisionFields(spec, decision),
         considered: ranked.length,
       });
     },
-    decidedGroup: (spec, attempt, parts, ranked) => {
-      const lead = parts.find(part => part.lead);
-      const decision = keep({
+    recordGroupDecision: (spec, attempt, parts, ranked) => {
+      const lead = parts.find(part => part.isLead);
+      const decision = storeDecision({
         requestId: spec.id,
         attempt,
         chosen: lead?.ranked.target.replica.address ?? '',
-        reason: `group of ${parts.length}: ${parts.map(nameOf).join(', ')}`,
-        candidates: shown(ranked),
+        reason: `group of ${parts.length}: ${parts.map(describePart).join(', ')}`,
+        candidates: shownCandidates(ranked),
       });
       runtime.log(ROUTING_EVENTS.groupDecided, {
-        ...fieldsOf(spec, decision),
+        ...decisionFields(spec, decision),
         considered: ranked.length,
       });
     },
-    assigned: (spec, side, dispatchId) => {
+    recordAssignment: (spec, side, dispatchId) => {
       assignments.add(side, dispatchId, spec.promptTokens, runtime.clock.now());
-      prefixes.routed(spec.prefixHashes);
+      prefixHistory.recordRouted(spec.prefixHashes);
     },
-    refused: (side, dispatchId) => assignments.remove(side, dispatchId),
-    attemptOver: (side, dispatchId) =>
-      assignments.over(side, dispatchId, runtime.clock.now()),
-    ended: (spec, cachedTokens) =>
-      prefixes.confirmed(spec.prefixHashes, cachedTokens),
-    explain: id => explained.get(id) ?? [],
+    removeAssignment: (side, dispatchId) =>
+      assignments.remove(side, dispatchId),
+    endAssignment: (side, dispatchId) =>
+      assignments.markEnded(side, dispatchId, runtime.clock.now()),
+    recordCachedTokens: (spec, cachedTokens) =>
+      prefixHistory.recordCached(spec.prefixHashes, cachedTokens),
+    explain: id => decisionsByRequest.get(id) ?? [],
   };
 }
 
 /** True when the replica can do this work at all. */
-export function serves(replica: Replica, spec: RequestSpec): boolean {
+export function canServe(replica: Replica, spec: RequestSpec): boolean {
   if (replica.state === 'leaving' || replica.state === 'gone') return false;
   // No heartbeat has been answered yet: there is no incarnation to offer to.
   if (replica.incarnation === '') return false;
@@ -191,17 +198,20 @@
 }
 
 /** Suspect replicas are used only when no live one is left. */
-function usable(replicas: readonly Replica[]): readonly Replica[] {
+function preferLive(replicas: readonly Replica[]): readonly Replica[] {
   const live = replicas.filter(one => one.state === 'live');
   return live.length > 0 ? live : replicas;
 }
 
-function nameOf(part: GroupPart): string {
+function describePart(part: GroupPart): string {
   const {address} = part.ranked.target.replica;
-  return `${address}${part.lead ? ' (lead)' : ''} ${part.holdTokens} tokens`;
+  return `${address}${part.isLead ? ' (lead)' : ''} ${part.holdTokens} tokens`;
 }
 
-function fieldsOf(spec: RequestSpec, decision: RoutingDecision): LogFields {
+function decisionFields(
+  spec: RequestSpec,
+  decision: RoutingDecision,
+): LogFields {
   return {
     requestId: spec.id,
     attempt: decision.attempt,
@@ -213,7 +223,10 @@
   };
 }
 
-function candidateOf(ranked: RankedTarget, now: number): RoutingCandidate {
+function toRoutingCandidate(
+  ranked: RankedTarget,
+  now: number,
+): RoutingCandidate {
   const {replica, unreportedRequests, unreportedTokens} = ranked.target;
   return {
     address: replica.address,
--- a/src/entry/routing/send_offer.ts
+++ b/src/entry/routing/send_offer.ts
@@ -12,7 +12,7 @@
 import {REQUEST_EVENTS, ROUTING_EVENTS} from '../../utils/events.js';
 import {abandonDispatch} from '../run/abandon.js';
 import type {OpenRequest} from '../open_request.js';
-import type {NotAccepted, Refusal} from './refusals.js';
+import type {OfferFailureReason, Refusal} from './refusals.js';
 import type {Router} from './router.js';
 import type {RequestTiming} from '../timing.js';
 
@@ -21,7 +21,7 @@
   readonly timing: RequestTiming;
   readonly node: NodeId;
   readonly router: Router;
-  readonly tellMembership: (message: MembershipMessage) => void;
+  readonly sendToMembership: (message: MembershipMessage) => void;
 }
 
 /** What is offered to one side. */
@@ -45,17 +45,17 @@
   readonly lapseMs: number;
 }
 
-export interface OfferNotAccepted extends Refusal {
+export interface RefusedOffer extends Refusal {
   readonly kind: 'refused';
   /** Set when another incarnation of the side may take the request. */
   readonly incarnation?: Incarnation;
 }
 
-export type OfferAnswer = AcceptedOffer | OfferNotAccepted;
+export type OfferResult = AcceptedOffer | RefusedOffer;
 
 /** Refusals that say something of the side itself. */
-const EVIDENCE: {
-  readonly [reason in NotAccepted]?: 'leaving' | 'incarnation';
+const EVIDENCE_BY_REASON: {
+  readonly [reason in OfferFailureReason]?: 'leaving' | 'incarnation';
 } = {leaving: 'leaving', incarnation: 'incarnation'};
 
 /** Takes the next attempt number of the request. */
@@ -64,20 +64,20 @@
   open: OpenRequest,
   spec: RequestSpec,
   terms: OfferTerms,
-): Promise<OfferAnswer> {
+): Promise<OfferResult> {
   const side = terms.candidate.target.replica.address;
-  open.attempts++;
-  const dispatchId = `${spec.id}.${open.attempts}`;
-  deps.router.assigned(spec, side, dispatchId);
-  const req = offerOf(deps, spec, dispatchId, terms);
+  open.lastAttempt++;
+  const dispatchId = `${spec.id}.${open.lastAttempt}`;
+  deps.router.recordAssignment(spec, side, dispatchId);
+  const req = buildOffer(deps, spec, dispatchId, terms);
   const waitMs = Math.min(deps.timing.offerTimeoutMs, req.timeLeftMs);
   const res = await deps.transport.call(side, 'offer', req, waitMs);
-  return res.caseOf<OfferAnswer>({
+  return res.caseOf<OfferResult>({
     Left: err => {
-      noAnswer(deps, terms, dispatchId, err);
+      handleNoAnswer(deps, terms, dispatchId, err);
       return {kind: 'refused', side, reason: 'unanswered', retryAfterMs: 0};
     },
-    Right: answer => judge(deps, spec, terms, dispatchId, answer),
+    Right: answer => handleAnswer(deps, spec, terms, dispatchId, answer),
   });
 }
 
@@ -85,11 +85,11 @@
 export function withdrawOffer(deps: OfferDeps, offer: AcceptedOffer): void {
   const {dispatchId, incarnation} = offer;
   const side = offer.ranked.target.replica.address;
-  deps.router.refused(side, dispatchId);
+  deps.router.removeAssignment(side, dispatchId);
   void abandonDispatch(deps, {side, dispatchId, incarnation});
 }
 
-function noAnswer(
+function handleNoAnswer(
   deps: OfferDeps,
   terms: OfferTerms,
   dispatchId: DispatchId,
@@ -97,7 +97,7 @@
 ): void {
   const {incarnation} = terms;
   const side = terms.candidate.target.replica.address;
-  deps.router.refused(side, dispatchId);
+  deps.router.removeAssignment(side, dispatchId);
   deps.log(REQUEST_EVENTS.offerUnanswered, {
     dispatchId,
     side,
@@ -105,7 +105,7 @@
   });
   // A handler that failed has answered, after all.
   if (err.code !== 'internal') {
-    deps.tellMembership({
+    deps.sendToMembership({
       kind: 'evidence',
       address: side,
       what: 'unreachable',
@@ -117,20 +117,20 @@
   void abandonDispatch(deps, {side, dispatchId, incarnation});
 }
 
-function judge(
+function handleAnswer(
   deps: OfferDeps,
   spec: RequestSpec,
   terms: OfferTerms,
   dispatchId: DispatchId,
   answer: OfferRes,
-): OfferAnswer {
+): OfferResult {
   const {candidate} = terms;
   if (answer.kind === 'accepted') {
     return {...answer, ranked: candidate, dispatchId};
   }
   const {reason, incarnation, retryAfterMs} = answer;
   const side = candidate.target.replica.address;
-  deps.router.refused(side, dispatchId);
+  deps.router.removeAssignment(side, dispatchId);
   deps.metrics.count('onyxloft_offer_refusals_total', {reason});
   deps.log(ROUTING_EVENTS.refused, {
     requestId: spec.id,
@@ -139,21 +139,22 @@
     reason,
     retryAfterMs,
   });
-  const what = EVIDENCE[reason];
+  const what = EVIDENCE_BY_REASON[reason];
   if (what !== undefined) {
-    deps.tellMembership({kind: 'evidence', address: side, what, incarnation});
+    deps.sendToMembership({kind: 'evidence', address: side, what, incarnation});
   }
-  const renewed = reason === 'incarnation' && incarnation !== terms.incarnation;
+  const wasRestarted =
+    reason === 'incarnation' && incarnation !== terms.incarnation;
   return {
     kind: 'refused',
     side,
     reason,
     retryAfterMs,
-    incarnation: renewed ? incarnation : undefined,
+    incarnation: wasRestarted ? incarnation : undefined,
   };
 }
 
-function offerOf(
+function buildOffer(
   deps: OfferDeps,
   spec: RequestSpec,
   dispatchId: DispatchId,
--- a/src/entry/run/answer_log.ts
+++ b/src/entry/run/answer_log.ts
@@ -16,23 +16,23 @@
 type PlacedEvent = Extract<RequestEvent, {readonly kind: 'placed'}>;
 
 /** Bytes of chunks kept for callers that resume at this entry. */
-const KEEP_BYTES = 1 << 20;
+const MAX_RETAINED_BYTES = 1 << 20;
 
 export interface AnswerLog {
   /** Next chunk that the answer lacks. */
   nextSeq(): number;
   tokens(): number;
   /** Chunks that a caller may have seen: they cannot be taken back. */
-  delivered(): number;
+  deliveredSeq(): number;
   /** Of the chunks kept to resume. */
-  keptBytes(): number;
-  final(): FinalEvent | undefined;
-  placed(event: PlacedEvent): void;
+  retainedBytes(): number;
+  finalEvent(): FinalEvent | undefined;
+  setPlacement(event: PlacedEvent): void;
   append(chunk: ChunkEvent): void;
   /** Lets the log begin later; only before its first chunk. */
-  beginAt(seq: number): void;
+  startAt(seq: number): void;
   /** Drops all chunks for those of another run; only if none was delivered. */
-  restart(): void;
+  discardChunks(): void;
   /** False when there was a final event before; the first one stands. */
   finish(event: FinalEvent): boolean;
   /**
@@ -59,37 +59,37 @@
   invariant: Invariant,
 ): AnswerLog {
   const listeners = new Map<RequestListener, Subscription>();
-  const kept: ChunkEvent[] = [];
-  let keptBytes = 0;
+  const retained: ChunkEvent[] = [];
+  let retainedBytes = 0;
   let nextSeq = firstSeq;
   let tokens = 0;
-  let delivered = firstSeq;
-  let placed: PlacedEvent | undefined;
-  let final: FinalEvent | undefined;
+  let deliveredSeq = firstSeq;
+  let placement: PlacedEvent | undefined;
+  let finalEvent: FinalEvent | undefined;
 
-  const tell = (event: RequestEvent) => {
+  const notifyAll = (event: RequestEvent) => {
     for (const [listener, subscription] of [...listeners]) {
-      tellOne(listener, subscription, event);
+      notify(listener, subscription, event);
     }
   };
 
-  const tellOne = (
+  const notify = (
     listener: RequestListener,
     {fromSeq, streamed}: Subscription,
     event: RequestEvent,
   ) => {
     if (event.kind === 'chunk') {
       if (event.seq < fromSeq) return;
-      if (streamed) delivered = Math.max(delivered, event.seq + 1);
+      if (streamed) deliveredSeq = Math.max(deliveredSeq, event.seq + 1);
     }
     listener(event);
   };
 
-  const keep = (chunk: ChunkEvent) => {
-    kept.push(chunk);
-    keptBytes += chunk.data.length;
-    while (keptBytes > KEEP_BYTES && kept.length > 1) {
-      keptBytes -= kept.shift()?.data.length ?? 0;
+  const retain = (chunk: ChunkEvent) => {
+    retained.push(chunk);
+    retainedBytes += chunk.data.length;
+    while (retainedBytes > MAX_RETAINED_BYTES && retained.length > 1) {
+      retainedBytes -= retained.shift()?.data.length ?? 0;
     }
   };
 
@@ -98,64 +98,66 @@
     listener: RequestListener,
     streamed = true,
   ) => {
-    const oldest = kept[0]?.seq ?? nextSeq;
+    const oldest = retained[0]?.seq ?? nextSeq;
     if (fromSeq < oldest) {
-      listener({kind: 'failed', error: outOfReach(id, fromSeq, oldest)});
+      listener({kind: 'failed', error: chunkNotRetained(id, fromSeq, oldest)});
       return;
     }
     const subscription = {fromSeq, streamed};
     // Who wants the rest has the chunks before it.
-    if (streamed) delivered = Math.max(delivered, fromSeq);
-    if (placed !== undefined) listener(placed);
-    for (const chunk of kept) tellOne(listener, subscription, chunk);
-    if (final === undefined) listeners.set(listener, subscription);
-    else listener(final);
+    if (streamed) deliveredSeq = Math.max(deliveredSeq, fromSeq);
+    if (placement !== undefined) listener(placement);
+    for (const chunk of retained) notify(listener, subscription, chunk);
+    if (finalEvent === undefined) listeners.set(listener, subscription);
+    else listener(finalEvent);
   };
 
   return {
     nextSeq: () => nextSeq,
     tokens: () => tokens,
-    delivered: () => delivered,
-    keptBytes: () => keptBytes,
-    final: () => final,
-    placed: event => {
-      if (final !== undefined) return;
-      placed = event;
-      tell(event);
+    deliveredSeq: () => deliveredSeq,
+    retainedBytes: () => retainedBytes,
+    finalEvent: () => finalEvent,
+    setPlacement: event => {
+      if (finalEvent !== undefined) return;
+      placement = event;
+      notifyAll(event);
     },
     append: chunk => {
-      invariant(final === undefined, 'no-chunk-after-final', {requestId: id});
+      invariant(finalEvent === undefined, 'no-chunk-after-final', {
+        requestId: id,
+      });
       invariant(chunk.seq === nextSeq, 'chunks-in-order', {
         requestId: id,
         seq: chunk.seq,
         expected: nextSeq,
       });
-      if (final !== undefined || chunk.seq !== nextSeq) return;
+      if (finalEvent !== undefined || chunk.seq !== nextSeq) return;
       nextSeq++;
       tokens += chunk.tokens;
-      keep(chunk);
-      tell(chunk);
+      retain(chunk);
+      notifyAll(chunk);
     },
-    beginAt: seq => {
-      if (kept.length === 0 && final === undefined) nextSeq = seq;
+    startAt: seq => {
+      if (retained.length === 0 && finalEvent === undefined) nextSeq = seq;
     },
-    restart: () => {
+    discardChunks: () => {
       // Chunks of two runs joined would be an answer that no run gave.
-      invariant(delivered === 0, 'answers-never-mixed', {
+      invariant(deliveredSeq === 0, 'answers-never-mixed', {
         requestId: id,
-        delivered,
+        delivered: deliveredSeq,
       });
-      if (delivered > 0 || nextSeq === 0 || final !== undefined) return;
-      kept.length = 0;
-      keptBytes = 0;
+      if (deliveredSeq > 0 || nextSeq === 0 || finalEvent !== undefined) return;
+      retained.length = 0;
+      retainedBytes = 0;
       nextSeq = 0;
       tokens = 0;
-      tell({kind: 'restarted'});
+      notifyAll({kind: 'restarted'});
     },
     finish: event => {
-      if (final !== undefined) return false;
-      final = event;
-      tell(event);
+      if (finalEvent !== undefined) return false;
+      finalEvent = event;
+      notifyAll(event);
       listeners.clear();
       return true;
     },
@@ -163,7 +165,11 @@
   };
 }
 
-function outOfReach(id: RequestId, fromSeq: number, oldest: number): OnyxError {
+function chunkNotRetained(
+  id: RequestId,
+  fromSeq: number,
+  oldest: number,
+): OnyxError {
   return new OnyxError({
     code: 'answer-incomplete',
     step: 'resume',
--- a/src/entry/run/answer_verifier.ts
+++ b/src/entry/run/answer_verifier.ts
@@ -7,31 +7,31 @@
 import {createDigest} from '../../utils/digest.js';
 
 /** `gap`: chunks before it are missing and have to be fetched again. */
-export type ChunkVerdict = 'next' | 'duplicate' | 'gap' | 'foreign';
+export type ChunkStatus = 'next' | 'duplicate' | 'gap' | 'foreign';
 /** `short`: chunks are missing. `changed`: the bytes are not the side's. */
-export type EndVerdict = 'whole' | 'short' | 'changed' | 'foreign';
+export type EndStatus = 'whole' | 'short' | 'changed' | 'foreign';
 
-export interface AnswerCheck {
+export interface AnswerVerifier {
   nextSeq(): number;
   /** Takes the chunk into account when it is the next one. */
-  chunk(chunk: Chunk): ChunkVerdict;
-  end(end: RunEnd): EndVerdict;
+  checkChunk(chunk: Chunk): ChunkStatus;
+  checkEnd(end: RunEnd): EndStatus;
 }
 
 /**
  * A check that starts after 0 (a run taken up in the middle) has not seen all
  * bytes: it holds the count, and leaves the digest to the entry that did.
  */
-export function createAnswerCheck(
+export function createAnswerVerifier(
   dispatchId: DispatchId,
   fromSeq: number,
-): AnswerCheck {
+): AnswerVerifier {
   const digest = createDigest();
   let nextSeq = fromSeq;
 
   return {
     nextSeq: () => nextSeq,
-    chunk: chunk => {
+    checkChunk: chunk => {
       // A late frame of an earlier attempt, or a mixed-up channel: taken as
       // ours it would put another answer's words into this one.
       if (chunk.dispatchId !== dispatchId) return 'foreign';
@@ -41,7 +41,7 @@
       digest.update(chunk.data);
       return 'next';
     },
-    end: end => {
+    checkEnd: end => {
       if (end.dispatchId !== dispatchId) return 'foreign';
       if (end.count > nextSeq) return 'short';
       if (end.count < nextSeq) return 'changed';
--- a/src/entry/run/attempt.ts
+++ b/src/entry/run/attempt.ts
@@ -23,7 +23,7 @@
 import type {Transport} from '../../types/transport.js';
 import {REQUEST_EVENTS} from '../../utils/events.js';
 import {abandonDispatch} from './abandon.js';
-import {createAnswerCheck} from './answer_verifier.js';
+import {createAnswerVerifier} from './answer_verifier.js';
 import type {AnswerLog} from './answer_log.js';
 import {sendPrompt} from './prompt_sender.js';
 import {openRunLink} from './run_link.js';
@@ -31,12 +31,12 @@
 import type {RequestTiming} from '../timing.js';
 
 /** Chunks between acknowledgements. */
-const ACK_EVERY = 32;
+const ACK_INTERVAL_CHUNKS = 32;
 /**
  * Acknowledgements lag so far behind: a caller that resumes at another entry
  * after this one died may lack chunks which this one had sent to its socket.
  */
-const ACK_LAG = 256;
+const ACK_LAG_CHUNKS = 256;
 
 export type AttemptOutcome =
   | {readonly kind: 'end'; readonly end: RunEnd}
@@ -66,7 +66,7 @@
     /** On this process's clock. */
     readonly deadlineAt: number;
   };
-  readonly answer: AnswerLog;
+  readonly answerLog: AnswerLog;
   /** The run was handed to the upstream. */
   readonly onStarted?: () => void;
   /** Direct evidence about the side, for the membership. */
@@ -89,31 +89,34 @@
 /** Starts the attempt at once. */
 export function startAttempt(deps: AttemptDeps, spec: AttemptSpec): Attempt {
   const {clock, timing} = deps;
-  const check = createAnswerCheck(spec.dispatchId, spec.answer.nextSeq());
+  const verifier = createAnswerVerifier(
+    spec.dispatchId,
+    spec.answerLog.nextSeq(),
+  );
   let link: RunLink | undefined;
-  let relinkTimer: Cancel = () => undefined;
-  let renewals = 0;
+  let cancelReconnect: Cancel = () => undefined;
+  let reconnects = 0;
   let promptSent = spec.go === undefined;
   let started = false;
   let linkOpenedAt = clock.now();
-  let linkHeard = false;
-  let heardOnce = false;
-  let endRefetched = false;
+  let linkReceivedFrame = false;
+  let receivedFrame = false;
+  let endFetchedAgain = false;
   let settled = false;
-  let settle: (outcome: AttemptOutcome) => void = () => undefined;
+  let resolveOutcome: (outcome: AttemptOutcome) => void = () => undefined;
   const outcome = new Promise<AttemptOutcome>(resolve => {
-    settle = resolve;
+    resolveOutcome = resolve;
   });
 
   const finish = (result: AttemptOutcome) => {
     if (settled) return;
     settled = true;
-    relinkTimer();
+    cancelReconnect();
     link?.close();
-    settle(result);
+    resolveOutcome(result);
   };
 
-  const drop = (reason: string, frame: RunDown) => {
+  const recordDroppedFrame = (reason: string, frame: RunDown) => {
     deps.metrics.count('onyxloft_dropped_frames_total', {reason});
     deps.log(REQUEST_EVENTS.frameDropped, {
       dispatchId: spec.dispatchId,
@@ -124,46 +127,46 @@
   };
 
   const onChunk = (chunk: Chunk) => {
-    const verdict = check.chunk(chunk);
-    if (verdict !== 'next') {
-      drop(verdict, chunk);
-      if (verdict === 'gap') renew('gap');
+    const status = verifier.checkChunk(chunk);
+    if (status !== 'next') {
+      recordDroppedFrame(status, chunk);
+      if (status === 'gap') reconnect('gap');
       return;
     }
     started = true;
-    renewals = 0;
-    spec.answer.append({
+    reconnects = 0;
+    spec.answerLog.append({
       kind: 'chunk',
       seq: chunk.seq,
       data: chunk.data,
       tokens: chunk.tokens,
       callHead: chunk.callHead,
     });
-    const ackable = check.nextSeq() - ACK_LAG;
-    if (ackable > 0 && ackable % ACK_EVERY === 0) {
-      void link?.send({kind: 'ack', nextSeq: ackable});
+    const ackSeq = verifier.nextSeq() - ACK_LAG_CHUNKS;
+    if (ackSeq > 0 && ackSeq % ACK_INTERVAL_CHUNKS === 0) {
+      void link?.send({kind: 'ack', nextSeq: ackSeq});
     }
   };
 
   const onEnd = (end: RunEnd) => {
-    const verdict = check.end(end);
-    if (verdict === 'whole') {
+    const status = verifier.checkEnd(end);
+    if (status === 'whole') {
       void link?.send({kind: 'ack', nextSeq: end.count});
       finish({kind: 'end', end});
       return;
     }
-    drop(verdict, end);
-    if (verdict === 'short') renew('short');
-    if (verdict !== 'changed') return;
+    recordDroppedFrame(status, end);
+    if (status === 'short') reconnect('short');
+    if (status !== 'changed') return;
     // The end frame itself may be the damaged one: fetched again once.
-    if (endRefetched) finish({kind: 'changed'});
-    endRefetched = true;
-    renew('changed');
+    if (endFetchedAgain) finish({kind: 'changed'});
+    endFetchedAgain = true;
+    reconnect('changed');
   };
 
   const onFrame = (frame: RunDown) => {
-    linkHeard = true;
-    heardOnce = true;
+    linkReceivedFrame = true;
+    receivedFrame = true;
     switch (frame.kind) {
       case 'started':
         started = true;
@@ -176,7 +179,8 @@
         onEnd(frame);
         return;
       case 'failed':
-        if (frame.dispatchId !== spec.dispatchId) drop('foreign', frame);
+        if (frame.dispatchId !== spec.dispatchId)
+          recordDroppedFrame('foreign', frame);
         else finish({kind: 'failed', failed: frame});
         return;
       case 'beat':
@@ -184,33 +188,33 @@
     }
   };
 
-  const open = (fresh: boolean): RunLink => {
+  const openLink = (newConnection: boolean): RunLink => {
     linkOpenedAt = clock.now();
-    linkHeard = false;
+    linkReceivedFrame = false;
     return openRunLink({
       transport: deps.transport,
       clock,
       timing,
       side: spec.side,
-      fresh,
+      newConnection: newConnection,
       onFrame,
       onLost: onLinkLost,
     });
   };
 
   const onLinkLost = (loss: LinkLoss) => {
-    if (!settled) renew(loss);
+    if (!settled) reconnect(loss);
   };
 
   /** Takes the run up on a new connection, from the next chunk. */
-  const renew = (reason: string) => {
+  const reconnect = (reason: string) => {
     if (settled) return;
     link?.close();
-    relinkTimer();
-    if (linkWasSound()) renewals = 0;
-    renewals++;
+    cancelReconnect();
+    if (linkWorked()) reconnects = 0;
+    reconnects++;
     // A prompt cut short cannot be taken up; the side's answer decides.
-    if (!promptSent || renewals > timing.attachTries) {
+    if (!promptSent || reconnects > timing.maxReconnects) {
       void giveUp(reason);
       return;
     }
@@ -218,32 +222,35 @@
       dispatchId: spec.dispatchId,
       side: spec.side,
       reason,
-      fromSeq: check.nextSeq(),
-      renewal: renewals,
+      fromSeq: verifier.nextSeq(),
+      renewal: reconnects,
     });
     deps.metrics.count('onyxloft_channel_renewals_total', {reason});
-    relinkTimer = clock.after(renewPauseMs(), attach);
+    cancelReconnect = clock.after(reconnectDelayMs(), attach);
   };
 
   /** A long prefill may well outlive several connections. */
-  const linkWasSound = () =>
-    linkHeard && clock.now() - linkOpenedAt > 2 * timing.silenceMs;
+  const linkWorked = () =>
+    linkReceivedFrame &&
+    clock.now() - linkOpenedAt > 2 * timing.silenceTimeoutMs;
 
-  const renewPauseMs = () =>
-    renewals <= 1
+  const reconnectDelayMs = () =>
+    reconnects <= 1
       ? 0
-      : timing.retryPauseMs * 2 ** (renewals - 2) * (0.5 + deps.random.next());
+      : timing.retryBackoffMs *
+        2 ** (reconnects - 2) *
+        (0.5 + deps.random.next());
 
   const attach = () => {
     if (settled) return;
-    link = open(renewals > 0);
+    link = openLink(reconnects > 0);
     void link.send({
       kind: 'attach',
       dispatchId: spec.dispatchId,
       organisation: spec.organisation,
       entry: deps.node,
-      fromSeq: check.nextSeq(),
-      takeOver: spec.go === undefined && !heardOnce,
+      fromSeq: verifier.nextSeq(),
+      takeOver: spec.go === undefined && !receivedFrame,
     });
   };
 
@@ -261,8 +268,8 @@
     });
   };
 
-  const begin = async (go: NonNullable<AttemptSpec['go']>) => {
-    link = open(false);
+  const sendGo = async (go: NonNullable<AttemptSpec['go']>) => {
+    link = openLink(false);
     const first = link;
     await first.send({
       kind: 'go',
@@ -271,7 +278,7 @@
       timeLeftMs: Math.max(0, go.deadlineAt - clock.now()),
       call: go.call,
     });
-    if (first.closed()) return;
+    if (first.isClosed()) return;
     promptSent = await sendPrompt(first, go.body);
   };
 
@@ -285,7 +292,7 @@
   };
 
   if (spec.go === undefined) attach();
-  else void begin(spec.go);
+  else void sendGo(spec.go);
 
   return {
     outcome,
@@ -294,7 +301,7 @@
     abandon: reason => {
       if (settled) return;
       link?.close();
-      relinkTimer();
+      cancelReconnect();
       void giveUp(reason);
     },
   };
--- a/src/entry/run/attempt_decision.ts
+++ b/src/entry/run/attempt_decision.ts
@@ -7,16 +7,16 @@
 import type {RunFailed} from '../../types/peer_messages.js';
 import type {AttemptOutcome} from './attempt.js';
 
-export interface VerdictInput {
+export interface AttemptContext {
   readonly side: Address;
   readonly repeatable: boolean;
   /** Chunks that came: evidence that it ran. */
-  readonly received: number;
+  readonly receivedChunks: number;
   /** Chunks that a caller has seen. */
-  readonly delivered: number;
+  readonly deliveredChunks: number;
 }
 
-export type Verdict =
+export type AttemptDecision =
   | {readonly kind: 'end'; readonly outcome: AttemptOutcome & {kind: 'end'}}
   | {readonly kind: 'fail'; readonly details: ErrorDetails; readonly ran: Ran}
   /** `details` is the failure to give if no other try can be made. */
@@ -42,7 +42,7 @@
   'upstream-lost',
 ]);
 
-const PASSED_ON: ReadonlySet<string> = new Set<ErrorCode>([
+const FORWARDED_CODES: ReadonlySet<string> = new Set<ErrorCode>([
   'bad-request',
   'too-large',
   'unknown-model',
@@ -54,10 +54,10 @@
 ]);
 
 /** Undefined when the attempt was stopped: its request is over already. */
-export function judgeOutcome(
+export function decideAfterAttempt(
   outcome: AttemptOutcome,
-  input: VerdictInput,
-): Verdict | undefined {
+  context: AttemptContext,
+): AttemptDecision | undefined {
   switch (outcome.kind) {
     case 'stopped':
       return undefined;
@@ -70,54 +70,61 @@
         details: {
           code: 'answer-incomplete',
           step: 'answer',
-          peer: input.side,
+          peer: context.side,
           message: 'the answer is not what the side sent; count or digest',
         },
       };
     case 'failed':
-      return afterFailure(outcome.failed, input);
+      return decideAfterFailure(outcome.failed, context);
     case 'lost':
-      return again(outcome.ran, input, {
+      return retryOrFail(outcome.ran, context, {
         code: 'upstream-lost',
         step: 'run',
-        peer: input.side,
+        peer: context.side,
         message: `the side went away in mid-run (${outcome.reason})`,
       });
   }
 }
 
-function afterFailure(failed: RunFailed, input: VerdictInput): Verdict {
+function decideAfterFailure(
+  failed: RunFailed,
+  context: AttemptContext,
+): AttemptDecision {
   const details: ErrorDetails = {
-    code: codeOf(failed.code),
+    code: callerCodeOf(failed.code),
     step: 'run',
-    peer: input.side,
+    peer: context.side,
     message: failed.message,
     retryAfterMs: failed.retryAfterMs > 0 ? failed.retryAfterMs : undefined,
   };
   if (FINAL_CODES.has(failed.code)) {
-    return {kind: 'fail', details, ran: honestRan(failed.ran, input)};
+    return {kind: 'fail', details, ran: confirmedRan(failed.ran, context)};
   }
-  return again(failed.ran, input, details);
+  return retryOrFail(failed.ran, context, details);
 }
 
 /** The side's codes are more than those that callers rely on. */
-function codeOf(code: string): ErrorCode {
-  if (PASSED_ON.has(code)) return code as ErrorCode;
+function callerCodeOf(code: string): ErrorCode {
+  if (FORWARDED_CODES.has(code)) return code as ErrorCode;
   return LOST_CODES.has(code) ? 'upstream-lost' : 'upstream-failed';
 }
 
-function again(said: Ran, input: VerdictInput, details: ErrorDetails): Verdict {
-  const ran = honestRan(said, input);
+function retryOrFail(
+  reportedRan: Ran,
+  context: AttemptContext,
+  details: ErrorDetails,
+): AttemptDecision {
+  const ran = confirmedRan(reportedRan, context);
   // A second run need not give the same words: its chunks after those of the
   // first would make an answer that no run gave.
-  if (input.delivered > 0) return {kind: 'fail', details, ran};
+  if (context.deliveredChunks > 0) return {kind: 'fail', details, ran};
   // Without the side's answer the first run may still go on: a second one would
   // do twice what must be done once.
-  if (!input.repeatable && ran !== 'no') return {kind: 'fail', details, ran};
+  if (!context.repeatable && ran !== 'no') return {kind: 'fail', details, ran};
   return {kind: 'retry', details, ran};
 }
 
 /** Chunks that came tell that it ran, whatever is said. */
-function honestRan(said: Ran, input: VerdictInput): Ran {
-  return input.received > 0 ? 'yes' : said;
+function confirmedRan(reportedRan: Ran, context: AttemptContext): Ran {
+  return context.receivedChunks > 0 ? 'yes' : reportedRan;
 }
--- a/src/entry/run/caller_link.ts
+++ b/src/entry/run/caller_link.ts
@@ -9,13 +9,13 @@
 import type {RequestEvent, RequestListener} from '../../types/services.js';
 import {FRONT_EVENTS} from '../../utils/events.js';
 import type {ResponseWriter} from '../front/response_writers.js';
-import {asOnyxError} from '../entry_errors.js';
+import {toOnyxError} from '../entry_errors.js';
 
 /** How a request ended for its caller. */
-export type Outcome =
+export type CallerOutcome =
   'complete' | 'refused' | 'failed' | 'cancelled' | 'superseded';
 
-export interface LinkOptions {
+export interface CallerLinkOptions {
   readonly id: RequestId;
   readonly res: ServerResponse;
   readonly writer: ResponseWriter;
@@ -23,17 +23,17 @@
   readonly fromSeq: number;
   /** On this process's clock; undefined when another entry admitted it. */
   readonly deadlineAt: number | undefined;
-  readonly timing: LinkTiming;
+  readonly timing: CallerLinkTiming;
   /** Most of an answer that may wait for a slow caller, in bytes. */
-  readonly maxAnswerBytes: number;
+  readonly maxUnsentResponseBytes: number;
   /** Ends the run. */
   readonly cancelRun: () => void;
   readonly onFirstChunk: () => void;
   /** Called once, with the error if there was one. */
-  readonly onEnd: (outcome: Outcome, error?: OnyxError) => void;
+  readonly onEnd: (outcome: CallerOutcome, error?: OnyxError) => void;
 }
 
-export interface LinkTiming {
+export interface CallerLinkTiming {
   /** Period of beats on a quiet stream. */
   readonly keepAliveIntervalMs: number;
   /** How long a caller that left may come back before its run is cancelled. */
@@ -42,7 +42,7 @@
   readonly deadlineGraceMs: number;
 }
 
-export interface Link {
+export interface CallerLink {
   readonly listener: RequestListener;
   /** Another connection of the caller takes over. */
   supersede(): void;
@@ -54,14 +54,17 @@
 type LinkState = 'open' | 'left' | 'ended';
 
 /** Joins them; the listener is to be handed to `requests`. */
-export function createLink(runtime: Runtime, options: LinkOptions): Link {
-  const {id, res, writer: answer, timing} = options;
+export function createCallerLink(
+  runtime: Runtime,
+  options: CallerLinkOptions,
+): CallerLink {
+  const {id, res, writer, timing} = options;
   const timers: Cancel[] = [];
   let state: LinkState = 'open';
   let nextSeq = options.fromSeq;
-  let begun = false;
+  let firstChunkReported = false;
 
-  const settle = (outcome: Outcome, error?: OnyxError) => {
+  const settle = (outcome: CallerOutcome, error?: OnyxError) => {
     if (state === 'ended') return;
     state = 'ended';
     for (const cancel of timers) cancel();
@@ -70,7 +73,7 @@
 
   const fail = (error: OnyxError) => {
     if (state === 'ended') return;
-    if (state === 'open') answer.fail(error);
+    if (state === 'open') writer.fail(error);
     settle(error.ran === 'no' ? 'refused' : 'failed', error);
   };
 
@@ -83,29 +86,30 @@
   const onChunk = (event: Extract<RequestEvent, {kind: 'chunk'}>) => {
     // A lost or doubled chunk would reach the caller as a text with a hole or
     // a repetition that looks whole. Chunks are numbered, so both show here.
-    if (event.seq !== nextSeq) throw outOfOrder(id, event.seq, nextSeq);
+    if (event.seq !== nextSeq) throw chunksOutOfOrder(id, event.seq, nextSeq);
     nextSeq += 1;
     // After a restart chunk 0 comes once more.
-    if (event.seq === 0 && !begun) options.onFirstChunk();
-    begun = true;
-    answer.writeChunk(event);
-    checkBuffered();
+    if (event.seq === 0 && !firstChunkReported) options.onFirstChunk();
+    firstChunkReported = true;
+    writer.writeChunk(event);
+    checkUnsentBytes();
   };
 
   const onRestart = () => {
-    answer.discardChunks();
+    writer.discardChunks();
     nextSeq = 0;
   };
 
   const onEnd = (event: Extract<RequestEvent, {kind: 'end'}>) => {
-    if (event.count !== nextSeq) throw outOfOrder(id, event.count, nextSeq);
-    answer.end(event);
+    if (event.count !== nextSeq)
+      throw chunksOutOfOrder(id, event.count, nextSeq);
+    writer.end(event);
     settle('complete');
   };
 
   /** Nothing slows a run down, so a caller that does not read fills memory. */
-  const checkBuffered = () => {
-    if (res.writableLength <= options.maxAnswerBytes) return;
+  const checkUnsentBytes = () => {
+    if (res.writableLength <= options.maxUnsentResponseBytes) return;
     runtime.log(FRONT_EVENTS.callerSlow, {
       requestId: id,
       bufferedBytes: res.writableLength,
@@ -113,8 +117,8 @@
     res.destroy();
   };
 
-  const apply = (event: RequestEvent) => {
-    if (event.kind === 'placed') answer.setDispatch(event.dispatchId);
+  const handleEvent = (event: RequestEvent) => {
+    if (event.kind === 'placed') writer.setDispatch(event.dispatchId);
     else if (event.kind === 'chunk') onChunk(event);
     else if (event.kind === 'restarted') onRestart();
     else if (event.kind === 'end') onEnd(event);
@@ -128,17 +132,17 @@
       return;
     }
     try {
-      apply(event);
+      handleEvent(event);
     } catch (err) {
       if (!(err instanceof OnyxError)) {
         const cause = err instanceof Error ? err.stack : String(err);
         runtime.log(FRONT_EVENTS.frontFailed, {requestId: id, cause});
       }
-      abort(asOnyxError(err, 'answer'));
+      abort(toOnyxError(err, 'answer'));
     }
   };
 
-  const leave = () => {
+  const onCallerDisconnect = () => {
     if (state !== 'open') return;
     state = 'left';
     const graceMs = timing.disconnectGraceMs;
@@ -151,25 +155,25 @@
     );
   };
 
-  const guardDeadline = (deadlineAt: number) => {
+  const watchDeadline = (deadlineAt: number) => {
     // If the service that owns the request fails or loses it, nobody else
     // would end the caller's wait: the promise of an end in time is kept here.
     const dueMs = deadlineAt - runtime.clock.now() + timing.deadlineGraceMs;
     const cancel = runtime.clock.after(dueMs, () => {
       const overdueMs = runtime.clock.now() - deadlineAt;
       runtime.log(FRONT_EVENTS.overdue, {requestId: id, overdueMs});
-      abort(overdue(id));
+      abort(deadlineExceeded(id));
     });
     timers.push(cancel);
   };
 
-  res.on('close', leave);
+  res.on('close', onCallerDisconnect);
   timers.push(
     runtime.clock.every(timing.keepAliveIntervalMs, () => {
-      if (state === 'open') answer.keepAlive();
+      if (state === 'open') writer.keepAlive();
     }),
   );
-  if (options.deadlineAt !== undefined) guardDeadline(options.deadlineAt);
+  if (options.deadlineAt !== undefined) watchDeadline(options.deadlineAt);
 
   return {
     listener,
@@ -188,17 +192,21 @@
   };
 }
 
-function outOfOrder(id: RequestId, seq: number, wanted: number): OnyxError {
+function chunksOutOfOrder(
+  id: RequestId,
+  seq: number,
+  expected: number,
+): OnyxError {
   return new OnyxError({
     code: 'answer-incomplete',
     step: 'answer',
     requestId: id,
-    message: `the answer goes on at chunk ${seq} where ${wanted} was due`,
+    message: `the answer goes on at chunk ${seq} where ${expected} was due`,
     ran: 'yes',
   });
 }
 
-function overdue(id: RequestId): OnyxError {
+function deadlineExceeded(id: RequestId): OnyxError {
   return new OnyxError({
     code: 'deadline-exceeded',
     step: 'answer',
--- a/src/entry/run/execute_request.ts
+++ b/src/entry/run/execute_request.ts
@@ -14,82 +14,89 @@
 import type {ReservedPart} from '../groups/group_reserve.js';
 import {runGroup} from '../groups/group_run.js';
 import type {AcceptedOffer, OfferDeps} from '../routing/send_offer.js';
-import {offerRound} from '../routing/offer_round.js';
+import {runOfferRound} from '../routing/offer_round.js';
 import {
   failedEvent,
-  isOver,
+  isFinished,
   isTakenOver,
-  strongerRan,
+  mergeRan,
 } from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
 import {RETRY_AFTER_MS} from '../routing/refusals.js';
 import type {RetryBudget} from '../../limits/retry_budget.js';
-import {judgeOutcome} from './attempt_decision.js';
-import type {Verdict} from './attempt_decision.js';
+import {decideAfterAttempt} from './attempt_decision.js';
+import type {AttemptDecision} from './attempt_decision.js';
 
-export interface DriveDeps extends OfferDeps {
-  readonly budget: RetryBudget;
+export interface ExecuteDeps extends OfferDeps {
+  readonly retryBudget: RetryBudget;
   /** Gives the request its final event, unless it has one. */
   readonly finish: (open: OpenRequest, event: FinalEvent) => void;
 }
 
 /** What was tried so far. */
-interface Past {
+interface AttemptHistory {
   readonly tries: number;
   /** Incarnations on which an attempt failed. */
-  readonly lost: ReadonlySet<Incarnation>;
+  readonly failedIncarnations: ReadonlySet<Incarnation>;
 }
 
 /** Resolves when the request is over. Does not throw for the request's sake. */
-export async function driveRequest(
-  deps: DriveDeps,
+export async function executeRequest(
+  deps: ExecuteDeps,
   open: OpenRequest,
   spec: RequestSpec,
 ): Promise<void> {
-  const lost = new Set<Incarnation>();
-  deps.budget.onFirstAttempt(spec.config.declarations.policy.retryRatio);
-  for (let tries = 1; !isOver(open); tries++) {
-    const placed = await place(deps, open, spec, lost);
-    if (placed.kind === 'over') return;
-    if (placed.kind === 'none') {
-      deps.finish(open, failedEvent(open, placed.details));
+  const failedIncarnations = new Set<Incarnation>();
+  deps.retryBudget.onFirstAttempt(spec.config.declarations.policy.retryRatio);
+  for (let tries = 1; !isFinished(open); tries++) {
+    const placement = await placeRequest(deps, open, spec, failedIncarnations);
+    if (placement.kind === 'over') return;
+    if (placement.kind === 'none') {
+      deps.finish(open, failedEvent(open, placement.details));
       return;
     }
-    assertMayRun(deps, open, spec);
+    checkMayRun(deps, open, spec);
     const outcome =
-      placed.kind === 'reserved'
-        ? await runGroup(deps, open, spec, placed.parts)
-        : await runOn(deps, open, spec, placed);
+      placement.kind === 'reserved'
+        ? await runGroup(deps, open, spec, placement.parts)
+        : await runOnSide(deps, open, spec, placement);
     // A group is gathered anew from all that answer: which of its members
     // failed is the membership's to say.
-    if (placed.kind === 'accepted') lost.add(placed.incarnation);
+    if (placement.kind === 'accepted')
+      failedIncarnations.add(placement.incarnation);
     open.takenOver = isTakenOver(outcome);
-    const verdict = judgeOutcome(outcome, {
+    const decision = decideAfterAttempt(outcome, {
       side: open.side,
       repeatable: spec.repeatable,
-      received: open.answer.nextSeq(),
-      delivered: open.answer.delivered(),
+      receivedChunks: open.answerLog.nextSeq(),
+      deliveredChunks: open.answerLog.deliveredSeq(),
     });
-    if (verdict === undefined || isOver(open)) return;
-    if (!(await goesOn(deps, open, spec, verdict, {tries, lost}))) return;
+    if (decision === undefined || isFinished(open)) return;
+    if (
+      !(await applyDecision(deps, open, spec, decision, {
+        tries,
+        failedIncarnations,
+      }))
+    )
+      return;
   }
 }
 
-type Placed =
+type PlacementResult =
   | AcceptedOffer
   | {readonly kind: 'reserved'; readonly parts: readonly ReservedPart[]}
   | {readonly kind: 'none'; readonly details: ErrorDetails}
   | {readonly kind: 'over'};
 
 /** Gets the request a place on one engine, or on a group where it needs one. */
-function place(
-  deps: DriveDeps,
+function placeRequest(
+  deps: ExecuteDeps,
   open: OpenRequest,
   spec: RequestSpec,
-  lost: ReadonlySet<Incarnation>,
-): Promise<Placed> {
-  const rank = () => deps.router.rank(spec, lost);
-  const ranked = rank();
+  failedIncarnations: ReadonlySet<Incarnation>,
+): Promise<PlacementResult> {
+  const rankCandidates = () => deps.router.rank(spec, failedIncarnations);
+  const ranked = rankCandidates();
   if (ranked.length === 0) {
     deps.log(ROUTING_EVENTS.noCandidate, {
       requestId: spec.id,
@@ -98,12 +105,12 @@
     });
   }
   return planGroup(spec, ranked).kind === 'single'
-    ? offerRound(deps, open, spec, ranked)
-    : reserveGroup(deps, open, spec, rank);
+    ? runOfferRound(deps, open, spec, ranked)
+    : reserveGroup(deps, open, spec, rankCandidates);
 }
 
-async function runOn(
-  deps: DriveDeps,
+async function runOnSide(
+  deps: ExecuteDeps,
   open: OpenRequest,
   spec: RequestSpec,
   offer: AcceptedOffer,
@@ -112,30 +119,35 @@
   const {dispatchId} = offer;
   open.side = side;
   open.dispatchId = dispatchId;
-  deps.tellMembership({kind: 'own', address: side, dispatchId});
-  open.answer.placed({kind: 'placed', dispatchId, side});
+  deps.sendToMembership({kind: 'own', address: side, dispatchId});
+  open.answerLog.setPlacement({kind: 'placed', dispatchId, side});
   const attempt = startAttempt(deps, {
     side,
     dispatchId,
     incarnation: offer.incarnation,
     organisation: spec.organisation,
     go: {body: spec.body, call: spec.call, deadlineAt: spec.deadlineAt},
-    answer: open.answer,
+    answerLog: open.answerLog,
     onEvidence: (what, incarnation) =>
-      deps.tellMembership({kind: 'evidence', address: side, what, incarnation}),
+      deps.sendToMembership({
+        kind: 'evidence',
+        address: side,
+        what,
+        incarnation,
+      }),
   });
-  open.stopAttempt = attempt.stop;
-  open.attemptRan = attempt.ran;
+  open.stopCurrentAttempt = attempt.stop;
+  open.currentAttemptRan = attempt.ran;
   const outcome = await attempt.outcome;
-  open.stopAttempt = undefined;
-  open.attemptRan = undefined;
-  deps.tellMembership({kind: 'disown', address: side, dispatchId});
-  deps.router.attemptOver(side, dispatchId);
+  open.stopCurrentAttempt = undefined;
+  open.currentAttemptRan = undefined;
+  deps.sendToMembership({kind: 'disown', address: side, dispatchId});
+  deps.router.endAssignment(side, dispatchId);
   return outcome;
 }
 
-function assertMayRun(
-  deps: DriveDeps,
+function checkMayRun(
+  deps: ExecuteDeps,
   open: OpenRequest,
   spec: RequestSpec,
 ): void {
@@ -144,78 +156,78 @@
     'not-repeatable-runs-once',
     {requestId: spec.id, ran: open.ran},
   );
-  deps.invariant(open.answer.nextSeq() === 0, 'answers-never-mixed', {
+  deps.invariant(open.answerLog.nextSeq() === 0, 'answers-never-mixed', {
     requestId: spec.id,
-    delivered: open.answer.nextSeq(),
+    delivered: open.answerLog.nextSeq(),
   });
 }
 
 /** Applies the verdict; true when another attempt is to be made. */
-async function goesOn(
-  deps: DriveDeps,
+async function applyDecision(
+  deps: ExecuteDeps,
   open: OpenRequest,
   spec: RequestSpec,
-  verdict: Verdict,
-  past: Past,
+  decision: AttemptDecision,
+  history: AttemptHistory,
 ): Promise<boolean> {
-  if (verdict.kind === 'end') {
-    const {end} = verdict.outcome;
-    deps.router.ended(spec, end.cachedTokens);
+  if (decision.kind === 'end') {
+    const {end} = decision.outcome;
+    deps.router.recordCachedTokens(spec, end.cachedTokens);
     deps.finish(open, {
       kind: 'end',
       count: end.count,
-      tokens: open.answer.tokens(),
+      tokens: open.answerLog.tokens(),
       finishReason: end.finishReason,
       cachedTokens: end.cachedTokens,
     });
     return false;
   }
-  open.ran = strongerRan(open.ran, verdict.ran);
+  open.ran = mergeRan(open.ran, decision.ran);
   deps.log(REQUEST_EVENTS.attemptLost, {
     dispatchId: open.dispatchId,
     side: open.side,
-    ran: verdict.ran,
-    cause: verdict.details.message,
+    ran: decision.ran,
+    cause: decision.details.message,
   });
-  if (verdict.kind === 'retry' && mayRetry(deps, spec, verdict, past)) {
+  if (decision.kind === 'retry' && mayRetry(deps, spec, decision, history)) {
     // Before the pause: a caller that joins during it must not be shown chunks
     // of the run that was given up.
-    open.answer.restart();
-    deps.metrics.count('onyxloft_retries_total', {ran: verdict.ran});
+    open.answerLog.discardChunks();
+    deps.metrics.count('onyxloft_retries_total', {ran: decision.ran});
     deps.log(REQUEST_EVENTS.retried, {
       requestId: spec.id,
-      tries: past.tries,
+      tries: history.tries,
     });
-    await pause(deps, past.tries);
-    return !isOver(open);
+    await waitBeforeRetry(deps, history.tries);
+    return !isFinished(open);
   }
   const retryAfterMs =
-    verdict.details.retryAfterMs ??
-    (verdict.kind === 'retry' ? RETRY_AFTER_MS : undefined);
-  deps.finish(open, failedEvent(open, {...verdict.details, retryAfterMs}));
+    decision.details.retryAfterMs ??
+    (decision.kind === 'retry' ? RETRY_AFTER_MS : undefined);
+  deps.finish(open, failedEvent(open, {...decision.details, retryAfterMs}));
   return false;
 }
 
 function mayRetry(
-  deps: DriveDeps,
+  deps: ExecuteDeps,
   spec: RequestSpec,
-  verdict: Verdict & {kind: 'retry'},
-  past: Past,
+  decision: AttemptDecision & {kind: 'retry'},
+  past: AttemptHistory,
 ): boolean {
   if (past.tries >= spec.config.declarations.policy.maxOffers) return false;
   // Work that did not run adds no load when it runs elsewhere, and an offer
   // costs little: whether there is time for it is the sides' to say.
-  if (verdict.ran === 'no') return true;
-  const best = deps.router.rank(spec, past.lost)[0];
+  if (decision.ran === 'no') return true;
+  const best = deps.router.rank(spec, past.failedIncarnations)[0];
   if (best === undefined) return false;
   const timeLeftMs = spec.deadlineAt - deps.clock.now();
   // It could only end late: the caller is better served by the failure now.
   if (best.predictedFirstTokenMs >= timeLeftMs) return false;
-  return deps.budget.take();
+  return deps.retryBudget.take();
 }
 
-function pause(deps: DriveDeps, tries: number): Promise<void> {
+function waitBeforeRetry(deps: ExecuteDeps, tries: number): Promise<void> {
   const jitter = 0.5 + deps.random.next();
-  const delayMs = deps.timing.retryPauseMs * 2 ** (tries - 1) * jitter;
+  const delayMs = deps.timing.retryBackoffMs * 2 ** (tries - 1) * jitter;
   return new Promise(resolve => deps.clock.after(delayMs, resolve));
 }
--- a/src/entry/run/first_token_metrics.ts
+++ b/src/entry/run/first_token_metrics.ts
@@ -10,16 +10,20 @@
 import type {Clock, Metrics} from '../../types/runtime.js';
 
 const WINDOW_MS = 10 * 60_000;
-const SLOT_MS = 60_000;
+const BUCKET_MS = 60_000;
 
-interface Slot {
+interface MinimumBucket {
   readonly startsAt: number;
-  readonly leastMs: number;
+  readonly minMs: number;
 }
 
 export interface FirstTokenMetrics {
   /** `shortest` tells whether this is the class of the shortest prompts. */
-  record(lengthClass: string, firstTokenMs: number, shortest: boolean): void;
+  record(
+    lengthClass: string,
+    firstTokenMs: number,
+    isShortestClass: boolean,
+  ): void;
 }
 
 /** Starts with an empty window. */
@@ -27,33 +31,33 @@
   metrics: Metrics,
   clock: Clock,
 ): FirstTokenMetrics {
-  let slots: readonly Slot[] = [];
+  let buckets: readonly MinimumBucket[] = [];
 
-  const note = (firstTokenMs: number) => {
+  const updateMinimum = (firstTokenMs: number) => {
     const now = clock.now();
-    const kept = slots.filter(slot => slot.startsAt > now - WINDOW_MS);
-    const last = kept.at(-1);
-    if (last === undefined || now - last.startsAt >= SLOT_MS) {
-      slots = [...kept, {startsAt: now, leastMs: firstTokenMs}];
+    const recent = buckets.filter(slot => slot.startsAt > now - WINDOW_MS);
+    const last = recent.at(-1);
+    if (last === undefined || now - last.startsAt >= BUCKET_MS) {
+      buckets = [...recent, {startsAt: now, minMs: firstTokenMs}];
       return;
     }
-    const leastMs = Math.min(last.leastMs, firstTokenMs);
-    slots = [...kept.slice(0, -1), {startsAt: last.startsAt, leastMs}];
+    const minMs = Math.min(last.minMs, firstTokenMs);
+    buckets = [...recent.slice(0, -1), {startsAt: last.startsAt, minMs}];
   };
 
   const record = (
     lengthClass: string,
     firstTokenMs: number,
-    shortest: boolean,
+    isShortestClass: boolean,
   ) => {
     metrics.observe(
       'onyxloft_first_token_ms',
       {length_class: lengthClass},
       firstTokenMs,
     );
-    if (!shortest) return;
-    note(firstTokenMs);
-    const aloneMs = Math.min(...slots.map(slot => slot.leastMs));
+    if (!isShortestClass) return;
+    updateMinimum(firstTokenMs);
+    const aloneMs = Math.min(...buckets.map(slot => slot.minMs));
     if (aloneMs <= 0) return;
     metrics.observe('onyxloft_short_slowdown', {}, firstTokenMs / aloneMs);
   };
--- a/src/entry/run/prompt_sender.ts
+++ b/src/entry/run/prompt_sender.ts
@@ -11,7 +11,7 @@
 
 export interface PromptTarget {
   send(frame: RunUp): Promise<void>;
-  closed(): boolean;
+  isClosed(): boolean;
 }
 
 /** Resolves to true when the prompt's end was sent. */
@@ -22,17 +22,17 @@
   let seq = 0;
   for (const data of framesOf(body)) {
     await target.send({kind: 'prompt', seq, data});
-    if (target.closed()) return false;
+    if (target.isClosed()) return false;
     seq++;
   }
   await target.send({kind: 'prompt-end', count: seq});
-  return !target.closed();
+  return !target.isClosed();
 }
 
 function* framesOf(body: Body): Generator<Uint8Array> {
   for (const piece of body.pieces) {
-    for (let at = 0; at < piece.length; at += PROMPT_FRAME_BYTES) {
-      yield piece.subarray(at, at + PROMPT_FRAME_BYTES);
+    for (let offset = 0; offset < piece.length; offset += PROMPT_FRAME_BYTES) {
+      yield piece.subarray(offset, offset + PROMPT_FRAME_BYTES);
     }
   }
 }
--- a/src/entry/run/run_link.ts
+++ b/src/entry/run/run_link.ts
@@ -15,7 +15,7 @@
   send(frame: RunUp): Promise<void>;
   /** Ends the link without telling its owner. */
   close(): void;
-  closed(): boolean;
+  isClosed(): boolean;
 }
 
 export interface RunLinkOptions {
@@ -24,7 +24,7 @@
   readonly timing: RequestTiming;
   readonly side: Address;
   /** On a new connection rather than an established one. */
-  readonly fresh: boolean;
+  readonly newConnection: boolean;
   readonly onFrame: (frame: RunDown) => void;
   /** Called once at most, and not after `close`. */
   readonly onLost: (loss: LinkLoss) => void;
@@ -33,17 +33,20 @@
 /** Opens a link; beats are sent and expected from now on. */
 export function openRunLink(options: RunLinkOptions): RunLink {
   const {clock, timing} = options;
-  const channel = options.transport.openRun(options.side, options.fresh);
+  const channel = options.transport.openRun(
+    options.side,
+    options.newConnection,
+  );
   let isClosed = false;
-  let lastHeardAt = clock.now();
-  let nextTickAt = clock.now() + timing.beatMs;
-  let stopWaiting: Cancel = () => undefined;
+  let lastFrameAt = clock.now();
+  let nextTickAt = clock.now() + timing.heartbeatMs;
+  let cancelFirstFrameTimer: Cancel = () => undefined;
 
   const close = () => {
     if (isClosed) return;
     isClosed = true;
-    stopTicks();
-    stopWaiting();
+    cancelTicks();
+    cancelFirstFrameTimer();
     channel.close();
   };
 
@@ -57,9 +60,9 @@
     const now = clock.now();
     // This process was paused: frames may wait in its own socket unread, so
     // the pause is not counted as the peer's silence.
-    if (now - nextTickAt > timing.beatMs) lastHeardAt = now;
-    nextTickAt = now + timing.beatMs;
-    if (now - lastHeardAt > timing.silenceMs) {
+    if (now - nextTickAt > timing.heartbeatMs) lastFrameAt = now;
+    nextTickAt = now + timing.heartbeatMs;
+    if (now - lastFrameAt > timing.silenceTimeoutMs) {
       lose('silent');
       return;
     }
@@ -69,21 +72,21 @@
   // A side that lives beats at once on whatever connection. One that is frozen
   // takes connections all the same, its kernel does: with the full silence for
   // each of them its callers would wait on for a run that cannot go on.
-  const awaitFirstWord = () => {
-    const dueAt = clock.now() + timing.firstWordMs;
-    stopWaiting = clock.after(timing.firstWordMs, () => {
+  const startFirstFrameTimer = () => {
+    const dueAt = clock.now() + timing.firstFrameTimeoutMs;
+    cancelFirstFrameTimer = clock.after(timing.firstFrameTimeoutMs, () => {
       // As above: this process was paused itself.
-      if (clock.now() - dueAt > timing.beatMs) awaitFirstWord();
+      if (clock.now() - dueAt > timing.heartbeatMs) startFirstFrameTimer();
       else lose('silent');
     });
   };
 
-  const stopTicks = clock.every(timing.beatMs, tick);
+  const cancelTicks = clock.every(timing.heartbeatMs, tick);
   channel.frames
     .observe(frame => {
       if (isClosed) return;
-      stopWaiting();
-      lastHeardAt = clock.now();
+      cancelFirstFrameTimer();
+      lastFrameAt = clock.now();
       options.onFrame(frame);
     })
     .then(
@@ -91,11 +94,11 @@
       () => lose('closed'),
     );
 
-  if (options.fresh) awaitFirstWord();
+  if (options.newConnection) startFirstFrameTimer();
 
   return {
     send: frame => channel.send(frame),
     close,
-    closed: () => isClosed,
+    isClosed: () => isClosed,
   };
 }
--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -142,9 +142,9 @@
       routingPolicy: parts.routingPolicy,
       prefixBlockTokens: PREFIX_BLOCK_BYTES / BYTES_PER_TOKEN,
       timing: {
-        beatMs: timing.heartbeatMs,
-        silenceMs: timing.channelSilenceMs,
-        firstWordMs: Math.min(
+        heartbeatMs: timing.heartbeatMs,
+        silenceTimeoutMs: timing.channelSilenceMs,
+        firstFrameTimeoutMs: Math.min(
           timing.channelSilenceMs,
           FIRST_WORD_BEATS * timing.heartbeatMs,
         ),
--- a/test/claims.test.ts
+++ b/test/claims.test.ts
@@ -10,25 +10,25 @@
 import {createObjectStoreCore} from '../standins/object_store_core.js';
 import {createTestRuntime} from './support/test_runtime.js';
 
-interface Form {
+interface ClaimsVariant {
   readonly name: string;
   readonly create: typeof createClaimsService;
   /** When the first write has taken effect and its answer is on its way. */
   readonly effectMs: number;
 }
 
-const FORMS: readonly Form[] = [
+const VARIANTS: readonly ClaimsVariant[] = [
   {name: 'per key', create: createClaimsService, effectMs: 1.5},
   {
     name: 'batched',
     create: ({store}) =>
-      createBatchedClaimsService({store, shards: 2, wallNow: () => 0}),
+      createBatchedClaimsService({store, shardCount: 2, wallNow: () => 0}),
     effectMs: 26.5,
   },
 ];
 
 /** Several entries over one store, each with its own claims service. */
-async function createEntries(form: Form, count: number, seed = 1) {
+async function createEntries(variant: ClaimsVariant, count: number, seed = 1) {
   const test = createTestRuntime(seed);
   const {clock, random, runtime} = test;
   const core = createObjectStoreCore({clock, random});
@@ -36,7 +36,7 @@
   const kernels: Kernel[] = [];
   for (let index = 0; index < count; index++) {
     const kernel = createKernel(runtime);
-    await kernel.start(form.create({store: client()}));
+    await kernel.start(variant.create({store: client()}));
     kernels.push(kernel);
   }
 
@@ -63,7 +63,7 @@
 
 const REFUSED = 'store-unavailable claim ran no';
 
-describe.each(FORMS)('claims $name', form => {
+describe.each(VARIANTS)('claims $name', form => {
   it('gives a key to the first request and names it to all others', async () => {
     const {claim, during} = await createEntries(form, 2);
     expect(await during(claim(0, 'r1'), 100)).toBe('ours');
@@ -151,7 +151,7 @@
 
 describe('calls of claims', () => {
   it('costs one call when the key is new', async () => {
-    const {claim, during, core} = await createEntries(FORMS[0], 1);
+    const {claim, during, core} = await createEntries(VARIANTS[0], 1);
     await during(claim(0, 'r1'), 100);
     expect(core.counts()).toEqual([
       {purpose: 'claim', kind: 'create', calls: 1},
@@ -159,7 +159,7 @@
   });
 
   it('are one for all claims of a batch', async () => {
-    const {claim, during, core} = await createEntries(FORMS[1], 1);
+    const {claim, during, core} = await createEntries(VARIANTS[1], 1);
     const keys = Array.from({length: 50}, (_, index) => `k${index}`);
     const all = keys.map(key => claim(0, key, key));
     const outcomes = await during(Promise.all(all), 100);
--- a/test/entry_answer.test.ts
+++ b/test/entry_answer.test.ts
@@ -22,7 +22,7 @@
       'end',
     ]);
     expect(caller.text()).toBe('one two three');
-    expect(entry.places()).toBe(0);
+    expect(entry.heldLimits()).toBe(0);
     expect(entry.violations).toEqual([]);
   });
 
@@ -177,7 +177,7 @@
     const caller = entry.submit();
     await entry.clock.runFor(100);
     const frozenAt = entry.clock.now();
-    entry.freeze(0);
+    entry.freezeSide(0);
     await entry.clock.runFor(25_000);
     expect(caller.final()).toMatchObject({error: {code: 'upstream-lost'}});
     expect((caller.endedAt() ?? Infinity) - frozenAt).toBeLessThan(10_000);
--- a/test/entry_attempts.test.ts
+++ b/test/entry_attempts.test.ts
@@ -13,19 +13,19 @@
 import type {SideScript} from './support/scripted_side.js';
 
 /** Takes the go and says nothing more. */
-const mute: SideScript = {run: () => undefined};
+const silentSide: SideScript = {run: () => undefined};
 
 /** Sends one chunk, then goes down. */
-function dyingAfterOneChunk(entry: () => EntryFixture): SideScript {
+function sideFailingAfterOneChunk(entry: () => EntryFixture): SideScript {
   return {
     run: (side, run) => {
       run.send(chunkOf(run, 0, 'uno '));
-      entry().clock.after(10, () => goDown(entry(), side.address));
+      entry().clock.after(10, () => takeDown(entry(), side.address));
     },
   };
 }
 
-function gosOf(entry: EntryFixture): string[] {
+function goDispatchesOf(entry: EntryFixture): string[] {
   return entry.sides.flatMap(side => side.goDispatches);
 }
 
@@ -71,7 +71,7 @@
       ran: 'no',
       retryAfterMs: 2_500,
     });
-    expect(entry.places()).toBe(0);
+    expect(entry.heldLimits()).toBe(0);
   });
 
   it('refused as too late say that the deadline cannot be met', async () => {
@@ -116,10 +116,10 @@
   // waking. The caller is told 'unknown'; a second run could do twice what
   // must be done once.
   it('is not run elsewhere when its side falls silent', async () => {
-    const entry = await startEntry({sides: [mute, {}]});
+    const entry = await startEntry({sides: [silentSide, {}]});
     const caller = entry.submit({repeatable: false});
     await entry.clock.runFor(50);
-    entry.freeze(
+    entry.freezeSide(
       entry.sides.findIndex(({goDispatches: gos}) => gos.length > 0),
     );
     await entry.clock.runFor(29_000);
@@ -127,7 +127,7 @@
       code: 'upstream-lost',
       ran: 'unknown',
     });
-    expect(gosOf(entry)).toHaveLength(1);
+    expect(goDispatchesOf(entry)).toHaveLength(1);
     expect(entry.violations).toEqual([]);
   });
 
@@ -148,7 +148,7 @@
     const caller = entry.submit({repeatable: false});
     await entry.clock.runFor(5_000);
     expect(caller.final()).toMatchObject({kind: 'end'});
-    expect(gosOf(entry)).toHaveLength(2);
+    expect(goDispatchesOf(entry)).toHaveLength(2);
     expect(entry.violations).toEqual([]);
   });
 
@@ -163,14 +163,14 @@
     const caller = entry.submit({repeatable: false});
     await entry.clock.runFor(1_000);
     expect(errorOf(caller)).toMatchObject({ran: 'yes'});
-    expect(gosOf(entry)).toHaveLength(1);
+    expect(goDispatchesOf(entry)).toHaveLength(1);
   });
 });
 
 describe('a request that may be repeated', () => {
   it('is run elsewhere when its side goes before the first chunk', async () => {
     const entry = await startEntry({
-      sides: [{run: side => goDown(entry, side.address)}, {}],
+      sides: [{run: side => takeDown(entry, side.address)}, {}],
       requests: {routingPolicy: () => inOrder},
     });
     const caller = entry.submit();
@@ -182,14 +182,14 @@
   // may word its answer differently: the two together are no run's answer.
   it('is not run again once the caller has a chunk', async () => {
     const entry = await startEntry({
-      sides: [dyingAfterOneChunk(() => entry), {}],
+      sides: [sideFailingAfterOneChunk(() => entry), {}],
       requests: {routingPolicy: () => inOrder},
     });
     const caller = entry.submit();
     await entry.clock.runFor(20_000);
     expect(caller.text()).toBe('uno ');
     expect(errorOf(caller)).toMatchObject({code: 'upstream-lost', ran: 'yes'});
-    expect(gosOf(entry)).toHaveLength(1);
+    expect(goDispatchesOf(entry)).toHaveLength(1);
   });
 
   // The caller waits for the whole answer and has seen nothing of it when the
@@ -197,14 +197,14 @@
   // the caller gets is the second run's alone.
   it('is run again after a chunk that no caller was shown', async () => {
     const entry = await startEntry({
-      sides: [dyingAfterOneChunk(() => entry), {}],
+      sides: [sideFailingAfterOneChunk(() => entry), {}],
       requests: {routingPolicy: () => inOrder},
     });
     const caller = entry.submit({streamed: false});
     await entry.clock.runFor(20_000);
     expect(caller.text()).toBe('one two three');
     expect(caller.final()).toMatchObject({kind: 'end', count: 3, tokens: 3});
-    expect(gosOf(entry)).toHaveLength(2);
+    expect(goDispatchesOf(entry)).toHaveLength(2);
     expect(entry.violations).toEqual([]);
   });
 
@@ -212,7 +212,7 @@
   // stream of it: that one has the chunk, so the run may not be replaced.
   it('is not run again once a second connection has a chunk', async () => {
     const entry = await startEntry({
-      sides: [dyingAfterOneChunk(() => entry), {}],
+      sides: [sideFailingAfterOneChunk(() => entry), {}],
       requests: {routingPolicy: () => inOrder},
     });
     const caller = entry.submit({id: 'q-shown', streamed: false});
@@ -230,7 +230,7 @@
     await entry.clock.runFor(20_000);
     expect(second.text()).toBe('uno ');
     expect(errorOf(caller)).toMatchObject({code: 'upstream-lost', ran: 'yes'});
-    expect(gosOf(entry)).toHaveLength(1);
+    expect(goDispatchesOf(entry)).toHaveLength(1);
   });
 
   // Every run fails on every side. Without a budget each request would be run
@@ -242,10 +242,10 @@
     const entry = await startEntry({sides: [broken, broken, broken]});
     for (let count = 0; count < 100; count++) entry.submit();
     await entry.clock.runFor(10_000);
-    const retries = gosOf(entry).length - 100;
+    const retries = goDispatchesOf(entry).length - 100;
     expect(retries).toBeGreaterThan(0);
     expect(retries).toBeLessThanOrEqual(10 + 0.2 * 100);
-    expect(entry.places()).toBe(0);
+    expect(entry.heldLimits()).toBe(0);
   });
 });
 
@@ -253,7 +253,7 @@
   // The side goes on beating but never answers. The caller hears at its
   // deadline, not later, and the run is cancelled so that its memory is freed.
   it('end a request at its deadline and cancel its run', async () => {
-    const entry = await startEntry({sides: [mute]});
+    const entry = await startEntry({sides: [silentSide]});
     const deadlineAt = entry.clock.now() + 5_000;
     const caller = entry.submit({deadlineAt});
     await entry.clock.runFor(10_000);
@@ -261,7 +261,7 @@
     expect(caller.endedAt()).toBe(deadlineAt);
     expect(entry.sides[0].cancels).toHaveLength(1);
     expect(entry.sides[0].abandons).toHaveLength(1);
-    expect(entry.places()).toBe(0);
+    expect(entry.heldLimits()).toBe(0);
   });
 
   it('stop an offer that is accepted after the deadline', async () => {
@@ -281,7 +281,7 @@
       code: 'deadline-exceeded',
       ran: 'no',
     });
-    expect(gosOf(entry)).toEqual([]);
+    expect(goDispatchesOf(entry)).toEqual([]);
     expect(entry.sides[0].abandons.length).toBeGreaterThan(0);
   });
 });
@@ -315,6 +315,6 @@
     reason: 'in order',
   }));
 
-function goDown(entry: EntryFixture, address: string): void {
+function takeDown(entry: EntryFixture, address: string): void {
   entry.network.faults.down(address);
 }
--- a/test/entry_callers.test.ts
+++ b/test/entry_callers.test.ts
@@ -222,7 +222,7 @@
     await entry.clock.runFor(100);
     expect(second.text()).toBe('one two three');
     expect(entry.sides[0].goDispatches).toEqual(['q5.1']);
-    expect(entry.places()).toBe(0);
+    expect(entry.heldLimits()).toBe(0);
   });
 
   it('is told that it was claimed when the earlier one is lost', async () => {
--- a/test/entry_groups.test.ts
+++ b/test/entry_groups.test.ts
@@ -10,10 +10,14 @@
 } from './support/scripted_side.js';
 import type {SideScript} from './support/scripted_side.js';
 
-const LONG = {promptTokens: 1_000_000, maxTokens: 1_000, deadlineAt: 600_000};
+const LONG_PROMPT = {
+  promptTokens: 1_000_000,
+  maxTokens: 1_000,
+  deadlineAt: 600_000,
+};
 
 /** Leads answer; members say that they hold their memory, and beat. */
-const groupSide = (entry: () => EntryFixture): SideScript => ({
+const groupSideScript = (entry: () => EntryFixture): SideScript => ({
   run: (side, run) => {
     const offer = offerOf(entry(), run.dispatchId);
     if (offer?.group?.lead === true) {
@@ -31,7 +35,7 @@
 }
 
 /** Dispatches that no side was told to cancel or forget. */
-function heldAt(entry: EntryFixture): readonly string[] {
+function heldDispatches(entry: EntryFixture): readonly string[] {
   return entry.sides.flatMap(side =>
     side.offers
       .map(offer => offer.dispatchId)
@@ -41,9 +45,9 @@
 
 describe('a prompt over one engine’s memory', () => {
   it('runs on the fewest engines and frees the members at its end', async () => {
-    const script = groupSide(() => entry);
+    const script = groupSideScript(() => entry);
     const entry = await startEntry({sides: [script, script, script, script]});
-    const caller = entry.submit(LONG);
+    const caller = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(5_000);
     expect(caller.text()).toBe('one two three');
     const offers = entry.sides.flatMap(side => side.offers);
@@ -54,7 +58,7 @@
     );
     expect(held).toBeGreaterThanOrEqual(1_001_000);
     const lead = offers.find(({group}) => group?.lead)?.dispatchId;
-    expect(heldAt(entry)).toEqual([lead]);
+    expect(heldDispatches(entry)).toEqual([lead]);
   });
 
   // One engine of the group has no room for a while. What the others hold in
@@ -64,15 +68,15 @@
     let room = false;
     const entry = await startEntry({
       sides: [
-        groupSide(() => entry),
-        groupSide(() => entry),
+        groupSideScript(() => entry),
+        groupSideScript(() => entry),
         {
-          ...groupSide(() => entry),
+          ...groupSideScript(() => entry),
           offer: () => (room ? accepted(entry.sides[2]) : refused('full', 100)),
         },
       ],
     });
-    const caller = entry.submit(LONG);
+    const caller = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(3_000);
     const [first] = entry.sides;
     expect(first.offers.length).toBeGreaterThan(2);
@@ -90,7 +94,7 @@
   it('reserves in one order, so that two groups both end', async () => {
     const taken = new Set<string>();
     const reservedAt: string[] = [];
-    const one = (at: number): SideScript => ({
+    const sideWithRoomForOne = (at: number): SideScript => ({
       offer: () => {
         const side = entry.sides[at];
         if (taken.has(side.address)) return refused('full', 100);
@@ -113,14 +117,20 @@
         });
       },
     });
-    const entry = await startEntry({sides: [one(0), one(1), one(2)]});
-    const first = entry.submit(LONG);
+    const entry = await startEntry({
+      sides: [
+        sideWithRoomForOne(0),
+        sideWithRoomForOne(1),
+        sideWithRoomForOne(2),
+      ],
+    });
+    const first = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(1);
     const reversed = entry.sides.map((side, at) =>
       side.replica({freeTokens: 300_000 + at}),
     );
-    entry.view(reversed);
-    const second = entry.submit(LONG);
+    entry.setMembership(reversed);
+    const second = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(60_000);
     expect(first.text()).toBe('one two three');
     expect(second.text()).toBe('one two three');
@@ -130,22 +140,22 @@
   // A member dies while the lead works. The lead cannot end without the memory
   // that went, so the run is cancelled on all, at once, and gathered anew.
   it('is cancelled on all when a member is lost, and run again', async () => {
-    const script = groupSide(() => entry);
+    const script = groupSideScript(() => entry);
     const entry = await startEntry({sides: [script, script, script, script]});
-    const caller = entry.submit(LONG);
+    const caller = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(500);
     const member = entry.sides.find(
       side =>
         side.goDispatches.length > 0 && side.offers[0].group?.lead === false,
     );
-    const before = heldAt(entry);
+    const before = heldDispatches(entry);
     entry.network.faults.down(member?.address ?? '');
-    entry.view(
+    entry.setMembership(
       entry.sides.filter(side => side !== member).map(side => side.replica()),
     );
     await entry.clock.runFor(10_000);
     expect(caller.text()).toBe('one two three');
-    const still = heldAt(entry).filter(id => before.includes(id));
+    const still = heldDispatches(entry).filter(id => before.includes(id));
     expect(still).toEqual([member?.offers[0].dispatchId]);
   });
 
@@ -153,9 +163,9 @@
   // A member's part is told here first: as a lost member it would have the
   // group gathered again for a request that nobody wants.
   it('is not run again when a member was cancelled for the caller', async () => {
-    const script = groupSide(() => entry);
+    const script = groupSideScript(() => entry);
     const entry = await startEntry({sides: [script, script, script]});
-    const caller = entry.submit(LONG);
+    const caller = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(500);
     const member = entry.sides
       .flatMap(({runs}) => [...runs.values()])
@@ -169,7 +179,7 @@
 
   it('fails at once when all engines together have not the room', async () => {
     const entry = await startEntry({sides: [{}, {}]});
-    const caller = entry.submit(LONG);
+    const caller = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(50);
     expect(caller.final()).toMatchObject({
       error: {code: 'too-large', ran: 'no'},
--- a/test/retry_storm.test.ts
+++ b/test/retry_storm.test.ts
@@ -8,10 +8,10 @@
 /** The default of the policy's `retryRatio`. */
 const RETRY_RATIO = 0.2;
 /** Retries that each entry may make at once after a quiet time. */
-const BURST = 10;
+const RETRY_BURST = 10;
 const LATE_SLACK_MS = 50;
 
-const ASK: Ask = {
+const REQUEST: Ask = {
   kind: 'completion',
   organisation: 'prairie-sky',
   promptTokens: 4_000,
@@ -31,9 +31,12 @@
   return {attempts, requests: new Set(ids).size};
 }
 
-async function load(fleet: MemoryFleet, count: number): Promise<void> {
+async function submitRequests(
+  fleet: MemoryFleet,
+  count: number,
+): Promise<void> {
   for (let at = 0; at < count; at++) {
-    fleet.submit(at % ENTRIES, ASK);
+    fleet.submit(at % ENTRIES, REQUEST);
     await fleet.clock.runFor(5);
   }
 }
@@ -51,14 +54,14 @@
     failureDomains: ['hall-north', 'hall-south'],
   });
   await fleet.start();
-  await load(fleet, 300);
+  await submitRequests(fleet, 300);
   for (const engine of fleet.engines.slice(0, ENGINES / 2)) engine.kill();
-  await load(fleet, 40);
-  await fleet.clock.runFor(ASK.timeLimitMs + LATE_SLACK_MS);
+  await submitRequests(fleet, 40);
+  await fleet.clock.runFor(REQUEST.timeLimitMs + LATE_SLACK_MS);
   const {attempts, requests} = countRuns(fleet);
   expect(attempts).toBeGreaterThan(requests);
   expect(attempts).toBeLessThanOrEqual(
-    requests * (1 + RETRY_RATIO) + ENTRIES * BURST,
+    requests * (1 + RETRY_RATIO) + ENTRIES * RETRY_BURST,
   );
   for (const one of fleet.tracked) {
     expect(one.finals).toBe(1);
--- a/test/routing_policies.test.ts
+++ b/test/routing_policies.test.ts
@@ -7,7 +7,7 @@
 import type {SideLoad} from '../src/types/peer_messages.js';
 import type {Replica} from '../src/types/services.js';
 import {createSeededRandom} from '../standins/seeded_random.js';
-import {specOf} from './support/entry_fixture.js';
+import {createRequestSpec} from './support/entry_fixture.js';
 import {IDLE_LOAD} from './support/scripted_side.js';
 
 function targetOf(
@@ -53,7 +53,7 @@
     ownFailureDomain: 'kg-a',
     now: 0,
     random: createSeededRandom(7),
-    weights: specOf(0).config.declarations.policy,
+    weights: createRequestSpec(0).config.declarations.policy,
     prefixHitRatio: 1,
     knownPrefixTokens: 0,
     ...changes,
@@ -128,7 +128,7 @@
     const counts = new Map<string, number>();
     for (let count = 0; count < 100; count++) {
       const targets = replicas.map(replica => {
-        const {requests, tokens} = assignments.since(replica);
+        const {requests, tokens} = assignments.unreportedLoad(replica);
         return {
           replica,
           unreportedRequests: requests,
--- a/test/sessions.test.ts
+++ b/test/sessions.test.ts
@@ -2,10 +2,10 @@
 import {afterAll, beforeAll, expect, it} from 'vitest';
 import {KEYS, startSessionFleet} from './support/session_fleet.js';
 import type {SessionFleet} from './support/session_fleet.js';
-import {exchange, normalised} from './support/session_text.js';
+import {exchange, maskVaryingValues} from './support/session_text.js';
 import type {Exchange} from './support/session_text.js';
 
-const JSON_OF_PRAIRIE = {
+const PRAIRIE_SKY_HEADERS = {
   Authorization: `Bearer ${KEYS['prairie-sky']}`,
   'Content-Type': 'application/json',
 };
@@ -19,18 +19,21 @@
 function complete(entry: string, body: object, more: object = {}) {
   return exchange(`${fleet.url(entry)}/v1/completions`, {
     method: 'POST',
-    headers: JSON_OF_PRAIRIE,
+    headers: PRAIRIE_SKY_HEADERS,
     body: JSON.stringify(body),
     ...more,
   });
 }
 
 /** The exchanges, and the numbered events of the first one's request. */
-async function expectSession(name: string, exchanges: readonly Exchange[]) {
+async function expectSessionMatches(
+  name: string,
+  exchanges: readonly Exchange[],
+) {
   const texts = exchanges.map(({text}) => text);
   const events = fleet.eventsOf(exchanges[0]?.requestId ?? '');
   const text = [...texts, ['# events', ...events].join('\n')].join('\n\n');
-  await expect(`${normalised(text)}\n`).toMatchFileSnapshot(
+  await expect(`${maskVaryingValues(text)}\n`).toMatchFileSnapshot(
     `golden/sessions/${name}.txt`,
   );
 }
@@ -42,40 +45,40 @@
     max_tokens: 3,
     stream: true,
   });
-  await expectSession('streamed', [streamed]);
+  await expectSessionMatches('streamed', [streamed]);
 });
 
 it('answers as a whole', async () => {
   const prompt = 'Check isolation sequence 7';
   const whole = await complete('entry-1', {prompt, max_tokens: 3});
-  await expectSession('whole', [whole]);
+  await expectSessionMatches('whole', [whole]);
 });
 
 it('passes a call to a plain service on whole', async () => {
   const url = `${fleet.url('entry-1')}/v1/services/station-app/alerts?zone=4`;
   const call = {
     method: 'POST',
-    headers: {...JSON_OF_PRAIRIE, 'Idempotency-Key': 'alert-1'},
+    headers: {...PRAIRIE_SKY_HEADERS, 'Idempotency-Key': 'alert-1'},
     body: '{"alert":"frost"}',
   };
   const first = await exchange(url, call);
   const again = await exchange(url, call);
-  await expectSession('plain_call', [first, again]);
+  await expectSessionMatches('plain_call', [first, again]);
 });
 
 it('refuses what cannot be done in time, and what makes no sense', async () => {
   const late = await complete(
     'entry-1',
     {prompt: 'archive '.repeat(50_000), max_tokens: 10},
-    {headers: {...JSON_OF_PRAIRIE, 'X-Onyxloft-Time-Limit-Ms': '900'}},
+    {headers: {...PRAIRIE_SKY_HEADERS, 'X-Onyxloft-Time-Limit-Ms': '900'}},
   );
   const unknown = await complete('entry-1', {model: 'other', prompt: 'a'});
   const past = await complete(
     'entry-1',
     {prompt: 'a'},
-    {headers: {...JSON_OF_PRAIRIE, 'X-Onyxloft-Time-Limit-Ms': '0'}},
+    {headers: {...PRAIRIE_SKY_HEADERS, 'X-Onyxloft-Time-Limit-Ms': '0'}},
   );
-  await expectSession('refusal', [late, unknown, past]);
+  await expectSessionMatches('refusal', [late, unknown, past]);
 });
 
 // The caller's connection breaks in mid-stream, and the balancer sends the
@@ -85,7 +88,7 @@
   const broken = await complete(
     'entry-1',
     {prompt: 'History of unit 3', max_tokens: 25, stream: true},
-    {cutAfterEvents: 3},
+    {closeAfterEvents: 3},
   );
   const lastId = /id: (\S+)\n[^\n]+\n\n$/.exec(broken.body)?.[1] ?? '';
   const url = `${fleet.url('entry-2')}/v1/requests/${broken.requestId}`;
@@ -96,15 +99,15 @@
   const resumed = await exchange(url, {
     method: 'GET',
     headers: {
-      Authorization: JSON_OF_PRAIRIE.Authorization,
+      Authorization: PRAIRIE_SKY_HEADERS.Authorization,
       Accept: 'text/event-stream',
       'Last-Event-ID': lastId,
     },
   });
   const session = [broken, stranger, resumed].map(({text}) => text);
-  await expect(`${normalised(session.join('\n\n'))}\n`).toMatchFileSnapshot(
-    'golden/sessions/resume.txt',
-  );
+  await expect(
+    `${maskVaryingValues(session.join('\n\n'))}\n`,
+  ).toMatchFileSnapshot('golden/sessions/resume.txt');
 });
 
 // Operators drain an entry while it streams an answer. It is ready no more and
@@ -130,5 +133,5 @@
     {onFirstEvent: () => (drained = drain())},
   );
   await drained;
-  await expectSession('drain', [streamed, ...rest]);
+  await expectSessionMatches('drain', [streamed, ...rest]);
 });
--- a/test/support/entry_fixture.ts
+++ b/test/support/entry_fixture.ts
@@ -63,11 +63,11 @@
     ),
   );
   const kernel = createKernel(runtime);
-  const toMembership: MembershipMessage[] = [];
-  let tell: ((view: MembershipView) => void) | undefined;
-  let places = 0;
+  const membershipMessages: MembershipMessage[] = [];
+  let notifyMembership: ((view: MembershipView) => void) | undefined;
+  let heldLimits = 0;
 
-  const viewOf = (replicas: readonly Replica[]): MembershipView => ({
+  const membershipViewOf = (replicas: readonly Replica[]): MembershipView => ({
     replicas,
     allSides: sides.map(side => side.address),
     entries: [],
@@ -78,12 +78,13 @@
     start: ctx => {
       void ctx.mailbox.observe(message => {
         if (message.kind !== 'subscribe') {
-          toMembership.push(message);
+          membershipMessages.push(message);
           return;
         }
-        const first = tell === undefined;
-        tell = message.listener;
-        if (first) tell(viewOf(sides.map(side => side.replica())));
+        const first = notifyMembership === undefined;
+        notifyMembership = message.listener;
+        if (first)
+          notifyMembership(membershipViewOf(sides.map(side => side.replica())));
       });
     },
   });
@@ -92,10 +93,10 @@
     start: ctx => {
       void ctx.mailbox.observe(message => {
         if (message.kind === 'acquire') {
-          places++;
+          heldLimits++;
           message.reply(Right(undefined));
         } else if (message.kind === 'release') {
-          places--;
+          heldLimits--;
         }
       });
     },
@@ -143,13 +144,13 @@
   };
 
   const submit = (spec: Partial<RequestSpec> = {}): Caller => {
-    const to = caller();
+    const newCaller = caller();
     kernel.send('requests', {
       kind: 'submit',
-      spec: specOf(clock.now(), spec),
-      listener: to.listener,
+      spec: createRequestSpec(clock.now(), spec),
+      listener: newCaller.listener,
     });
-    return to;
+    return newCaller;
   };
 
   return {
@@ -157,29 +158,30 @@
     network,
     kernel,
     sides,
-    toMembership,
+    toMembership: membershipMessages,
     caller,
     submit,
     /** Stops a side's process, as by a signal, without ending it. */
-    freeze: (at: number) => {
+    freezeSide: (at: number) => {
       sideClocks[at].pause();
       network.faults.freeze(sides[at].address);
     },
     /** Places that are taken of the organisation's limit. */
-    places: () => places,
-    view: (replicas: readonly Replica[]) => tell?.(viewOf(replicas)),
+    heldLimits: () => heldLimits,
+    setMembership: (replicas: readonly Replica[]) =>
+      notifyMembership?.(membershipViewOf(replicas)),
   };
 }
 
-let minted = 0;
+let lastRequestNumber = 0;
 
-export function specOf(
+export function createRequestSpec(
   now: number,
   changes: Partial<RequestSpec> = {},
 ): RequestSpec {
   const text = new TextEncoder().encode('how much rain fell?');
   return {
-    id: `r${++minted}`,
+    id: `r${++lastRequestNumber}`,
     organisation: 'prairie-sky',
     weight: 1,
     kind: 'completion',
--- a/test/support/session_fleet.ts
+++ b/test/support/session_fleet.ts
@@ -25,7 +25,7 @@
 const TOKEN = 'operators-token';
 const SALT = '00112233445566778899aabbccddeeff';
 const POLL_MS = 25;
-const TRIES = 800;
+const MAX_POLLS = 800;
 /** Callers' keys by organisation. */
 export const KEYS = {
   'prairie-sky': 'onyx_prairie',
@@ -50,7 +50,7 @@
   close(): Promise<void>;
 }
 
-async function freeAddress(): Promise<string> {
+async function findFreeAddress(): Promise<string> {
   const server = createServer();
   await new Promise<void>(done => server.listen(0, '127.0.0.1', done));
   const {port} = server.address() as AddressInfo;
@@ -58,8 +58,8 @@
   return `127.0.0.1:${port}`;
 }
 
-async function until(what: string, check: () => Promise<boolean>) {
-  for (let tries = 0; tries < TRIES; tries++) {
+async function waitUntil(what: string, check: () => Promise<boolean>) {
+  for (let tries = 0; tries < MAX_POLLS; tries++) {
     if (await check().catch(() => false)) return;
     await sleep(POLL_MS);
   }
@@ -92,7 +92,7 @@
     ])) as [Program, Program, Program, Program, Program];
   const events: LoggedEvent[] = [];
   const wired: WiredProcess[] = [];
-  const listens = new Map<string, Readonly<Record<string, string>>>();
+  const listenAddresses = new Map<string, Readonly<Record<string, string>>>();
   const platform = {
     objectApi: objectApi.url,
     hostList: hostList.url,
@@ -120,10 +120,10 @@
   ) => {
     const listen = Object.fromEntries(
       await Promise.all(
-        names.map(async name => [name, await freeAddress()] as const),
+        names.map(async name => [name, await findFreeAddress()] as const),
       ),
     );
-    listens.set(node, listen);
+    listenAddresses.set(node, listen);
     const host = `host-${node}`;
     const failureDomain = 'hall-north';
     const settings = parseSettings(
@@ -176,20 +176,20 @@
   }
 
   const addressOf = (node: string, name: string) =>
-    `http://${listens.get(node)?.[name]}`;
+    `http://${listenAddresses.get(node)?.[name]}`;
   const operators = (entry: string) => addressOf(entry, 'operators');
   await applyDeclarations(operators('entry-1'));
-  await Promise.all(entries.map(entry => untilServing(operators(entry))));
+  await Promise.all(entries.map(entry => waitUntilServing(operators(entry))));
 
   return {
     url: entry => addressOf(entry, 'callers'),
     operators,
     operatorToken: TOKEN,
     eventsOf: requestId => {
-      const own = events.filter(({text}) => text.includes(requestId));
-      const nodes = [...new Set(own.map(({node}) => node))].sort();
+      const requestEvents = events.filter(({text}) => text.includes(requestId));
+      const nodes = [...new Set(requestEvents.map(({node}) => node))].sort();
       return nodes.flatMap(node =>
-        own
+        requestEvents
           .filter(event => event.node === node)
           .map(({line}) => `${node} ${line}`),
       );
@@ -210,8 +210,8 @@
   }));
   const shape = {...DEMO_SHAPE, engines: 1, services: 1};
   const keyed = toKeyed(demoDeclarations(shape, organisations));
-  const gone = {urgent: null, normal: null};
-  const priorityClasses = {...gone, ...keyed.priorityClasses};
+  const removedClasses = {urgent: null, normal: null};
+  const priorityClasses = {...removedClasses, ...keyed.priorityClasses};
   await send(`${operators}/operator/v1/config/patches`, 'POST', {
     patchId: 'first',
     base: 0,
@@ -221,9 +221,9 @@
 }
 
 /** Ready, and both upstreams have reported what they can take. */
-function untilServing(operators: string): Promise<void> {
+function waitUntilServing(operators: string): Promise<void> {
   const headers = {authorization: `Bearer ${TOKEN}`};
-  return until(`${operators} serves`, async () => {
+  return waitUntil(`${operators} serves`, async () => {
     const ready = await fetch(`${operators}/readyz`);
     if (!ready.ok) return false;
     const res = await fetch(`${operators}/operator/v1/hosts`, {headers});
--- a/test/support/session_text.ts
+++ b/test/support/session_text.ts
@@ -7,7 +7,7 @@
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
   /** Breaks the connection after so many events of a stream. */
-  readonly cutAfterEvents?: number;
+  readonly closeAfterEvents?: number;
   /** Called once, when the first event of a stream has come. */
   readonly onFirstEvent?: () => void;
 }
@@ -19,7 +19,7 @@
   readonly body: string;
 }
 
-const LONG_BODY = 200;
+const MAX_SHOWN_BODY = 200;
 const EVENT_END = '\n\n';
 
 /** Sends a request and reads its answer to the end, or to the cut. */
@@ -34,17 +34,17 @@
     req.end(body);
   });
   let answer = '';
-  let told = false;
+  let firstEventReported = false;
   for await (const piece of res) {
     answer += String(piece);
-    if (!told && answer.includes(EVENT_END)) {
-      told = true;
+    if (!firstEventReported && answer.includes(EVENT_END)) {
+      firstEventReported = true;
       options.onFirstEvent?.();
     }
-    const {cutAfterEvents} = options;
+    const {closeAfterEvents} = options;
     const events = answer.split(EVENT_END);
-    if (cutAfterEvents !== undefined && events.length > cutAfterEvents) {
-      answer = events.slice(0, cutAfterEvents).join(EVENT_END) + EVENT_END;
+    if (closeAfterEvents !== undefined && events.length > closeAfterEvents) {
+      answer = events.slice(0, closeAfterEvents).join(EVENT_END) + EVENT_END;
       break;
     }
   }
@@ -58,7 +58,7 @@
   const text = [
     `> ${method} ${path}`,
     ...sent.map(([name, value]) => `> ${name}: ${value}`),
-    ...(body === '' ? [] : ['>', `> ${shortened(body)}`]),
+    ...(body === '' ? [] : ['>', `> ${abbreviate(body)}`]),
     `< ${res.statusCode} ${res.statusMessage}`,
     ...got.map(([name, value]) => `< ${name}: ${value}`),
     '<',
@@ -66,17 +66,17 @@
       .trimEnd()
       .split('\n')
       .map(line => `< ${line}`.trimEnd()),
-    ...(options.cutAfterEvents === undefined ? [] : ['(connection cut)']),
+    ...(options.closeAfterEvents === undefined ? [] : ['(connection cut)']),
   ];
   return {text: text.join('\n'), requestId, body: answer};
 }
 
-function shortened(body: string): string {
-  return body.length <= LONG_BODY ? body : `(${body.length} bytes)`;
+function abbreviate(body: string): string {
+  return body.length <= MAX_SHOWN_BODY ? body : `(${body.length} bytes)`;
 }
 
 /** The same session gives the same text: ids, addresses and times go. */
-export function normalised(text: string): string {
+export function maskVaryingValues(text: string): string {
   const names = new Map<string, string>();
   const nameOf = (kind: string) => (value: string) => {
     const known = [...names.values()].filter(name => name.startsWith(kind));
