--- a/src/entry/admission/admission.ts
+++ b/src/entry/admission/admission.ts
@@ -1,7 +1,7 @@
 /**
- * Makes a request's spec from what the caller sent and the newest
- * declarations: model, classes, time limit, prefix hashes. No upstream is
- * asked here, so a refusal costs none of them anything.
+ * Builds the spec of a request from the caller's fields and the newest
+ * declarations: model, classes, time limit and prefix hashes. It contacts no
+ * upstream, so a refused request costs upstreams nothing.
  */
 import type {
   Declarations,
@@ -22,24 +22,27 @@
 import type {RequestOptions} from '../front/request_options.js';
 
 /**
- * Bytes of prompt per token, for the estimate. English prose under the usual
- * tokenizers has some four; only engines count exactly.
+ * Bytes of prompt per token, for estimates. English prose has about four bytes
+ * per token with common tokenizers; only engines count tokens exactly.
  */
 export const BYTES_PER_TOKEN = 4;
 
-/** Length class of calls in metrics. */
+/** Length class that metrics report for calls. */
 export const CALL_LENGTH_CLASS = 'call';
 
-/** What is known of a request before its body is looked at. */
+/** What is known of a request before its body is examined. */
 export interface ArrivedRequest {
   readonly id: RequestId;
   readonly organisation: Organisation;
   readonly config: NumberedDeclarations;
-  /** On this process's clock; the time limit counts from here. */
+  /**
+   * Arrival time on this process's clock, in milliseconds. The time limit
+   * starts here.
+   */
   readonly arrivedAt: number;
 }
 
-/** Estimated tokens of a prompt. */
+/** Estimates the number of tokens of a prompt from its size in bytes. */
 export function estimateTokens(bytes: number): number {
   return Math.ceil(bytes / BYTES_PER_TOKEN);
 }
@@ -101,7 +104,7 @@
   };
 }
 
-/** Throws `not-found` for a pool that no plain service is declared for. */
+/** Throws `not-found` when no plain service is declared for the pool. */
 export function findService(
   declarations: Declarations,
   pool: PoolId,
@@ -139,7 +142,10 @@
   readonly adapter: string;
 }
 
-/** `MODEL` or `MODEL:ADAPTER`; none for the default model. */
+/**
+ * Finds the model for `MODEL` or `MODEL:ADAPTER`; the default model when none
+ * is requested.
+ */
 function findModel(
   declarations: Declarations,
   requested: string | undefined,
--- a/src/entry/admission/preconditions.ts
+++ b/src/entry/admission/preconditions.ts
@@ -1,6 +1,6 @@
 /**
- * What a request needs before it is routed: a place within its organisation's
- * limits and, where it must not run twice, the record of its idempotency key.
+ * What a request needs before it is routed: capacity within its organisation's
+ * limits and, if it must not run twice, a claim on its idempotency key.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -10,7 +10,10 @@
 
 type Ctx = ServiceContext<'requests'>;
 
-/** Takes a place; `release` must follow when the request is over. */
+/**
+ * Acquires capacity within the organisation's limits. The caller must send
+ * `release` when the request is over.
+ */
 export function acquireLimit(
   ctx: Ctx,
   spec: RequestSpec,
@@ -25,7 +28,10 @@
   );
 }
 
-/** A request that may be repeated, or has no key, is always ours. */
+/**
+ * Claims the request's idempotency key. A request that is repeatable or has no
+ * key needs no claim and gets `ours`.
+ */
 export function claimIdempotencyKey(
   ctx: Ctx,
   spec: RequestSpec,
@@ -48,7 +54,10 @@
   );
 }
 
-/** `ask` rejects when the other service has ended. */
+/**
+ * Turns a rejection with an `OnyxError` into a `Left`. `ask` rejects when the
+ * other service has ended.
+ */
 async function rejectionAsLeft<T>(
   answer: Promise<Either<OnyxError, T>>,
 ): Promise<Either<OnyxError, T>> {
--- a/src/entry/admission/prefix_hashes.ts
+++ b/src/entry/admission/prefix_hashes.ts
@@ -1,23 +1,27 @@
 /**
- * Hashes of a prompt's leading blocks, by which requests that share a prefix
- * find the engine that has it in its cache. Only the leading blocks are
- * hashed: the cost does not grow with the prompt.
+ * Hashes of a prompt's leading blocks. Requests with a common prefix are routed
+ * by them to an engine that has the prefix in its cache. The number of blocks
+ * is limited, so the cost does not grow with the prompt.
  */
 import type {Body} from '../../types/services.js';
 import {chainHash} from '../../utils/digest.js';
 
-/** Bytes of prompt in one block: some 256 tokens. */
+/** Size of one block, in bytes; about 256 tokens. */
 export const PREFIX_BLOCK_BYTES = 1024;
-/** Blocks hashed at most: the first 64 KiB, some 16,000 tokens. */
+/**
+ * Maximum number of blocks hashed: the first 64 KiB, about 16,000 tokens. The
+ * rest of the prompt is not hashed.
+ */
 export const MAX_PREFIX_BLOCKS = 64;
 
 const HASH_DIGITS = 16;
 const encoder = new TextEncoder();
 
 /**
- * Chained hashes of the leading whole blocks, first block first; each covers
- * all blocks before it. The chain starts from `scope`: with the organisation
- * in it, no organisation learns from a cache hit what another has sent.
+ * Returns the chained hashes of the leading complete blocks, in order; each
+ * hash covers all blocks before it. The chain starts from `scope`. The scope
+ * contains the organisation, so that no organisation can learn from a cache hit
+ * what another one has sent.
  */
 export function prefixHashes(body: Body, scope: string): readonly string[] {
   const leading = copyLeadingBytes(
--- a/src/entry/claims/claim_error.ts
+++ b/src/entry/claims/claim_error.ts
@@ -1,9 +1,12 @@
-/** What a caller is told when its idempotency key could not be claimed. */
+/** The error for a caller whose idempotency key could not be claimed. */
 import {OnyxError} from '../../types/errors.js';
 import type {RequestId} from '../../types/ids.js';
 import type {Random} from '../../types/runtime.js';
 
-/** `retryAfterMs` is spread up to twice, lest all come back at one moment. */
+/**
+ * `retryAfterMs` is multiplied by a random factor from 1 to 2, so that refused
+ * callers do not all retry at the same moment.
+ */
 export function createClaimError(
   requestId: RequestId,
   retryAfterMs: number,
--- a/src/entry/claims/claim_record.ts
+++ b/src/entry/claims/claim_record.ts
@@ -1,7 +1,7 @@
 /**
- * The record of one idempotency key: where it is kept and what it says. The
- * key's name holds a full hash of organisation and key, so that no caller can
- * craft a key that meets another's.
+ * The stored record of one idempotency key: its object key and its content. The
+ * object key contains a full hash of organisation and key, so that no caller
+ * can construct a key that collides with another's.
  */
 import {createHash} from 'node:crypto';
 import {Just, Nothing} from 'purify-ts';
@@ -10,13 +10,15 @@
 import type {OrganisationId, RequestId} from '../../types/ids.js';
 
 const KEY_PREFIX = 'claims';
-/** Hex digits of the hash that name the shard: 256 shards. */
+/** Hex digits of the hash that select the shard; two digits give 256 shards. */
 const SHARD_HASH_DIGITS = 2;
 
 export interface ClaimRecord {
   readonly requestId: RequestId;
   readonly organisation: OrganisationId;
-  /** Random per claim: tells our own write from another's. */
+  /**
+   * Random per claim; distinguishes this process's own write from another's.
+   */
   readonly nonce: string;
 }
 
@@ -26,14 +28,15 @@
   nonce: z.string(),
 });
 
-/** Hash of organisation and key, as hex. */
+/** SHA-256 hash of organisation and key, in hex. */
 export function claimHash(organisation: OrganisationId, key: string): string {
-  // As a JSON array, since plain joining makes "a" + "bc" and "ab" + "c" one.
+  // Hashes a JSON array, because plain concatenation would make ("a", "bc") and
+  // ("ab", "c") the same.
   const text = JSON.stringify([organisation, key]);
   return createHash('sha256').update(text).digest('hex');
 }
 
-/** Shard of a hash, as hex digits. */
+/** Shard of a hash, in hex digits. */
 export function claimShardOf(hash: string): string {
   return hash.slice(0, SHARD_HASH_DIGITS);
 }
@@ -51,7 +54,7 @@
   return JSON.stringify(record);
 }
 
-/** Nothing when the object is no claim. */
+/** Returns `Nothing` when the object is not a valid claim. */
 export function parseClaimRecord(value: string): Maybe<ClaimRecord> {
   try {
     return Just(recordSchema.parse(JSON.parse(value)));
--- a/src/entry/claims/claim_shard.ts
+++ b/src/entry/claims/claim_shard.ts
@@ -1,6 +1,7 @@
 /**
- * One shard of batched claims: a table of claims in one object of the store,
- * changed by conditional update only. This module decides; it does no IO.
+ * One shard of the batched claims: a table of claims stored as one object,
+ * changed only by conditional updates. This module computes the updates; it
+ * does no I/O.
  */
 import {Just, Nothing} from 'purify-ts';
 import type {Maybe} from 'purify-ts';
@@ -8,30 +9,38 @@
 import type {RequestId} from '../../types/ids.js';
 import type {ClaimOutcome} from '../../types/services.js';
 
-/** One claim in the table, by the hash of organisation and key. */
+/**
+ * One claim in the table. Its key in the table is the hash of organisation and
+ * idempotency key.
+ */
 export interface ShardClaim {
   readonly requestId: RequestId;
   readonly nonce: string;
-  /** Wall-clock time of the claim, in milliseconds; decides only expiry. */
+  /** Wall-clock time of the claim, in milliseconds; used only for expiry. */
   readonly claimedAt: number;
 }
 
 export type ShardTable = ReadonlyMap<string, ShardClaim>;
 
-/** A claim that waits for the next update. */
+/** A claim that is waiting for the shard's next update. */
 export interface PendingClaim {
   readonly hash: string;
   readonly claim: ShardClaim;
-  /** Nonces of refused claims of this process on the same key. */
+  /**
+   * Nonces of earlier claims on the same key that this process refused without
+   * knowing whether they were stored.
+   */
   readonly unresolvedNonces: readonly string[];
 }
 
-/** What an update would hold, and what each claim would be told after it. */
+/** The table after an update, and the outcome of each claim in it. */
 export interface ShardUpdate {
   readonly table: ShardTable;
-  /** False when all that was asked is in the table already. */
+  /**
+   * False when the table already contains every claim, so no write is needed.
+   */
   readonly changed: boolean;
-  /** In the order of the claims. */
+  /** One outcome per claim, in the order of the claims. */
   readonly outcomes: readonly ClaimOutcome[];
 }
 
@@ -48,7 +57,7 @@
   return JSON.stringify(rows);
 }
 
-/** Nothing when the object is no table of claims. */
+/** Returns `Nothing` when the object is not a valid table of claims. */
 export function parseShardTable(value: string): Maybe<ShardTable> {
   try {
     const rows = tableSchema.parse(JSON.parse(value));
@@ -66,17 +75,20 @@
 }
 
 function isOwnClaim(stored: ShardClaim, pending: PendingClaim): boolean {
-  // Our own update, whose answer was lost.
+  // The claim was stored by this process's own update, whose response was lost.
   return stored.nonce === pending.claim.nonce;
 }
 
 function isClaimable(stored: ShardClaim | undefined, claim: PendingClaim) {
-  // A claim of this process whose request was refused as not run is free for
-  // one repeat; that puts its own nonce there, so a second finds it taken.
+  // A stored claim whose request this process refused as not run may be claimed
+  // once again. The new claim stores its own nonce, so a second repeat finds
+  // the key taken.
   return stored === undefined || claim.unresolvedNonces.includes(stored.nonce);
 }
 
-/** Applies claims in order to a table; drops what was made before `expireAt`. */
+/**
+ * Applies claims in order to a table and drops claims made before `expireAt`.
+ */
 export function applyClaims(
   before: ShardTable,
   pending: readonly PendingClaim[],
--- a/src/entry/claims/claims_batched.ts
+++ b/src/entry/claims/claims_batched.ts
@@ -1,9 +1,9 @@
 /**
- * The `claims` service in another form: claims are sharded by hash into
- * objects, and each shard collects claims for a short while and writes them by
- * one conditional update. It is as exact as one object per key, because the
- * conditional update decides; it saves calls and costs bytes, since each
- * update writes the whole shard.
+ * A variant of the `claims` service that batches claims. Claims are sharded by
+ * hash into objects; each shard collects claims for a short time and writes
+ * them with one conditional update. It gives the same guarantee as one object
+ * per key, because the conditional update decides. It needs fewer store calls
+ * but more bytes, since each update writes the whole shard.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -20,30 +20,42 @@
 
 const KEY_PREFIX = 'claims-batched';
 const NONCE_BYTES = 12;
+/** Hex digits of the hash by which a claim is stored in its shard. */
 const KEY_HASH_DIGITS = 32;
+/** Hex digits of the hash that select the shard. */
 const SHARD_HASH_DIGITS = 8;
+/** Maximum number of keys with unresolved claims that are remembered. */
 const MAX_UNRESOLVED_KEYS = 10_000;
 const DAY_MS = 86_400_000;
-/** Added to the time a key is remembered: wall clocks differ. */
+/**
+ * Added to `minRetentionMs`, in milliseconds, because the hosts' wall clocks
+ * differ.
+ */
 const CLOCK_SKEW_MS = 3_600_000;
+/** Base of the jittered delay before a retry, in milliseconds; doubles. */
 const RETRY_BACKOFF_MS = 5;
 
 export interface BatchedClaimsOptions {
   readonly store: ObjectStore;
-  /** Wall clock, in milliseconds; decides only when a key is forgotten. */
+  /** Wall clock, in milliseconds; used only to expire claims. */
   readonly wallNow: () => number;
-  /** Objects over which claims are spread. @default 16 */
+  /** Number of objects over which claims are distributed. @default 16 */
   readonly shardCount?: number;
-  /** How long a shard collects claims before it writes. @default 25 */
+  /**
+   * Time for which a shard collects claims before it writes, in milliseconds.
+   * @default 25
+   */
   readonly batchWindowMs?: number;
   /**
-   * How long a key is remembered at least, in milliseconds, while the hosts'
-   * wall clocks differ by less than an hour. @default 86400000
+   * Minimum time for which a key is remembered, in milliseconds, provided that
+   * the hosts' wall clocks differ by less than an hour. @default 86400000
    */
   readonly minRetentionMs?: number;
-  /** Tries of one update. @default 8 */
+  /** Maximum attempts per update. @default 8 */
   readonly maxAttempts?: number;
-  /** Told to callers that were refused, in milliseconds. @default 1000 */
+  /**
+   * Minimum retry time given to refused callers, in milliseconds. @default 1000
+   */
   readonly retryAfterMs?: number;
 }
 
@@ -56,7 +68,10 @@
 interface ShardState {
   readonly key: string;
   queue: QueuedClaim[];
-  /** Newest state known to be stored; version 0 before the first. */
+  /**
+   * Version of the newest state known to be stored; 0 before the first. `table`
+   * is that state.
+   */
   version: number;
   table: ShardTable;
   isFlushing: boolean;
@@ -81,9 +96,9 @@
   const {
     store,
     wallNow,
-    shardCount: shardCount = 16,
-    batchWindowMs: batchWindowMs = 25,
-    maxAttempts: maxAttempts = 8,
+    shardCount = 16,
+    batchWindowMs = 25,
+    maxAttempts = 8,
   } = options;
   const {minRetentionMs = DAY_MS, retryAfterMs = 1_000} = options;
   const {clock, random, metrics} = ctx;
@@ -116,11 +131,14 @@
     queued.message.reply(outcome);
   };
 
-  /** Reads the shard; false when that did not show its newest state. */
+  /**
+   * Reads the shard from the store. Returns false when the read did not return
+   * its newest state.
+   */
   const refresh = async (shard: ShardState): Promise<boolean> => {
     const read = await store.get(shard.key, 'claim');
     const object = read.toMaybe().join().extract();
-    // A stale read shows a version that is passed; what is known is newer.
+    // A stale read returns a version older than the one already known.
     if (object === undefined || object.version < shard.version) return false;
     if (object.version === shard.version) return true;
     const table = parseShardTable(object.value).extract();
@@ -142,15 +160,18 @@
     return true;
   };
 
-  /** Undefined when the store gave no answer to go by. */
+  /**
+   * Applies the batch to the shard and writes it. Returns undefined when no
+   * attempt gave a reliable result.
+   */
   const writeBatch = async (
     shard: ShardState,
     batch: readonly QueuedClaim[],
   ) => {
     let isFresh = false;
     for (let count = 0; count < maxAttempts; count++) {
-      // After a conflict or a lost answer the stored table tells; claims of
-      // ours that are in it are known by their nonces.
+      // After a conflict or a lost response, the stored table shows what
+      // happened. This process recognises its own claims there by their nonces.
       if (count > 0) {
         await sleep(RETRY_BACKOFF_MS * 2 ** Math.min(count, 5) * random.next());
         isFresh = await refresh(shard);
@@ -160,8 +181,9 @@
       if (decision.changed) {
         if (await save(shard, decision.table)) return decision.outcomes;
       } else if (isFresh) {
-        // From memory alone a repeat might be sent to a request that another
-        // has replaced since; a read costs little, as repeats are few.
+        // The table in memory may be out of date: it might name a request that
+        // another one has since replaced. So an outcome without a write needs a
+        // fresh read. Such reads are rare, because repeats are rare.
         return decision.outcomes;
       }
     }
@@ -185,7 +207,7 @@
     });
   };
 
-  const flushUntilEmpty = async (shard: ShardState) => {
+  const flushAll = async (shard: ShardState) => {
     shard.isFlushing = true;
     while (shard.queue.length > 0) {
       await sleep(batchWindowMs);
@@ -206,7 +228,6 @@
     const claim = {requestId, nonce, claimedAt: wallNow()};
     const shard = shardOf(hash);
     shard.queue.push({hash, claim, unresolvedNonces: [], message});
-    if (!shard.isFlushing)
-      flushUntilEmpty(shard).catch(cause => ctx.fail(cause));
+    if (!shard.isFlushing) flushAll(shard).catch(cause => ctx.fail(cause));
   };
 }
--- a/src/entry/claims/claims_per_key.ts
+++ b/src/entry/claims/claims_per_key.ts
@@ -1,8 +1,9 @@
 /**
- * The `claims` service: at-most-once records of idempotency keys in the
- * platform's store, one object per key, made only if absent. A request that
- * may not repeat runs only after its claim is proven, so with the store out
- * such requests are refused as not run, and never run unclaimed.
+ * The `claims` service. It records each idempotency key as one object in the
+ * platform's store, created only if absent, so that a request runs at most
+ * once. A request that must not be repeated runs only after its claim is
+ * confirmed. While the store is unavailable, such requests are refused as not
+ * run.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -24,29 +25,42 @@
 const DEFAULT_MAX_ATTEMPTS = 3;
 const DEFAULT_TIME_LIMIT_MS = 2_000;
 const DEFAULT_RETRY_AFTER_MS = 1_000;
-/** Pause before the first repeat of a failed try; doubles each time. */
+/**
+ * Delay before the first retry of a failed attempt, in milliseconds; doubles
+ * with each retry.
+ */
 const RETRY_BACKOFF_MS = 20;
-/** Claims of unknown effect, and claims won, that a process remembers. */
+/**
+ * Maximum number of keys remembered per process, each for unresolved and for
+ * successful claims. Beyond it, the oldest are forgotten.
+ */
 const MAX_REMEMBERED_KEYS = 10_000;
 
 export const CLAIMS_METRIC = 'onyxloft_claims_total';
 
 export interface ClaimsOptions {
   readonly store: ObjectStore;
-  /** Tries of one claim, each a create and at need a read. @default 3 */
+  /**
+   * Maximum attempts per claim; each is a create and, if needed, a read.
+   * @default 3
+   */
   readonly maxAttempts?: number;
-  /** No new try after this long, in milliseconds. @default 2000 */
+  /**
+   * Time after which no new attempt is started, in milliseconds. @default 2000
+   */
   readonly timeLimitMs?: number;
-  /** Told to callers that were refused, in milliseconds. @default 1000 */
+  /**
+   * Minimum retry time given to refused callers, in milliseconds. @default 1000
+   */
   readonly retryAfterMs?: number;
 }
 
-/** Outcome of one try: an answer for the caller, or none yet. */
+/** Result of one attempt: an outcome for the caller, or none yet. */
 type AttemptResult =
   | {readonly kind: 'settled'; readonly outcome: ClaimOutcome}
-  /** Not there, as far as can be told. */
+  /** The key is not claimed, as far as can be told. */
   | {readonly kind: 'open'}
-  /** The store does not answer; nothing was learned. */
+  /** The store did not answer, so nothing is known of the key. */
   | {readonly kind: 'no-answer'};
 
 const OURS: AttemptResult = {kind: 'settled', outcome: {kind: 'ours'}};
@@ -69,16 +83,20 @@
   };
 }
 
-/** Claims one key at a time; different keys at once. */
+/**
+ * Returns the function that claims keys. Claims of the same key run one after
+ * the other; claims of different keys run concurrently.
+ */
 function createClaimer(options: ClaimsOptions, ctx: ServiceContext<'claims'>) {
   const {store, maxAttempts = DEFAULT_MAX_ATTEMPTS} = options;
   const {timeLimitMs = DEFAULT_TIME_LIMIT_MS} = options;
   const {retryAfterMs = DEFAULT_RETRY_AFTER_MS} = options;
   const {clock, random, log, metrics} = ctx;
   const pendingByKey = new Map<string, Promise<unknown>>();
-  // Nonces of claims that were refused while their effect was unknown. Such a
-  // claim may stand in the store though its request never ran, and would burn
-  // the key; a repeat in this process knows it by the nonce and takes it over.
+  // Claims that were refused while it was unknown whether they were stored.
+  // Such a claim may be stored although its request never ran, which would make
+  // the key unusable. A repeat in this process reuses the nonce and so takes
+  // over the stored claim.
   const unresolvedByKey = createRecentMap<ClaimRecord>(MAX_REMEMBERED_KEYS);
   const ownedRequestByKey = createRecentMap<string>(MAX_REMEMBERED_KEYS);
 
@@ -87,13 +105,14 @@
       clock.after(ms, resolve);
     });
 
-  /** Waits for earlier claims of the same key in this process. */
+  /** Runs `job` after all earlier jobs of the same key in this process. */
   const runExclusive = async <T>(
     key: string,
     job: () => Promise<T>,
   ): Promise<T> => {
-    // Two repeats at once would both know an unresolved claim by its nonce,
-    // and both would run. One after the other, the second finds it taken.
+    // Two concurrent repeats would both recognise an unresolved claim by its
+    // nonce, and both would run. In sequence, the second one finds the key
+    // taken.
     const result = (pendingByKey.get(key) ?? Promise.resolve()).then(job, job);
     pendingByKey.set(key, result);
     try {
@@ -112,8 +131,9 @@
     const {kind, effect} = created.swap().unsafeCoerce();
     if (kind === 'unavailable' && effect === 'none') return NO_ANSWER;
     if (kind === 'unavailable') unresolvedByKey.set(key, mine);
-    // A conflict may be with our own earlier try, whose answer was lost; and
-    // after a lost answer the record may be there or not. What is stored tells.
+    // A conflict may be with this claim's own earlier attempt, whose response
+    // was lost. After a lost response the record may or may not be stored.
+    // Reading it tells.
     return readBack(key, mine);
   };
 
@@ -126,14 +146,16 @@
     const object = read.unsafeCoerce().extract();
     if (object === undefined) return UNCLAIMED;
     const theirs = parseClaimRecord(object.value).extract();
-    if (theirs?.nonce === mine.nonce)
-      return takeOverOwnClaim(object, theirs, mine);
+    if (theirs?.nonce === mine.nonce) return reuseClaim(object, theirs, mine);
     const requestId = theirs?.requestId ?? '';
     return {kind: 'settled', outcome: {kind: 'taken', requestId}};
   };
 
-  /** Puts our request's id on a claim that an earlier request of ours made. */
-  const takeOverOwnClaim = async (
+  /**
+   * Writes this request's id to a claim that an earlier request of this process
+   * made.
+   */
+  const reuseClaim = async (
     object: StoredObject,
     stored: ClaimRecord,
     mine: ClaimRecord,
--- a/src/entry/entry_errors.ts
+++ b/src/entry/entry_errors.ts
@@ -1,10 +1,11 @@
-/** Errors that an entry finds by itself, before any upstream is asked. */
+/** Errors that an entry raises itself, before it contacts any upstream. */
 import {OnyxError} from '../types/errors.js';
 import type {ErrorCode, Step} from '../types/errors.js';
 
+/** Maximum length of an error message; longer ones are cut. */
 const MAX_MESSAGE_LENGTH = 200;
 
-/** A fault in what the caller sent. */
+/** An error in what the caller sent. */
 export function badRequest(
   message: string,
   step: Step = 'validate',
@@ -17,12 +18,15 @@
   });
 }
 
-/** Told alike for an unknown id and for another organisation's request. */
+/**
+ * Unknown ids and requests of other organisations get the same error, so that
+ * an organisation can't learn that another's request exists.
+ */
 export function requestNotFound(): OnyxError {
   return badRequest('no such request', 'locate', 'not-found');
 }
 
-/** Any thrown thing as an `OnyxError`. */
+/** Converts any thrown value to an `OnyxError`. */
 export function toOnyxError(thrown: unknown, step: Step): OnyxError {
   if (thrown instanceof OnyxError) return thrown;
   return new OnyxError({
--- a/src/entry/entry_peers.ts
+++ b/src/entry/entry_peers.ts
@@ -1,6 +1,6 @@
 /**
- * The service that owns the entry's listener for peers: calls of other
- * processes become messages to the services here.
+ * The `entryPeers` service. It owns the entry's listener for calls of other
+ * processes and forwards each call as a message to the service that answers it.
  */
 import type {Address} from '../types/ids.js';
 import type {ServiceContext, ServiceSpec} from '../types/kernel.js';
@@ -15,9 +15,11 @@
 
 export interface EntryPeersOptions {
   readonly transport: Transport;
-  /** Where to listen; port 0 takes a free one. */
+  /** Address to listen on; port 0 selects a free port. */
   readonly address: Address;
-  /** Told once the listener is open. @default nobody */
+  /**
+   * Called with the actual address once the listener is open. @default no call
+   */
   readonly onListening?: (address: Address) => void;
 }
 
--- a/src/entry/groups/group_plan.ts
+++ b/src/entry/groups/group_plan.ts
@@ -1,17 +1,21 @@
 /**
- * Which engines together hold a prompt that is over one engine's memory: the
- * fewest, and of those the roomiest.
+ * Selects the engines that together hold a prompt too large for one engine's
+ * memory. The group has the fewest engines possible and, for that size, those
+ * with the most free memory.
  */
 import type {RequestSpec} from '../../types/services.js';
 import type {RankedTarget} from '../../policy/routing.js';
 
 /**
- * Share of its members' memory that a group takes where it can. A group that
- * fills its members stops all short work on them for as long as it runs.
+ * Share of its members' memory that a group uses where enough engines are
+ * available. A group that fills its members' memory blocks all short requests
+ * on them for as long as it runs.
  */
 const TARGET_MEMORY_SHARE = 0.85;
 
-/** One engine of a group and its part. */
+/**
+ * One engine of a group, and the share of the request's memory that it holds.
+ */
 export interface GroupPart {
   readonly ranked: RankedTarget;
   readonly isLead: boolean;
@@ -19,13 +23,13 @@
 }
 
 export type GroupPlan =
-  /** One engine will do. */
+  /** One engine is enough. */
   | {readonly kind: 'single'}
-  /** In the global order of reservation: by address. */
+  /** Sorted by address, the order in which every entry reserves. */
   | {readonly kind: 'group'; readonly parts: readonly GroupPart[]}
   | {readonly kind: 'too-large'; readonly haveTokens: number};
 
-/** Memory that the request takes: prompt and answer, in tokens. */
+/** Memory that the request needs for prompt and answer, in tokens. */
 export function requiredTokens(spec: RequestSpec): number {
   return spec.promptTokens + spec.maxTokens;
 }
@@ -36,15 +40,16 @@
 ): GroupPlan {
   const needed = requiredTokens(spec);
   const known = ranked.filter(one => capacityOf(one) > 0);
-  // An engine that has not reported its memory may well take it alone.
+  // An engine that has not reported its memory may be able to hold the whole
+  // request.
   const hasUnknown = known.length < ranked.length || ranked.length === 0;
   const mayFitOne = hasUnknown || known.some(one => capacityOf(one) >= needed);
   if (spec.kind === 'call' || mayFitOne) return {kind: 'single'};
   const byFreeMemory = [...known].sort(
     (a, b) => freeOf(b) - freeOf(a) || capacityOf(b) - capacityOf(a),
   );
-  // Engines that together leave room beside the group; where there are too few
-  // of them, any that hold it.
+  // Prefers a group that leaves headroom for other requests. If too few engines
+  // are available for that, any group that can hold the request is used.
   const withHeadroom = smallestGroup(
     byFreeMemory,
     needed / TARGET_MEMORY_SHARE,
@@ -59,8 +64,9 @@
 }
 
 /**
- * The smallest size is found from capacities; the members are then the
- * roomiest of that size that suffice, so free memory decides between equals.
+ * Selects the smallest group that holds `needed` tokens. The size follows from
+ * the engines' capacities. The members are the engines with the most free
+ * memory if that many of them suffice, else those with the largest capacity.
  */
 function smallestGroup(
   byFreeMemory: readonly RankedTarget[],
--- a/src/entry/groups/group_reserve.ts
+++ b/src/entry/groups/group_reserve.ts
@@ -1,8 +1,8 @@
 /**
- * Reserves the engines of a group, all or nothing. Every entry reserves in the
- * same global order, by address, and holds for a short time only: two groups
- * that want the same engines meet at the first of them, so neither waits for
- * the other while holding what the other needs.
+ * Reserves all engines of a group, or none. Every entry reserves in the same
+ * global order, by address, and holds reservations only for a short time. Two
+ * groups that need the same engines therefore meet at the first of them, and
+ * neither waits for the other while it holds an engine that the other needs.
  */
 import type {ErrorDetails} from '../../types/errors.js';
 import type {RequestSpec} from '../../types/services.js';
@@ -12,7 +12,7 @@
 import type {AcceptedOffer, OfferDeps} from '../routing/send_offer.js';
 import {isFinished} from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
-import {RETRY_AFTER_MS, refusalDetails} from '../routing/refusals.js';
+import {RETRY_AFTER_MS, refusalError} from '../routing/refusals.js';
 import type {Refusal} from '../routing/refusals.js';
 
 export interface ReservedPart {
@@ -25,12 +25,15 @@
   | {readonly kind: 'none'; readonly details: ErrorDetails}
   | {readonly kind: 'over'};
 
-/** Longest pause between two tries to gather the group. */
+/**
+ * Maximum delay between two attempts to reserve the group, in milliseconds,
+ * before jitter.
+ */
 const MAX_BACKOFF_MS = 2_000;
 
 /**
- * Tries until the group is whole or the time left is too short to run it.
- * `rank` gives the candidates anew for each try.
+ * Retries until the whole group is reserved or too little time is left to run
+ * the request. `rank` returns fresh candidates for each attempt.
  */
 export async function reserveGroup(
   deps: OfferDeps,
@@ -102,12 +105,12 @@
       },
     });
     if (answer.kind === 'accepted') reserved.push({part, offer: answer});
-    // Held memory is idle memory: a group that does not come together at once
-    // gives it back and tries again later.
+    // Reserved memory is unused memory. If the group can't be reserved at once,
+    // its reservations are released and it tries again later.
     const isLate = deps.clock.now() > reserveBy;
     if (answer.kind === 'refused' || isLate || isFinished(open)) {
       withdrawParts(deps, reserved);
-      return {kind: 'none', details: refusalDetails(refusalsOf(answer))};
+      return {kind: 'none', details: refusalError(refusalsOf(answer))};
     }
   }
   return {kind: 'reserved', parts: reserved};
@@ -121,7 +124,10 @@
   return [{side, reason: 'full', retryAfterMs: 0}];
 }
 
-/** A group that waits grows more urgent, so that short work cannot starve it. */
+/**
+ * Raises the priority of a group the longer it waits, so that short requests
+ * cannot starve it.
+ */
 function agedPriority(spec: RequestSpec, waitedMs: number): number {
   const {ageingMs} = spec.config.declarations.policy;
   const levels = ageingMs > 0 ? Math.floor(waitedMs / ageingMs) : 0;
@@ -138,8 +144,7 @@
   plan: Exclude<GroupPlan, {kind: 'group'}>,
   someUnavailable: boolean,
 ): ReserveGroupResult {
-  if (plan.kind === 'single')
-    return {kind: 'none', details: refusalDetails([])};
+  if (plan.kind === 'single') return {kind: 'none', details: refusalError([])};
   const message =
     `needs memory for ${requiredTokens(spec)} tokens; ` +
     `the engines in reach have ${plan.haveTokens}`;
--- a/src/entry/groups/group_run.ts
+++ b/src/entry/groups/group_run.ts
@@ -1,7 +1,8 @@
 /**
- * Runs a request on a reserved group: the members hold memory, the lead gets
- * the prompt and gives the answer. Any member lost ends the run on all, at
- * once, since the lead cannot end without the memory that went.
+ * Runs a request on a reserved group. The members hold memory; the lead
+ * receives the prompt and produces the answer. When any member is lost, the run
+ * ends at once on all of them, because the lead cannot finish without that
+ * member's memory.
  */
 import type {RequestSpec} from '../../types/services.js';
 import {createAnswerLog} from '../run/answer_log.js';
@@ -12,7 +13,7 @@
 import type {OfferDeps} from '../routing/send_offer.js';
 import type {OpenRequest} from '../open_request.js';
 
-/** Resolves with the lead's outcome; all members are cancelled by then. */
+/** Resolves with the lead's outcome, after all members were cancelled. */
 export async function runGroup(
   deps: OfferDeps,
   open: OpenRequest,
@@ -29,8 +30,11 @@
 function createGroupRun(deps: OfferDeps, open: OpenRequest, spec: RequestSpec) {
   const members: Attempt[] = [];
   let lead: Attempt | undefined;
-  let lostMemberId: string | undefined;
-  /** A member's word that the caller ended the request at another entry. */
+  let lostMember: string | undefined;
+  /**
+   * Set when a member reports that the caller cancelled the request at another
+   * entry.
+   */
   let cancelledOutcome: AttemptOutcome | undefined;
   let stopped = false;
 
@@ -54,7 +58,7 @@
       incarnation: offer.incarnation,
       organisation: spec.organisation,
       go: {body, call: undefined, deadlineAt: spec.deadlineAt},
-      answerLog: answerLog,
+      answerLog,
       onStarted,
       onEvidence: (what, incarnation) =>
         deps.sendToMembership({
@@ -76,7 +80,7 @@
     stopMembers();
   };
 
-  /** Resolves when the member holds its memory, or is lost. */
+  /** Resolves when the member holds its memory or is lost. */
   const startMember = (reserved: ReservedPart): Promise<void> =>
     new Promise(resolve => {
       const {dispatchId} = reserved.offer;
@@ -85,7 +89,7 @@
       members.push(member);
       void member.outcome.then(outcome => {
         if (outcome.kind !== 'stopped') {
-          lostMemberId = dispatchId;
+          lostMember = dispatchId;
           if (isCancelled(outcome)) cancelledOutcome = outcome;
           lead?.abandon(`group member ${dispatchId} lost`);
         }
@@ -102,9 +106,7 @@
     const timeout = new Promise<boolean>(resolve =>
       deps.clock.after(deps.timing.groupHoldMs, () => resolve(false)),
     );
-    return (
-      (await Promise.race([holding, timeout])) && lostMemberId === undefined
-    );
+    return (await Promise.race([holding, timeout])) && lostMember === undefined;
   };
 
   const runLead = async (
@@ -120,8 +122,8 @@
       stopMembers();
       lead?.stop();
     };
-    // The members hold no part of the prompt: until the lead's go is sent,
-    // nothing has run.
+    // Members hold no part of the prompt. Nothing has run until the lead's go
+    // is sent.
     open.currentAttemptRan = () => lead?.ran() ?? 'no';
     const allHold = await startMembers(parts);
     if (stopped) return {kind: 'stopped'};
@@ -144,7 +146,7 @@
     lead = startPart(leadPart);
     const outcome = await lead.outcome;
     releaseMembers();
-    // Taken for a lost member, it would be run again for nobody.
+    // Treated as the loss of a member, a cancelled request would be run again.
     return cancelledOutcome ?? outcome;
   };
 
--- a/src/entry/open_request.ts
+++ b/src/entry/open_request.ts
@@ -1,6 +1,7 @@
 /**
- * One request that this entry owns, from submit to its one final event, and
- * what is known so far of whether its work ran.
+ * The state of one request that this entry owns, from its submission to its
+ * single final event. It includes what is known of whether the request's work
+ * ran.
  */
 import {OnyxError} from '../types/errors.js';
 import type {ErrorDetails, Ran} from '../types/errors.js';
@@ -18,25 +19,31 @@
   readonly id: RequestId;
   readonly organisation: OrganisationId;
   readonly kind: WorkKind;
-  /** As the answer names it; empty for a call. */
+  /** Model name as given in the answer; empty for a call. */
   readonly model: string;
   readonly promptTokens: number;
 }
 
 export interface OpenRequest extends RequestSummary {
   readonly answerLog: AnswerLog;
-  /** Side and dispatch of the newest attempt; empty before the first. */
+  /**
+   * Side of the newest attempt; empty before the first attempt. `dispatchId` is
+   * that attempt's.
+   */
   side: Address;
   dispatchId: DispatchId;
-  /** Highest attempt number given out. */
+  /** Highest attempt number used so far. */
   lastAttempt: number;
-  /** What the attempts that are over let us say. */
+  /** Whether the request ran, as far as the finished attempts show. */
   ran: Ran;
-  /** Another entry took the run over: what is known here is out of date. */
+  /**
+   * True when another entry has taken over the run, so the state held here is
+   * out of date.
+   */
   takenOver: boolean;
-  /** Ends the attempt that runs now. */
+  /** Stops the current attempt; undefined when none is running. */
   stopCurrentAttempt: (() => void) | undefined;
-  /** What the running attempt lets us say. */
+  /** Whether the current attempt ran, as far as is known. */
   currentAttemptRan: (() => Ran) | undefined;
 }
 
@@ -46,7 +53,7 @@
 ): OpenRequest {
   return {
     ...identity,
-    answerLog: answerLog,
+    answerLog,
     side: '',
     dispatchId: '',
     lastAttempt: 0,
@@ -59,17 +66,17 @@
 
 const RAN_ORDER: readonly Ran[] = ['no', 'unknown', 'yes'];
 
-/** The stronger claim of two: `yes` over `unknown` over `no`. */
+/** Returns the stronger of two statements: `yes` over `unknown` over `no`. */
 export function mergeRan(a: Ran, b: Ran): Ran {
   return RAN_ORDER.indexOf(a) >= RAN_ORDER.indexOf(b) ? a : b;
 }
 
-/** What may be said now about the whole request. */
+/** Whether the request ran, as far as all its attempts show now. */
 export function currentRan(open: OpenRequest): Ran {
   return mergeRan(open.ran, open.currentAttemptRan?.() ?? 'no');
 }
 
-/** Whether the outcome is a side's word that another entry has the run. */
+/** True when the side reported that another entry has taken over the run. */
 export function isTakenOver(outcome: AttemptOutcome): boolean {
   return outcome.kind === 'failed' && outcome.failed.code === 'superseded';
 }
@@ -78,7 +85,9 @@
   return open.answerLog.finalEvent() !== undefined;
 }
 
-/** The failure as the caller gets it, with id and `ran` filled in. */
+/**
+ * The `failed` event for the caller, with the request id and `ran` filled in.
+ */
 export function failedEvent(
   open: OpenRequest,
   details: ErrorDetails,
--- a/src/entry/request_table.ts
+++ b/src/entry/request_table.ts
@@ -1,6 +1,6 @@
 /**
- * The requests of this entry: those open, and for a while those ended, so that
- * a caller whose connection broke can still have its answer here.
+ * Holds the open requests of this entry. It also keeps ended ones for a while,
+ * so that a caller whose connection broke can still fetch its answer here.
  */
 import type {OrganisationId, RequestId} from '../types/ids.js';
 import type {Clock} from '../types/runtime.js';
@@ -8,16 +8,22 @@
 import {isFinished} from './open_request.js';
 import type {OpenRequest} from './open_request.js';
 
-/** Ended requests kept at most, the oldest forgotten first. */
+/**
+ * Maximum number of ended requests kept. Beyond it, the oldest are removed
+ * first.
+ */
 const MAX_ENDED_REQUESTS = 512;
-/** Bytes of the answers of ended requests kept at most. */
+/**
+ * Maximum total size, in bytes, of the answers of ended requests. Beyond it,
+ * the oldest requests are removed first.
+ */
 const MAX_ENDED_BYTES = 16 << 20;
 
 export interface RequestTable {
   add(open: OpenRequest): void;
-  /** Moves a request to the ended ones. */
+  /** Moves a request from the open to the ended ones. */
   markEnded(open: OpenRequest): void;
-  /** Open or ended, of that organisation only. */
+  /** Finds an open or ended request, only if it belongs to the organisation. */
   find(id: RequestId, organisation: OrganisationId): OpenRequest | undefined;
   has(id: RequestId): boolean;
   openRequests(): readonly OpenRequest[];
@@ -43,7 +49,11 @@
     }
   };
 
-  /** A request that came back after its run was taken over ends twice here. */
+  /**
+   * Removes an ended request. A request that was resumed here after another
+   * entry had taken over its run ends twice; this keeps its bytes from being
+   * counted twice.
+   */
   const removeEnded = (id: RequestId) => {
     const earlier = ended.get(id);
     if (earlier === undefined) return;
@@ -65,7 +75,8 @@
     find: (id, organisation) => {
       evictEnded();
       const found = open.get(id) ?? ended.get(id)?.request;
-      // One organisation must not learn that another's request exists.
+      // An organisation must not learn that another organisation's request
+      // exists.
       return found?.organisation === organisation ? found : undefined;
     },
     has: id => open.has(id),
@@ -74,7 +85,7 @@
   };
 }
 
-/** State of a request that is known here. */
+/** The state of a request that this entry holds. */
 export function requestStateOf(request: OpenRequest): RequestState {
   return {
     id: request.id,
--- a/src/entry/requests.ts
+++ b/src/entry/requests.ts
@@ -1,7 +1,7 @@
 /**
- * The service that owns requests: from submit to the one final event of each.
- * It keeps deadlines, limits and ownership; how a request is run stands in
- * `drive_request.ts`.
+ * The `requests` service. It owns each request from its submission to its
+ * single final event, and enforces deadlines, limits and ownership.
+ * `execute_request.ts` runs the requests.
  */
 import {OnyxError} from '../types/errors.js';
 import type {
@@ -44,22 +44,31 @@
 
 type CancelMessage = Extract<RequestsMessage, {readonly kind: 'cancel'}>;
 
-/** A membership that was restarted has lost its subscribers. */
+/**
+ * Interval, in milliseconds, at which this service subscribes to the membership
+ * again. A restarted membership service has lost its subscribers.
+ */
 const RESUBSCRIBE_INTERVAL_MS = 5_000;
-/** When to come back to another entry while this one drains. */
+/**
+ * Retry time, in milliseconds, given to callers refused while this entry
+ * drains.
+ */
 const DRAIN_RETRY_AFTER_MS = 200;
-/** Prompt blocks are hashed by 1 KiB, some 256 tokens of text. */
+/**
+ * Prompt tokens per prefix hash. Prompts are hashed in blocks of 1 KiB, which
+ * is about 256 tokens of text.
+ */
 const DEFAULT_PREFIX_BLOCK_TOKENS = 256;
 
 export interface RequestsOptions {
   readonly transport: Transport;
   readonly node: NodeId;
   readonly failureDomain: FailureDomain;
-  /** Policy by the name that the configuration gives. */
+  /** Returns the routing policy of the name given in the configuration. */
   readonly routingPolicy: (name: string) => RoutingPolicy;
   /** @default DEFAULT_REQUEST_TIMING */
   readonly timing?: Partial<RequestTiming>;
-  /** Prompt tokens that one prefix hash stands for. @default 256 */
+  /** Prompt tokens covered by one prefix hash. @default 256 */
   readonly prefixBlockTokens?: number;
 }
 
@@ -75,10 +84,13 @@
 ): void {
   const timing = {...DEFAULT_REQUEST_TIMING, ...options.timing};
   const table = createRequestTable(ctx.clock, timing.endedRetentionMs);
-  /** What to release when a request is over. */
+  /** Functions to call when a request ends. */
   const releaseCallbacks = new Map<OpenRequest, Array<() => void>>();
   const drainReplies: Array<() => void> = [];
-  /** Resumes whose run is still being looked for; not in the table yet. */
+  /**
+   * Resumes that are still locating their run. Their requests are not in the
+   * table yet.
+   */
   let resumesInProgress = 0;
   let draining = false;
   let view: MembershipView = {replicas: [], allSides: [], entries: []};
@@ -134,7 +146,7 @@
   const resumer = createResumer({
     deps,
     table,
-    addRequest: addRequest,
+    addRequest,
     view: () => view,
   });
 
@@ -163,12 +175,13 @@
       return;
     }
     addRequest(request, [
-      // A caller is told at its deadline, whatever else is still awaited.
+      // The caller gets its final event at the deadline, whatever the request
+      // is still waiting for.
       ctx.clock.after(spec.deadlineAt - ctx.clock.now(), () =>
         onDeadline(request),
       ),
     ]);
-    failOnError(request, admitAndDrive(request, spec));
+    failOnError(request, admitAndExecute(request, spec));
   };
 
   const onDeadline = (request: OpenRequest) => {
@@ -184,7 +197,7 @@
     );
   };
 
-  const admitAndDrive = async (request: OpenRequest, spec: RequestSpec) => {
+  const admitAndExecute = async (request: OpenRequest, spec: RequestSpec) => {
     const acquired = await acquireLimit(ctx, spec);
     if (acquired.isLeft()) {
       acquired.ifLeft(err => failWith(request, err));
@@ -212,7 +225,10 @@
     if (!isFinished(request)) finish(request, toFinalEvent(request, err));
   };
 
-  /** A fault of ours must not leave a caller without its final event. */
+  /**
+   * Fails the request when its handling throws. Without this, an internal error
+   * would leave a caller without a final event.
+   */
   const failOnError = (request: OpenRequest, work: Promise<void>) => {
     work.catch(err => {
       failWith(request, err instanceof Error ? err : new Error(String(err)));
@@ -243,8 +259,8 @@
   };
 
   const resume = (message: Extract<RequestsMessage, {kind: 'resume'}>) => {
-    // A drain that ends while the run is looked for would cut the caller that
-    // came for its answer.
+    // Keeps the drain from completing while a run is being located. Otherwise a
+    // caller that came to resume its answer would be cut off.
     resumesInProgress++;
     void resumer.resume(message).finally(() => {
       resumesInProgress--;
--- a/src/entry/resume/adopt_run.ts
+++ b/src/entry/resume/adopt_run.ts
@@ -1,6 +1,7 @@
 /**
- * Takes up a run that another entry started and that its caller resumes here.
- * Attaching makes this entry the owner; its heartbeats keep the run alive.
+ * Takes over a run that another entry started, because the caller resumes its
+ * request here. Attaching to the run makes this entry its owner; this entry's
+ * heartbeats then keep the run alive.
  */
 import type {Address, Incarnation} from '../../types/ids.js';
 import {REQUEST_EVENTS} from '../../utils/events.js';
@@ -15,9 +16,9 @@
 export interface AdoptRunOptions {
   readonly open: OpenRequest;
   readonly located: LocatedRun;
-  /** First chunk that the caller wants. */
+  /** Sequence number of the first chunk that the caller wants. */
   readonly fromSeq: number;
-  /** Incarnation of the side, as far as known; may be empty. */
+  /** Incarnation of the side; empty when it is not known. */
   readonly incarnation: Incarnation;
 }
 
@@ -39,8 +40,9 @@
   });
   deps.sendToMembership({kind: 'own', address: side, dispatchId});
   open.answerLog.setPlacement({kind: 'placed', dispatchId, side});
-  // From the first chunk where the side still has it: then the digest holds
-  // over the whole answer, not only over what the caller lacks.
+  // First tries to attach from chunk 0. If the side still has that chunk, the
+  // digest is checked over the whole answer and not only over the chunks that
+  // the caller lacks.
   let outcome = await attachToRun(deps, adoption);
   if (lacksFirstChunks(outcome) && adoption.fromSeq > 0 && !isFinished(open)) {
     open.answerLog.startAt(adoption.fromSeq);
@@ -77,14 +79,20 @@
   return outcome;
 }
 
-/** The side has let go of the chunks that the first owner acknowledged. */
+/**
+ * True when the side no longer has the first chunks, because the previous owner
+ * acknowledged them.
+ */
 function lacksFirstChunks(outcome: AttemptOutcome): boolean {
   return (
     outcome.kind === 'failed' && outcome.failed.code === 'answer-incomplete'
   );
 }
 
-/** An adopted run is never tried elsewhere: its prompt is not here. */
+/**
+ * Gives the request its final event. An adopted run is never retried elsewhere,
+ * because this entry does not have its prompt.
+ */
 function finishRequest(
   deps: ExecuteDeps,
   open: OpenRequest,
@@ -100,8 +108,8 @@
   });
   if (decision === undefined || isFinished(open)) return;
   if (decision.kind !== 'end') {
-    // That this attempt did not run says nothing of the others, which the
-    // entry that made them knew of and this one does not.
+    // Even if this attempt did not run, earlier attempts may have. Only the
+    // entry that made them knows.
     const ran = decision.ran === 'no' ? 'unknown' : decision.ran;
     const {details} = decision;
     deps.finish(open, failedEvent(open, {...details, ran}));
--- a/src/entry/resume/cancel_at_sides.ts
+++ b/src/entry/resume/cancel_at_sides.ts
@@ -1,14 +1,14 @@
 /**
- * Ends a request that another entry owns, for a caller that asks here. Each
- * side is asked for a trace of it, since a group has one at several, and an
- * entry that goes away may leave an older one.
+ * Cancels a request that another entry owns, for a caller that asks this entry.
+ * It asks every side, because a group runs on several sides and an entry that
+ * stopped may have left an earlier attempt on another one.
  */
 import type {Address, OrganisationId, RequestId} from '../../types/ids.js';
 import type {LocateRes} from '../../types/peer_messages.js';
 import {abandonDispatch} from '../run/abandon.js';
 import type {AbandonDeps} from '../run/abandon.js';
 
-/** Sides asked at once. */
+/** Maximum number of sides asked at the same time. */
 const MAX_PARALLEL_CALLS = 16;
 
 export interface CancelAtSidesOptions {
@@ -17,7 +17,10 @@
   readonly sides: readonly Address[];
 }
 
-/** Resolves with whether some side had it queued or running. */
+/**
+ * Resolves with true when at least one side had the request queued or running
+ * and answered the abandon call.
+ */
 export async function cancelAtSides(
   deps: AbandonDeps,
   request: CancelAtSidesOptions,
--- a/src/entry/resume/locate_run.ts
+++ b/src/entry/resume/locate_run.ts
@@ -1,6 +1,7 @@
 /**
- * Finds the side that holds a run, for a caller that resumes at an entry which
- * does not own it: the side it names first, then all sides, few at a time.
+ * Finds the side that has a run, for a caller that resumes at an entry which
+ * does not own it. The side that the caller names is asked first, then all
+ * sides, a limited number at a time.
  */
 import type {Address, OrganisationId, RequestId} from '../../types/ids.js';
 import type {LocateRes} from '../../types/peer_messages.js';
@@ -8,7 +9,7 @@
 import type {Transport} from '../../types/transport.js';
 import type {RequestTiming} from '../timing.js';
 
-/** Sides asked at once. */
+/** Maximum number of sides asked at the same time. */
 const MAX_PARALLEL_CALLS = 16;
 
 export interface LocatedRun {
@@ -22,20 +23,21 @@
   readonly timing: RequestTiming;
   readonly id: RequestId;
   readonly organisation: OrganisationId;
-  /** Empty when the caller knows none. */
+  /** Side named by the caller; empty when the caller names none. */
   readonly sideHint: Address;
   readonly allSides: readonly Address[];
 }
 
 /**
- * The trace to take up: of the newest attempt that has anything to give;
- * undefined when no side knows the request.
+ * Returns the run to resume: that of the newest attempt that has an answer or
+ * may get one, else the newest failed one. Undefined when no side knows the
+ * request.
  */
 export async function locateRun(
   options: LocateRunOptions,
 ): Promise<LocatedRun | undefined> {
-  // Only known sides are asked: the hint comes from the caller, and must not
-  // make this process connect to wherever it says.
+  // The hint comes from the caller. Only known sides are asked, so that a
+  // caller cannot make this process connect to an arbitrary address.
   const hinted = options.allSides.includes(options.sideHint)
     ? await locateAtSide(options, options.sideHint)
     : undefined;
@@ -45,9 +47,10 @@
 }
 
 /**
- * Asks all, since an earlier attempt may have left a trace too: its chunks
- * after those of a later one would be an answer that no run gave. Sides that
- * do not answer hold this up for one waiting time at most.
+ * Asks all sides, because an earlier attempt may also be found. Chunks of an
+ * earlier attempt joined to those of a later one would form an answer that no
+ * run produced. Once a run is found, sides that do not answer delay the result
+ * by at most one timeout.
  */
 async function locateAtAll(
   options: LocateRunOptions,
@@ -63,8 +66,9 @@
       const side = remaining.shift();
       if (side === undefined || clock.now() > stopAskingAt) return;
       const found = await locateAtSide(options, side);
-      // Read only after the wait: a side that knows nothing and answers last
-      // would otherwise undo what another has told in the meantime.
+      // `best` is read only after the call. Otherwise a side that knows nothing
+      // and answers last would overwrite what another side reported in the
+      // meantime.
       best = preferred(best, found);
       if (best !== undefined && mayHaveAnswer(best)) {
         stopAskingAt = Math.min(
@@ -96,7 +100,7 @@
     .extract();
 }
 
-/** There is an answer, or will be. */
+/** True when the run has an answer or may still get one. */
 function mayHaveAnswer(found: LocatedRun): boolean {
   return found.res.state !== 'failed';
 }
@@ -110,7 +114,7 @@
   return attemptNumberOf(b) > attemptNumberOf(a) ? b : a;
 }
 
-/** Number of the attempt, from its dispatch id. */
+/** Attempt number, taken from the end of the dispatch id. */
 function attemptNumberOf({res}: LocatedRun): number {
   return Number(res.dispatchId.slice(res.dispatchId.lastIndexOf('.') + 1));
 }
--- a/src/entry/resume/resumer.ts
+++ b/src/entry/resume/resumer.ts
@@ -1,6 +1,6 @@
 /**
- * Resuming a request and telling its state, at whichever entry the caller asks:
- * from what is kept here, else from the side that holds the run.
+ * Resumes requests and reports their state at whichever entry the caller asks.
+ * It uses what this entry holds; otherwise it asks the side that has the run.
  */
 import {OnyxError} from '../../types/errors.js';
 import type {OrganisationId, RequestId} from '../../types/ids.js';
@@ -29,9 +29,12 @@
     organisation: OrganisationId,
     reply: (state: RequestState) => void,
   ): Promise<void>;
-  /** From what is known at this entry alone. */
+  /** The state known to this entry alone. */
   localState(id: RequestId, organisation: OrganisationId): RequestState;
-  /** Gives `open` the answer of the request that took its key before. */
+  /**
+   * Gives `open` the answer of the earlier request that claimed the same
+   * idempotency key.
+   */
   followEarlierRequest(open: OpenRequest, earlier: RequestId): Promise<void>;
 }
 
@@ -48,7 +51,10 @@
 export function createResumer(options: ResumerOptions): Resumer {
   const {deps, table} = options;
 
-  /** Not one that another entry has by now: the sides know how it goes on. */
+  /**
+   * Finds a request held here, unless another entry has taken it over. The
+   * sides know the current state of such a run.
+   */
   const findCurrent = (id: RequestId, organisation: OrganisationId) => {
     const known = table.find(id, organisation);
     return known?.takenOver === true ? undefined : known;
@@ -113,7 +119,7 @@
       return;
     }
     const located = await locate(id, organisation, message.sideHint);
-    // Another resume of the same request may have been faster.
+    // Another resume of the same request may have added it in the meantime.
     const addedMeanwhile = findCurrent(id, organisation);
     if (addedMeanwhile !== undefined) {
       addedMeanwhile.answerLog.subscribe(fromSeq, listener, streamed);
@@ -126,7 +132,10 @@
     return known === undefined ? unknownState(id) : requestStateOf(known);
   };
 
-  /** What was known here last, also of a run that was taken over. */
+  /**
+   * The last state known here, including that of a run that another entry took
+   * over.
+   */
   const lastKnownState = (id: RequestId, organisation: OrganisationId) => {
     const known = table.find(id, organisation);
     return known === undefined ? undefined : requestStateOf(known);
@@ -147,7 +156,10 @@
     else reply(lastKnownState(id, organisation) ?? known);
   };
 
-  /** Copies the events of the earlier request into the later one's answer. */
+  /**
+   * Returns a listener that copies the events of the earlier request to the
+   * later one.
+   */
   const copyEventsTo =
     (open: OpenRequest): RequestListener =>
     event => {
@@ -169,7 +181,7 @@
 
   return {
     resume,
-    reportState: reportState,
+    reportState,
     localState,
     followEarlierRequest: async (open, earlier) => {
       await resume({
@@ -206,8 +218,9 @@
 }
 
 /**
- * The key was taken, so this request does not run. The earlier one's trace is
- * gone or cannot be reached: whether that one ran is not known.
+ * Turns the earlier request's error into the final event of the later one. If
+ * the earlier request cannot be found, it is unknown whether it ran; the later
+ * one does not run, because the key is taken.
  */
 function earlierFailure(open: OpenRequest, error: OnyxError) {
   if (error.code !== 'not-found') {
--- a/src/entry/routing/assignments.ts
+++ b/src/entry/routing/assignments.ts
@@ -1,16 +1,17 @@
 /**
- * What this entry sent to each side since that side's last load report.
- * Without it every request between two reports would choose the side that
- * looked best at the last one, and all would herd there.
+ * Records what this entry has sent to each side since that side's last load
+ * report. Without it, all requests between two reports would choose the side
+ * that looked best in the last one, and would overload it.
  */
 import type {Address, DispatchId} from '../../types/ids.js';
 import type {Replica} from '../../types/services.js';
 
 /**
- * How long an assignment whose attempt is over still counts without a report.
- * Dropped at once, it would make the side look free before anything is known of
- * what others sent there; kept until a report comes, it would stay for good
- * where reports have stopped, and the lists would grow with each request.
+ * How long an ended assignment still counts without a new load report, in
+ * milliseconds. If it were dropped at once, the side would look free before its
+ * next report shows what others sent there. If it were kept until a report
+ * came, it would stay for ever where reports have stopped, and the lists would
+ * grow with each request.
  */
 const ENDED_RETENTION_MS = 10_000;
 
@@ -31,19 +32,21 @@
 
 export interface Assignments {
   add(side: Address, dispatchId: DispatchId, tokens: number, at: number): void;
-  /** The side refused it: it adds no load there. */
+  /**
+   * Removes an assignment that the side refused, since it adds no load there.
+   */
   remove(side: Address, dispatchId: DispatchId): void;
-  /** Its attempt is over. */
+  /** Marks an assignment whose attempt has ended. */
   markEnded(side: Address, dispatchId: DispatchId, at: number): void;
-  /** Drops what has been over for long. */
+  /** Drops assignments that ended more than `ENDED_RETENTION_MS` ago. */
   dropExpired(now: number): void;
-  /** Sums what the replica's last report cannot have counted. */
+  /** Sums the assignments that the replica's last report cannot include. */
   unreportedLoad(replica: Replica): UnreportedLoad;
 }
 
 export function createAssignments(): Assignments {
   const assignmentsBySide = new Map<Address, Map<DispatchId, OpenAssignment>>();
-  /** Oldest first. */
+  /** Ended assignments, oldest first. */
   const ended = new Map<DispatchId, EndedAssignment>();
 
   const remove = (side: Address, dispatchId: DispatchId) => {
@@ -73,7 +76,7 @@
     unreportedLoad: replica => {
       const list = assignmentsBySide.get(replica.address);
       if (list === undefined) return {requests: 0, tokens: 0};
-      // A report left the side about half a round trip before it came in.
+      // A report was sent about half a round trip before it arrived.
       const reportedAt = replica.loadAt - replica.rttMs / 2;
       let tokens = 0;
       for (const [dispatchId, one] of list) {
--- a/src/entry/routing/offer_round.ts
+++ b/src/entry/routing/offer_round.ts
@@ -1,6 +1,6 @@
 /**
- * A round of offers: best candidate first, on refusal the next, until one
- * accepts or the policy's number of offers is used up.
+ * Offers a request to the candidates, best first, until one accepts or the
+ * policy's maximum number of offers is reached.
  */
 import type {ErrorDetails} from '../../types/errors.js';
 import type {RequestSpec} from '../../types/services.js';
@@ -9,13 +9,13 @@
 import type {AcceptedOffer, OfferResult, OfferDeps} from './send_offer.js';
 import {isFinished} from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
-import {refusalDetails} from './refusals.js';
+import {refusalError} from './refusals.js';
 import type {Refusal} from './refusals.js';
 
 export type OfferRoundResult =
   | AcceptedOffer
   | {readonly kind: 'none'; readonly details: ErrorDetails}
-  /** The request got its final event meanwhile. */
+  /** The request got its final event in the meantime. */
   | {readonly kind: 'over'};
 
 export async function runOfferRound(
@@ -36,7 +36,7 @@
     if (answer.kind === 'accepted') return answer;
     refusals.push(answer);
   }
-  return {kind: 'none', details: refusalDetails(refusals)};
+  return {kind: 'none', details: refusalError(refusals)};
 }
 
 async function offerToCandidate(
@@ -56,8 +56,8 @@
     return first;
   }
   if (isFinished(open)) return first;
-  // The side was restarted since its last heartbeat: the refusal names its
-  // new incarnation, which may take the request.
+  // The side has restarted since its last heartbeat. The refusal names its new
+  // incarnation, which may accept the request.
   return sendOffer(deps, open, spec, {
     candidate,
     incarnation: first.incarnation,
--- a/src/entry/routing/prefix_history.ts
+++ b/src/entry/routing/prefix_history.ts
@@ -1,25 +1,29 @@
 /**
- * Which prompt prefixes this entry has routed before, and how often engines
- * then found them in their caches. Cache events come late and with gaps; what
- * engines report at the end of a run corrects the expectation.
+ * Remembers which prompt prefixes this entry has routed, and how often engines
+ * then had them in their caches. Cache events from engines are late and
+ * incomplete; the cached tokens that engines report at the end of a run correct
+ * the estimate.
  */
 
-/** Prefix hashes remembered, the least recently routed forgotten first. */
+/**
+ * Maximum number of prefix hashes remembered. Beyond it, the least recently
+ * routed are forgotten.
+ */
 const MAX_HASHES = 8_192;
-/** Weight of the newest observation in the learned hit ratio. */
+/** Weight of the newest observation in the moving average of the hit ratio. */
 const LEARNING_RATE = 0.05;
 
 export interface PrefixHistory {
   recordRouted(hashes: readonly string[]): void;
-  /** Tokens of the longest prefix that was routed before. */
+  /** Number of tokens of the longest prefix routed before. */
   knownTokens(hashes: readonly string[]): number;
   recordCached(hashes: readonly string[], cachedTokens: number): void;
-  /** Confirmed share of expected hits, 0 to 1. */
+  /** Share of expected cache hits that engines confirmed, from 0 to 1. */
   hitRatio(): number;
 }
 
 export function createPrefixHistory(blockTokens: number): PrefixHistory {
-  /** In order of use; the value counts how often it was routed. */
+  /** Number of times each hash was routed, least recently used first. */
   const routedTimes = new Map<string, number>();
   let ratio = 1;
 
@@ -44,7 +48,8 @@
     },
     knownTokens: hashes => leadingKnownBlocks(hashes, 1) * blockTokens,
     recordCached: (hashes, cachedTokens) => {
-      // Routed twice or more: this run was not the one that filled the cache.
+      // Counts only prefixes routed at least twice, since the first run fills
+      // the cache.
       const expected = leadingKnownBlocks(hashes, 2) * blockTokens;
       if (expected === 0) return;
       const hit = Math.min(1, cachedTokens / expected);
--- a/src/entry/routing/refusals.ts
+++ b/src/entry/routing/refusals.ts
@@ -1,31 +1,35 @@
 /**
- * Turns the answers of a round of offers into the one failure that its caller
- * gets: the most telling reason, and the earliest time that any side named.
+ * Combines the refusals of a round of offers into the one failure that the
+ * caller gets. It has the most significant reason and the earliest retry time
+ * that a side named.
  */
 import type {ErrorCode, ErrorDetails} from '../../types/errors.js';
 import type {Address} from '../../types/ids.js';
 import type {RefusalReason} from '../../types/peer_messages.js';
 
-/** `unanswered`: no answer came; the go was never sent. */
+/** `unanswered`: the side did not answer, and no go was sent. */
 export type OfferFailureReason = RefusalReason | 'unanswered';
 
 export interface Refusal {
   readonly side: Address;
   readonly reason: OfferFailureReason;
-  /** 0 when the side named no time. */
+  /** Retry time named by the side, in milliseconds; 0 when it named none. */
   readonly retryAfterMs: number;
 }
 
-/** When to come back after what soon passes, in milliseconds. */
+/** Retry time for conditions expected to pass soon, in milliseconds. */
 export const RETRY_AFTER_MS = 1_000;
 
-/** Reasons for which a side that names no time means: never. */
+/** Reasons that are permanent when the side names no retry time. */
 const PERMANENT_REASONS: ReadonlySet<OfferFailureReason> = new Set([
   'full',
   'too-late',
 ]);
 
-/** Codes by reason; the first reason found in this order decides. */
+/**
+ * Error code for each reason. The first reason in this order that occurs among
+ * the refusals decides.
+ */
 const CODE_BY_REASON: ReadonlyArray<readonly [OfferFailureReason, ErrorCode]> =
   [
     ['full', 'overloaded'],
@@ -39,7 +43,7 @@
     ['unanswered', 'no-upstream'],
   ];
 
-export function refusalDetails(refusals: readonly Refusal[]): ErrorDetails {
+export function refusalError(refusals: readonly Refusal[]): ErrorDetails {
   const found = CODE_BY_REASON.find(([reason]) =>
     refusals.some(one => one.reason === reason),
   );
--- a/src/entry/routing/router.ts
+++ b/src/entry/routing/router.ts
@@ -1,6 +1,7 @@
 /**
- * Chooses the sides to which a request is offered: eligible replicas by model
- * or pool, ranked by the routing policy. Keeps the last decisions to explain.
+ * Selects the sides to which a request is offered: replicas eligible by model
+ * or pool, ranked by the routing policy. It keeps recent decisions for
+ * `explain`.
  */
 import type {
   Address,
@@ -23,9 +24,12 @@
 import {createAssignments} from './assignments.js';
 import {createPrefixHistory} from './prefix_history.js';
 
-/** Requests whose decisions are kept for `explain`. */
+/**
+ * Maximum number of requests whose decisions are kept for `explain`. Beyond it,
+ * the oldest are removed.
+ */
 const MAX_EXPLAINED_REQUESTS = 1_024;
-/** Candidates shown in a decision, the best first. */
+/** Maximum number of candidates shown in a decision, best first. */
 const MAX_SHOWN_CANDIDATES = 8;
 
 export interface Router {
@@ -34,16 +38,23 @@
     spec: RequestSpec,
     except: ReadonlySet<Incarnation>,
   ): readonly RankedTarget[];
-  /** Some replica that may do this work is not to be had just now. */
+  /**
+   * True when a replica is not live, has no known incarnation or, for a
+   * completion, has not reported its memory. More memory may then be available
+   * later.
+   */
   hasUnavailableReplica(spec: RequestSpec): boolean;
-  /** Logs and keeps a decision. */
+  /** Logs a decision and keeps it for `explain`. */
   recordDecision(
     spec: RequestSpec,
     attempt: number,
     chosen: RankedTarget,
     ranked: readonly RankedTarget[],
   ): void;
-  /** The same for a group; the lead is the one chosen. */
+  /**
+   * Logs and keeps the decision for a group; the lead is recorded as the chosen
+   * replica.
+   */
   recordGroupDecision(
     spec: RequestSpec,
     attempt: number,
@@ -56,9 +67,12 @@
     dispatchId: DispatchId,
   ): void;
   removeAssignment(side: Address, dispatchId: DispatchId): void;
-  /** The attempt is over, whatever its outcome. */
+  /** Marks the assignment of an attempt that ended, whatever its outcome. */
   endAssignment(side: Address, dispatchId: DispatchId): void;
-  /** An answer ended whole: what the engine found in its prefix cache. */
+  /**
+   * Records how many prompt tokens of a completed request the engine had
+   * cached.
+   */
   recordCachedTokens(spec: RequestSpec, cachedTokens: number): void;
   explain(id: RequestId): readonly RoutingDecision[];
 }
@@ -66,10 +80,10 @@
 export interface RouterOptions {
   readonly runtime: Runtime;
   readonly failureDomain: FailureDomain;
-  /** Policy of the given name, as the configuration names it. */
+  /** Returns the routing policy of the name given in the configuration. */
   readonly routingPolicy: (name: string) => RoutingPolicy;
   readonly view: () => MembershipView;
-  /** Prompt tokens that one prefix hash stands for. */
+  /** Prompt tokens covered by one prefix hash. */
   readonly prefixBlockTokens: number;
 }
 
@@ -183,10 +197,11 @@
   };
 }
 
-/** True when the replica can do this work at all. */
+/** True when the replica is able to run this request. */
 export function canServe(replica: Replica, spec: RequestSpec): boolean {
   if (replica.state === 'leaving' || replica.state === 'gone') return false;
-  // No heartbeat has been answered yet: there is no incarnation to offer to.
+  // No heartbeat has been answered yet, so the incarnation to offer to is
+  // unknown.
   if (replica.incarnation === '') return false;
   if (spec.kind === 'call') return replica.pool === spec.pool;
   return replica.models.some(
@@ -197,7 +212,7 @@
   );
 }
 
-/** Suspect replicas are used only when no live one is left. */
+/** Leaves out suspect replicas unless no live one exists. */
 function preferLive(replicas: readonly Replica[]): readonly Replica[] {
   const live = replicas.filter(one => one.state === 'live');
   return live.length > 0 ? live : replicas;
--- a/src/entry/routing/send_offer.ts
+++ b/src/entry/routing/send_offer.ts
@@ -1,6 +1,7 @@
 /**
- * One offer to one side, and what its answer says of the side. No go is sent
- * in here: whatever the side answers, or fails to, the offer has not run.
+ * Sends one offer to one side and reports what the answer shows about the side.
+ * This module sends no go, so an offer has not run, whether the side answers or
+ * not.
  */
 import type {OnyxError} from '../../types/errors.js';
 import type {DispatchId, Incarnation, NodeId} from '../../types/ids.js';
@@ -24,10 +25,10 @@
   readonly sendToMembership: (message: MembershipMessage) => void;
 }
 
-/** What is offered to one side. */
+/** The terms of an offer to one side. */
 export interface OfferTerms {
   readonly candidate: RankedTarget;
-  /** Incarnation that the offer is meant for. */
+  /** Incarnation of the side that the offer is meant for. */
   readonly incarnation: Incarnation;
   /** 0 is the most urgent. */
   readonly priority: number;
@@ -41,24 +42,26 @@
   readonly dispatchId: DispatchId;
   readonly incarnation: Incarnation;
   readonly predictedFirstTokenMs: number;
-  /** It lapses after this long without a go. */
+  /** Time in milliseconds after which the reservation lapses without a go. */
   readonly lapseMs: number;
 }
 
 export interface RefusedOffer extends Refusal {
   readonly kind: 'refused';
-  /** Set when another incarnation of the side may take the request. */
+  /** Set when another incarnation of the side may accept the request. */
   readonly incarnation?: Incarnation;
 }
 
 export type OfferResult = AcceptedOffer | RefusedOffer;
 
-/** Refusals that say something of the side itself. */
+/**
+ * Refusal reasons that are evidence about the side itself, for the membership.
+ */
 const EVIDENCE_BY_REASON: {
   readonly [reason in OfferFailureReason]?: 'leaving' | 'incarnation';
 } = {leaving: 'leaving', incarnation: 'incarnation'};
 
-/** Takes the next attempt number of the request. */
+/** Sends an offer under the request's next attempt number. */
 export async function sendOffer(
   deps: OfferDeps,
   open: OpenRequest,
@@ -81,7 +84,7 @@
   });
 }
 
-/** Frees the reservation of an accepted offer that is not wanted any more. */
+/** Releases the reservation of an accepted offer that is no longer needed. */
 export function withdrawOffer(deps: OfferDeps, offer: AcceptedOffer): void {
   const {dispatchId, incarnation} = offer;
   const side = offer.ranked.target.replica.address;
@@ -103,7 +106,7 @@
     side,
     cause: err.message,
   });
-  // A handler that failed has answered, after all.
+  // After an error of the side's handler the side is reachable.
   if (err.code !== 'internal') {
     deps.sendToMembership({
       kind: 'evidence',
@@ -112,8 +115,8 @@
       incarnation,
     });
   }
-  // The offer may have been accepted unseen, or may still be on its way: the
-  // tombstone frees the reservation and stops a late copy.
+  // The side may have accepted the offer, or the offer may still be on its way.
+  // The tombstone releases the reservation and stops a late copy.
   void abandonDispatch(deps, {side, dispatchId, incarnation});
 }
 
--- a/src/entry/run/abandon.ts
+++ b/src/entry/run/abandon.ts
@@ -1,7 +1,7 @@
 /**
- * Asks a side to give up a dispatch. The side tombstones the id before it
- * answers `never-started`, so that answer is evidence that no late copy of the
- * offer or the go will run; every other outcome is not.
+ * Asks a side to give up a dispatch. The side writes a tombstone for the id
+ * before it answers `never-started`. That answer therefore proves that no late
+ * copy of the offer or the go will run. No other outcome proves it.
  */
 import type {Ran} from '../../types/errors.js';
 import type {
@@ -26,9 +26,9 @@
 
 export interface AbandonOutcome {
   readonly ran: Ran;
-  /** The side answered, in whichever way. */
+  /** True when the side answered, whatever the answer. */
   readonly answered: boolean;
-  /** Incarnation that answered; the one asked for when none did. */
+  /** Incarnation that answered; the requested one when none answered. */
   readonly incarnation: Incarnation;
 }
 
@@ -67,8 +67,8 @@
       incarnation: target.incarnation,
     }),
     Right: answer => ({
-      // Another incarnation has no record of this dispatch: its answer about it
-      // is no evidence, whatever it says.
+      // Another incarnation has no record of this dispatch, so its answer
+      // proves nothing about it.
       ran:
         answer.incarnation === target.incarnation
           ? RAN_OF_STATE[answer.state]
--- a/src/entry/run/answer_log.ts
+++ b/src/entry/run/answer_log.ts
@@ -1,7 +1,8 @@
 /**
  * The answer of one request as its callers see it: chunks from 0 without gaps,
- * then one final event. Every listener goes through here, so the order and the
- * single final event hold for the first caller and for one that resumes.
+ * then one final event. All listeners are served from this log, so the first
+ * caller and one that resumes get the same order and the same single final
+ * event.
  */
 import {OnyxError} from '../../types/errors.js';
 import type {RequestId} from '../../types/ids.js';
@@ -15,29 +16,41 @@
 >;
 type PlacedEvent = Extract<RequestEvent, {readonly kind: 'placed'}>;
 
-/** Bytes of chunks kept for callers that resume at this entry. */
+/**
+ * Maximum total size, in bytes, of the chunks retained for callers that resume
+ * at this entry. Beyond it, the oldest chunks are dropped, except for the
+ * newest one.
+ */
 const MAX_RETAINED_BYTES = 1 << 20;
 
 export interface AnswerLog {
-  /** Next chunk that the answer lacks. */
+  /** Sequence number of the next chunk expected. */
   nextSeq(): number;
   tokens(): number;
-  /** Chunks that a caller may have seen: they cannot be taken back. */
+  /**
+   * Number of chunks that a caller may have seen. These cannot be discarded.
+   */
   deliveredSeq(): number;
-  /** Of the chunks kept to resume. */
+  /** Total size of the retained chunks, in bytes. */
   retainedBytes(): number;
   finalEvent(): FinalEvent | undefined;
   setPlacement(event: PlacedEvent): void;
   append(chunk: ChunkEvent): void;
-  /** Lets the log begin later; only before its first chunk. */
+  /** Makes the log start at a later chunk; only before its first chunk. */
   startAt(seq: number): void;
-  /** Drops all chunks for those of another run; only if none was delivered. */
+  /**
+   * Discards all chunks so that another run can replace them; only if no chunk
+   * was delivered.
+   */
   discardChunks(): void;
-  /** False when there was a final event before; the first one stands. */
+  /**
+   * Records the final event. Returns false when there was one already; the
+   * first one stays.
+   */
   finish(event: FinalEvent): boolean;
   /**
-   * Replays from `fromSeq`, then follows; chunks before it are left out. What
-   * a listener that is not `streamed` is told does not count as delivered.
+   * Replays the chunks from `fromSeq` on, then sends new events. Chunks sent to
+   * a listener that is not `streamed` do not count as delivered.
    */
   subscribe(
     fromSeq: number,
@@ -47,12 +60,12 @@
 }
 
 interface Subscription {
-  /** First chunk wanted. */
+  /** Sequence number of the first chunk wanted. */
   readonly fromSeq: number;
   readonly streamed: boolean;
 }
 
-/** Starts the log of an answer whose first chunk is `firstSeq`. */
+/** Creates the log of an answer whose first chunk is `firstSeq`. */
 export function createAnswerLog(
   id: RequestId,
   firstSeq: number,
@@ -104,7 +117,7 @@
       return;
     }
     const subscription = {fromSeq, streamed};
-    // Who wants the rest has the chunks before it.
+    // A caller that resumes at `fromSeq` has the chunks before it.
     if (streamed) deliveredSeq = Math.max(deliveredSeq, fromSeq);
     if (placement !== undefined) listener(placement);
     for (const chunk of retained) notify(listener, subscription, chunk);
@@ -142,7 +155,7 @@
       if (retained.length === 0 && finalEvent === undefined) nextSeq = seq;
     },
     discardChunks: () => {
-      // Chunks of two runs joined would be an answer that no run gave.
+      // Chunks of two runs joined would form an answer that no run produced.
       invariant(deliveredSeq === 0, 'answers-never-mixed', {
         requestId: id,
         delivered: deliveredSeq,
--- a/src/entry/run/answer_verifier.ts
+++ b/src/entry/run/answer_verifier.ts
@@ -1,26 +1,34 @@
 /**
- * Checks the frames of one dispatch before they may become part of an answer:
- * right dispatch, right order, whole, unchanged.
+ * Verifies the frames of one dispatch before they become part of an answer:
+ * that they belong to the dispatch, are in order and complete, and are
+ * unchanged.
  */
 import type {DispatchId} from '../../types/ids.js';
 import type {Chunk, RunEnd} from '../../types/peer_messages.js';
 import {createDigest} from '../../utils/digest.js';
 
-/** `gap`: chunks before it are missing and have to be fetched again. */
+/**
+ * `gap`: earlier chunks are missing and must be fetched again. `foreign`: the
+ * chunk belongs to another dispatch.
+ */
 export type ChunkStatus = 'next' | 'duplicate' | 'gap' | 'foreign';
-/** `short`: chunks are missing. `changed`: the bytes are not the side's. */
+/**
+ * `short`: chunks are missing. `changed`: count or bytes differ from what the
+ * side sent. `foreign`: the frame belongs to another dispatch.
+ */
 export type EndStatus = 'whole' | 'short' | 'changed' | 'foreign';
 
 export interface AnswerVerifier {
   nextSeq(): number;
-  /** Takes the chunk into account when it is the next one. */
+  /** Adds the chunk to count and digest when it is the next one. */
   checkChunk(chunk: Chunk): ChunkStatus;
   checkEnd(end: RunEnd): EndStatus;
 }
 
 /**
- * A check that starts after 0 (a run taken up in the middle) has not seen all
- * bytes: it holds the count, and leaves the digest to the entry that did.
+ * Creates a verifier that expects `fromSeq` first. One that starts after 0, for
+ * a run resumed in the middle, has not seen all bytes. It checks only the
+ * count, and the entry that saw the whole answer checks the digest.
  */
 export function createAnswerVerifier(
   dispatchId: DispatchId,
@@ -32,8 +40,8 @@
   return {
     nextSeq: () => nextSeq,
     checkChunk: chunk => {
-      // A late frame of an earlier attempt, or a mixed-up channel: taken as
-      // ours it would put another answer's words into this one.
+      // The frame is a late one of an earlier attempt, or came over a mixed-up
+      // channel. Accepting it would put text of another answer into this one.
       if (chunk.dispatchId !== dispatchId) return 'foreign';
       if (chunk.seq < nextSeq) return 'duplicate';
       if (chunk.seq > nextSeq) return 'gap';
@@ -45,7 +53,8 @@
       if (end.dispatchId !== dispatchId) return 'foreign';
       if (end.count > nextSeq) return 'short';
       if (end.count < nextSeq) return 'changed';
-      // A lost or changed chunk would pass unseen as a complete answer.
+      // Without the digest, a lost or changed chunk would pass as part of a
+      // complete answer.
       if (fromSeq === 0 && end.digest !== digest.value()) return 'changed';
       return 'whole';
     },
--- a/src/entry/run/attempt.ts
+++ b/src/entry/run/attempt.ts
@@ -1,7 +1,7 @@
 /**
- * One attempt: a dispatch on one side from its go (or attach) to its end. It
- * lets only checked chunks through, resumes on new connections, and at the
- * end says what is known of whether the work ran.
+ * One attempt: a dispatch on one side, from its go or attach to its end. It
+ * passes on only verified chunks, reconnects when a connection fails, and at
+ * the end reports whether the work ran, as far as is known.
  */
 import type {Ran} from '../../types/errors.js';
 import type {
@@ -30,21 +30,22 @@
 import type {LinkLoss, RunLink} from './run_link.js';
 import type {RequestTiming} from '../timing.js';
 
-/** Chunks between acknowledgements. */
+/** Number of chunks between acknowledgements. */
 const ACK_INTERVAL_CHUNKS = 32;
 /**
- * Acknowledgements lag so far behind: a caller that resumes at another entry
- * after this one died may lack chunks which this one had sent to its socket.
+ * Number of chunks by which acknowledgements lag behind. When this entry dies,
+ * chunks that it wrote to the caller's socket may be lost. A caller that
+ * resumes at another entry can still get them from the side.
  */
 const ACK_LAG_CHUNKS = 256;
 
 export type AttemptOutcome =
   | {readonly kind: 'end'; readonly end: RunEnd}
-  /** As the side itself says. */
+  /** The side reported the failure. */
   | {readonly kind: 'failed'; readonly failed: RunFailed}
-  /** The side did not answer; `ran` is what the evidence allows to say. */
+  /** The side did not answer. `ran` is what the evidence shows. */
   | {readonly kind: 'lost'; readonly ran: Ran; readonly reason: string}
-  /** All chunks came, but they are not the bytes that the side sent. */
+  /** All chunks arrived, but count or digest differ from what the side sent. */
   | {readonly kind: 'changed'}
   | {readonly kind: 'stopped'};
 
@@ -59,17 +60,19 @@
   readonly dispatchId: DispatchId;
   readonly incarnation: Incarnation;
   readonly organisation: OrganisationId;
-  /** Left out to take up a run that goes on already. */
+  /**
+   * The work to start; undefined to attach to a run that is already under way.
+   */
   readonly go?: {
     readonly body: Body;
     readonly call: CallHead | undefined;
-    /** On this process's clock. */
+    /** On this process's clock, in milliseconds. */
     readonly deadlineAt: number;
   };
   readonly answerLog: AnswerLog;
-  /** The run was handed to the upstream. */
+  /** Called when the side has handed the run to the upstream. */
   readonly onStarted?: () => void;
-  /** Direct evidence about the side, for the membership. */
+  /** Called with direct evidence about the side, for the membership. */
   readonly onEvidence: (
     what: 'unreachable' | 'incarnation' | 'answered',
     incarnation: Incarnation,
@@ -78,11 +81,13 @@
 
 export interface Attempt {
   readonly outcome: Promise<AttemptOutcome>;
-  /** What is known now of whether the work ran. */
+  /** Whether the work ran, as far as is known now. */
   ran(): Ran;
-  /** Cancels the run at the side and resolves as `stopped`. */
+  /** Cancels the run at the side; the outcome is `stopped`. */
   stop(): void;
-  /** Cancels it, and resolves as `lost` with what the side says of it. */
+  /**
+   * Cancels the run; the outcome is `lost`, with `ran` as the side reports it.
+   */
   abandon(reason: string): void;
 }
 
@@ -116,7 +121,7 @@
     resolveOutcome(result);
   };
 
-  const recordDroppedFrame = (reason: string, frame: RunDown) => {
+  const dropFrame = (reason: string, frame: RunDown) => {
     deps.metrics.count('onyxloft_dropped_frames_total', {reason});
     deps.log(REQUEST_EVENTS.frameDropped, {
       dispatchId: spec.dispatchId,
@@ -129,7 +134,7 @@
   const onChunk = (chunk: Chunk) => {
     const status = verifier.checkChunk(chunk);
     if (status !== 'next') {
-      recordDroppedFrame(status, chunk);
+      dropFrame(status, chunk);
       if (status === 'gap') reconnect('gap');
       return;
     }
@@ -155,10 +160,10 @@
       finish({kind: 'end', end});
       return;
     }
-    recordDroppedFrame(status, end);
+    dropFrame(status, end);
     if (status === 'short') reconnect('short');
     if (status !== 'changed') return;
-    // The end frame itself may be the damaged one: fetched again once.
+    // The end frame itself may be damaged, so it is fetched again once.
     if (endFetchedAgain) finish({kind: 'changed'});
     endFetchedAgain = true;
     reconnect('changed');
@@ -179,8 +184,7 @@
         onEnd(frame);
         return;
       case 'failed':
-        if (frame.dispatchId !== spec.dispatchId)
-          recordDroppedFrame('foreign', frame);
+        if (frame.dispatchId !== spec.dispatchId) dropFrame('foreign', frame);
         else finish({kind: 'failed', failed: frame});
         return;
       case 'beat':
@@ -196,7 +200,7 @@
       clock,
       timing,
       side: spec.side,
-      newConnection: newConnection,
+      newConnection,
       onFrame,
       onLost: onLinkLost,
     });
@@ -206,14 +210,15 @@
     if (!settled) reconnect(loss);
   };
 
-  /** Takes the run up on a new connection, from the next chunk. */
+  /** Attaches to the run over a new connection, from the next chunk on. */
   const reconnect = (reason: string) => {
     if (settled) return;
     link?.close();
     cancelReconnect();
     if (linkWorked()) reconnects = 0;
     reconnects++;
-    // A prompt cut short cannot be taken up; the side's answer decides.
+    // A run whose prompt was not fully sent cannot be resumed. The side's
+    // answer to the abandon call decides the outcome.
     if (!promptSent || reconnects > timing.maxReconnects) {
       void giveUp(reason);
       return;
@@ -229,7 +234,11 @@
     cancelReconnect = clock.after(reconnectDelayMs(), attach);
   };
 
-  /** A long prefill may well outlive several connections. */
+  /**
+   * True when the last connection worked for some time. Such a connection does
+   * not count towards `maxReconnects`, because a long prefill may outlast
+   * several connections.
+   */
   const linkWorked = () =>
     linkReceivedFrame &&
     clock.now() - linkOpenedAt > 2 * timing.silenceTimeoutMs;
@@ -285,8 +294,8 @@
   const stop = () => {
     if (settled) return;
     void link?.send({kind: 'cancel'});
-    // The cancel frame is lost on a silent connection: the call goes on one
-    // of its own, else the run would hold the engine's memory until its lease.
+    // The cancel frame is lost on a silent connection. Without this separate
+    // call, the run would hold the engine's memory until its lease expires.
     void abandonDispatch(deps, spec);
     finish({kind: 'stopped'});
   };
--- a/src/entry/run/attempt_decision.ts
+++ b/src/entry/run/attempt_decision.ts
@@ -1,6 +1,6 @@
 /**
- * What follows from an attempt's outcome: the final event, or another try. All
- * rules about running a request twice stand in here.
+ * Decides what follows an attempt's outcome: the request's final event or
+ * another attempt. All rules about running a request twice are in this module.
  */
 import type {ErrorCode, ErrorDetails, Ran} from '../../types/errors.js';
 import type {Address} from '../../types/ids.js';
@@ -10,19 +10,24 @@
 export interface AttemptContext {
   readonly side: Address;
   readonly repeatable: boolean;
-  /** Chunks that came: evidence that it ran. */
+  /** Number of chunks received; any chunk proves that the request ran. */
   readonly receivedChunks: number;
-  /** Chunks that a caller has seen. */
+  /** Number of chunks that a caller has seen. */
   readonly deliveredChunks: number;
 }
 
 export type AttemptDecision =
   | {readonly kind: 'end'; readonly outcome: AttemptOutcome & {kind: 'end'}}
   | {readonly kind: 'fail'; readonly details: ErrorDetails; readonly ran: Ran}
-  /** `details` is the failure to give if no other try can be made. */
+  /**
+   * `details` is the failure for the caller if no other attempt can be made.
+   */
   | {readonly kind: 'retry'; readonly details: ErrorDetails; readonly ran: Ran};
 
-/** Codes with which a side ends a run for good: another try is no help. */
+/**
+ * Codes with which a side ends a run for good, so that another attempt would
+ * not help.
+ */
 const FINAL_CODES: ReadonlySet<string> = new Set<ErrorCode | 'superseded'>([
   'bad-request',
   'too-large',
@@ -33,7 +38,10 @@
   'superseded',
 ]);
 
-/** The run or its record went with a process; the upstream did not fail it. */
+/**
+ * Codes for a run or its record lost together with a process. The upstream did
+ * not fail the run.
+ */
 const LOST_CODES: ReadonlySet<string> = new Set([
   'incarnation',
   'not-found',
@@ -53,7 +61,10 @@
   'overloaded',
 ]);
 
-/** Undefined when the attempt was stopped: its request is over already. */
+/**
+ * Undefined when the attempt was stopped, since its request is then already
+ * over.
+ */
 export function decideAfterAttempt(
   outcome: AttemptOutcome,
   context: AttemptContext,
@@ -103,7 +114,7 @@
   return retryOrFail(failed.ran, context, details);
 }
 
-/** The side's codes are more than those that callers rely on. */
+/** Maps a side's code to one that callers may rely on; sides use more codes. */
 function callerCodeOf(code: string): ErrorCode {
   if (FORWARDED_CODES.has(code)) return code as ErrorCode;
   return LOST_CODES.has(code) ? 'upstream-lost' : 'upstream-failed';
@@ -115,16 +126,16 @@
   details: ErrorDetails,
 ): AttemptDecision {
   const ran = confirmedRan(reportedRan, context);
-  // A second run need not give the same words: its chunks after those of the
-  // first would make an answer that no run gave.
+  // A second run may produce different text. Its chunks after those of the
+  // first would form an answer that no run produced.
   if (context.deliveredChunks > 0) return {kind: 'fail', details, ran};
-  // Without the side's answer the first run may still go on: a second one would
-  // do twice what must be done once.
+  // Unless the first run is known not to have run, it may still be running. A
+  // second run could repeat work that must be done only once.
   if (!context.repeatable && ran !== 'no') return {kind: 'fail', details, ran};
   return {kind: 'retry', details, ran};
 }
 
-/** Chunks that came tell that it ran, whatever is said. */
+/** Received chunks prove that the request ran, whatever was reported. */
 function confirmedRan(reportedRan: Ran, context: AttemptContext): Ran {
   return context.receivedChunks > 0 ? 'yes' : reportedRan;
 }
--- a/src/entry/run/caller_link.ts
+++ b/src/entry/run/caller_link.ts
@@ -1,6 +1,7 @@
 /**
- * Joins a request to its caller's connection. Whatever happens to either, the
- * caller gets one final answer at most and the run is not left behind.
+ * Connects a request to its caller's HTTP connection. Whatever happens to
+ * either of them, the caller gets at most one final answer and the run is not
+ * left running without a caller.
  */
 import type {ServerResponse} from 'node:http';
 import {OnyxError} from '../../types/errors.js';
@@ -19,14 +20,20 @@
   readonly id: RequestId;
   readonly res: ServerResponse;
   readonly writer: ResponseWriter;
-  /** First chunk wanted. */
+  /** Sequence number of the first chunk wanted. */
   readonly fromSeq: number;
-  /** On this process's clock; undefined when another entry admitted it. */
+  /**
+   * On this process's clock, in milliseconds; undefined when another entry
+   * admitted the request.
+   */
   readonly deadlineAt: number | undefined;
   readonly timing: CallerLinkTiming;
-  /** Most of an answer that may wait for a slow caller, in bytes. */
+  /**
+   * Maximum number of response bytes waiting to be sent. Beyond it, the
+   * connection of the slow caller is closed.
+   */
   readonly maxUnsentResponseBytes: number;
-  /** Ends the run. */
+  /** Cancels the run. */
   readonly cancelRun: () => void;
   readonly onFirstChunk: () => void;
   /** Called once, with the error if there was one. */
@@ -34,26 +41,35 @@
 }
 
 export interface CallerLinkTiming {
-  /** Period of beats on a quiet stream. */
+  /** Interval between keep-alive messages to the caller, in milliseconds. */
   readonly keepAliveIntervalMs: number;
-  /** How long a caller that left may come back before its run is cancelled. */
+  /**
+   * How long a disconnected caller may take to come back before its run is
+   * cancelled, in milliseconds.
+   */
   readonly disconnectGraceMs: number;
-  /** How long after the deadline the front answers in the request's stead. */
+  /**
+   * How long after the deadline the link itself ends the request, in
+   * milliseconds.
+   */
   readonly deadlineGraceMs: number;
 }
 
 export interface CallerLink {
   readonly listener: RequestListener;
-  /** Another connection of the caller takes over. */
+  /** Ends this link because another connection of the caller replaces it. */
   supersede(): void;
-  /** The process or service ends. */
+  /** Ends this link and cancels the run because the process or service ends. */
   drop(): void;
 }
 
-/** `left`: the caller is gone, and the run waits for it to come back. */
+/** `left`: the caller disconnected, and the run waits for it to come back. */
 type LinkState = 'open' | 'left' | 'ended';
 
-/** Joins them; the listener is to be handed to `requests`. */
+/**
+ * Creates the link. The caller of this function passes the link's listener to
+ * the `requests` service.
+ */
 export function createCallerLink(
   runtime: Runtime,
   options: CallerLinkOptions,
@@ -77,18 +93,21 @@
     settle(error.ran === 'no' ? 'refused' : 'failed', error);
   };
 
-  /** The front itself cannot go on: the run is of no use to anybody. */
+  /**
+   * Handles an error in the front end itself: it cannot continue, so the run is
+   * cancelled.
+   */
   const abort = (error: OnyxError) => {
     options.cancelRun();
     fail(error);
   };
 
   const onChunk = (event: Extract<RequestEvent, {kind: 'chunk'}>) => {
-    // A lost or doubled chunk would reach the caller as a text with a hole or
-    // a repetition that looks whole. Chunks are numbered, so both show here.
-    if (event.seq !== nextSeq) throw chunksOutOfOrder(id, event.seq, nextSeq);
+    // A lost or repeated chunk would give the caller a text with a gap or a
+    // repetition that looks complete. The sequence numbers show both.
+    if (event.seq !== nextSeq) throw sequenceError(id, event.seq, nextSeq);
     nextSeq += 1;
-    // After a restart chunk 0 comes once more.
+    // After the chunks were discarded, chunk 0 arrives a second time.
     if (event.seq === 0 && !firstChunkReported) options.onFirstChunk();
     firstChunkReported = true;
     writer.writeChunk(event);
@@ -101,13 +120,15 @@
   };
 
   const onEnd = (event: Extract<RequestEvent, {kind: 'end'}>) => {
-    if (event.count !== nextSeq)
-      throw chunksOutOfOrder(id, event.count, nextSeq);
+    if (event.count !== nextSeq) throw sequenceError(id, event.count, nextSeq);
     writer.end(event);
     settle('complete');
   };
 
-  /** Nothing slows a run down, so a caller that does not read fills memory. */
+  /**
+   * Closes the connection of a caller that does not read. Runs are not slowed
+   * down for their callers, so unsent chunks would fill the memory.
+   */
   const checkUnsentBytes = () => {
     if (res.writableLength <= options.maxUnsentResponseBytes) return;
     runtime.log(FRONT_EVENTS.callerSlow, {
@@ -156,8 +177,9 @@
   };
 
   const watchDeadline = (deadlineAt: number) => {
-    // If the service that owns the request fails or loses it, nobody else
-    // would end the caller's wait: the promise of an end in time is kept here.
+    // If the service that owns the request fails or loses it, nothing else
+    // would end the caller's wait. This timer keeps the promise that a request
+    // ends in time.
     const dueMs = deadlineAt - runtime.clock.now() + timing.deadlineGraceMs;
     const cancel = runtime.clock.after(dueMs, () => {
       const overdueMs = runtime.clock.now() - deadlineAt;
@@ -192,7 +214,7 @@
   };
 }
 
-function chunksOutOfOrder(
+function sequenceError(
   id: RequestId,
   seq: number,
   expected: number,
--- a/src/entry/run/execute_request.ts
+++ b/src/entry/run/execute_request.ts
@@ -1,6 +1,7 @@
 /**
- * Drives one admitted request: offers, the attempt on the side that accepted,
- * and other attempts where the rules, the budget and the time allow them.
+ * Runs one admitted request: it makes offers, starts an attempt on the side
+ * that accepted, and makes further attempts where the rules, the retry budget
+ * and the remaining time allow.
  */
 import type {ErrorDetails} from '../../types/errors.js';
 import type {Incarnation} from '../../types/ids.js';
@@ -29,53 +30,55 @@
 
 export interface ExecuteDeps extends OfferDeps {
   readonly retryBudget: RetryBudget;
-  /** Gives the request its final event, unless it has one. */
+  /** Gives the request its final event, unless it has one already. */
   readonly finish: (open: OpenRequest, event: FinalEvent) => void;
 }
 
-/** What was tried so far. */
+/** The attempts made so far. */
 interface AttemptHistory {
   readonly tries: number;
   /** Incarnations on which an attempt failed. */
-  readonly failedIncarnations: ReadonlySet<Incarnation>;
+  readonly failedOn: ReadonlySet<Incarnation>;
 }
 
-/** Resolves when the request is over. Does not throw for the request's sake. */
+/**
+ * Resolves when the request is over. A failure of the request is reported by
+ * `finish` and not thrown.
+ */
 export async function executeRequest(
   deps: ExecuteDeps,
   open: OpenRequest,
   spec: RequestSpec,
 ): Promise<void> {
-  const failedIncarnations = new Set<Incarnation>();
+  const failedOn = new Set<Incarnation>();
   deps.retryBudget.onFirstAttempt(spec.config.declarations.policy.retryRatio);
   for (let tries = 1; !isFinished(open); tries++) {
-    const placement = await placeRequest(deps, open, spec, failedIncarnations);
-    if (placement.kind === 'over') return;
-    if (placement.kind === 'none') {
-      deps.finish(open, failedEvent(open, placement.details));
+    const result = await placeRequest(deps, open, spec, failedOn);
+    if (result.kind === 'over') return;
+    if (result.kind === 'none') {
+      deps.finish(open, failedEvent(open, result.details));
       return;
     }
     checkMayRun(deps, open, spec);
     const outcome =
-      placement.kind === 'reserved'
-        ? await runGroup(deps, open, spec, placement.parts)
-        : await runOnSide(deps, open, spec, placement);
-    // A group is gathered anew from all that answer: which of its members
-    // failed is the membership's to say.
-    if (placement.kind === 'accepted')
-      failedIncarnations.add(placement.incarnation);
+      result.kind === 'reserved'
+        ? await runGroup(deps, open, spec, result.parts)
+        : await runOnSide(deps, open, spec, result);
+    // A group is reserved anew from all engines that answer. The membership
+    // decides which of its members failed.
+    if (result.kind === 'accepted') failedOn.add(result.incarnation);
     open.takenOver = isTakenOver(outcome);
-    const decision = decideAfterAttempt(outcome, {
+    const next = decideAfterAttempt(outcome, {
       side: open.side,
       repeatable: spec.repeatable,
       receivedChunks: open.answerLog.nextSeq(),
       deliveredChunks: open.answerLog.deliveredSeq(),
     });
-    if (decision === undefined || isFinished(open)) return;
+    if (next === undefined || isFinished(open)) return;
     if (
-      !(await applyDecision(deps, open, spec, decision, {
+      !(await endOrRetry(deps, open, spec, next, {
         tries,
-        failedIncarnations,
+        failedOn,
       }))
     )
       return;
@@ -88,14 +91,16 @@
   | {readonly kind: 'none'; readonly details: ErrorDetails}
   | {readonly kind: 'over'};
 
-/** Gets the request a place on one engine, or on a group where it needs one. */
+/**
+ * Reserves one engine for the request, or a group of engines if it needs one.
+ */
 function placeRequest(
   deps: ExecuteDeps,
   open: OpenRequest,
   spec: RequestSpec,
-  failedIncarnations: ReadonlySet<Incarnation>,
+  failedOn: ReadonlySet<Incarnation>,
 ): Promise<PlacementResult> {
-  const rankCandidates = () => deps.router.rank(spec, failedIncarnations);
+  const rankCandidates = () => deps.router.rank(spec, failedOn);
   const ranked = rankCandidates();
   if (ranked.length === 0) {
     deps.log(ROUTING_EVENTS.noCandidate, {
@@ -162,8 +167,10 @@
   });
 }
 
-/** Applies the verdict; true when another attempt is to be made. */
-async function applyDecision(
+/**
+ * Applies the decision. Resolves with true when another attempt is to be made.
+ */
+async function endOrRetry(
   deps: ExecuteDeps,
   open: OpenRequest,
   spec: RequestSpec,
@@ -190,8 +197,8 @@
     cause: decision.details.message,
   });
   if (decision.kind === 'retry' && mayRetry(deps, spec, decision, history)) {
-    // Before the pause: a caller that joins during it must not be shown chunks
-    // of the run that was given up.
+    // Chunks are discarded before the delay, so that a caller that connects
+    // during it does not get chunks of the abandoned run.
     open.answerLog.discardChunks();
     deps.metrics.count('onyxloft_retries_total', {ran: decision.ran});
     deps.log(REQUEST_EVENTS.retried, {
@@ -212,16 +219,16 @@
   deps: ExecuteDeps,
   spec: RequestSpec,
   decision: AttemptDecision & {kind: 'retry'},
-  past: AttemptHistory,
+  history: AttemptHistory,
 ): boolean {
-  if (past.tries >= spec.config.declarations.policy.maxOffers) return false;
-  // Work that did not run adds no load when it runs elsewhere, and an offer
-  // costs little: whether there is time for it is the sides' to say.
+  if (history.tries >= spec.config.declarations.policy.maxOffers) return false;
+  // Work that did not run adds no load when it runs elsewhere, and an offer is
+  // cheap. The sides decide whether enough time is left for it.
   if (decision.ran === 'no') return true;
-  const best = deps.router.rank(spec, past.failedIncarnations)[0];
+  const best = deps.router.rank(spec, history.failedOn)[0];
   if (best === undefined) return false;
   const timeLeftMs = spec.deadlineAt - deps.clock.now();
-  // It could only end late: the caller is better served by the failure now.
+  // A retry could only end too late, so the caller gets the failure now.
   if (best.predictedFirstTokenMs >= timeLeftMs) return false;
   return deps.retryBudget.take();
 }
--- a/src/entry/run/first_token_metrics.ts
+++ b/src/entry/run/first_token_metrics.ts
@@ -1,24 +1,27 @@
 /**
- * Time to first token by length class, and how much slower short requests are
- * than they would be alone.
+ * Metrics of the time to first token by length class, and of how much slower
+ * short requests are than they would be alone.
  *
- * The time alone can't be measured while others run. It is estimated by the
- * least time to first token of the class over the last ten minutes: with
- * bursty load some request met an idle engine. The estimate is low rather than
- * high, so the slowdown shown is high rather than low.
+ * The time alone cannot be measured while other requests run. It is estimated
+ * as the minimum time to first token of the shortest class over the last ten
+ * minutes, because with bursty load some request finds an idle engine. The
+ * estimate tends to be low, so the slowdown shown tends to be high.
  */
 import type {Clock, Metrics} from '../../types/runtime.js';
 
+/** Time over which the minimum is taken, in milliseconds. */
 const WINDOW_MS = 10 * 60_000;
+/** Time covered by one bucket of the window, in milliseconds. */
 const BUCKET_MS = 60_000;
 
+/** Minimum time to first token within one part of the window. */
 interface MinimumBucket {
   readonly startsAt: number;
   readonly minMs: number;
 }
 
 export interface FirstTokenMetrics {
-  /** `shortest` tells whether this is the class of the shortest prompts. */
+  /** `isShortestClass`: the request is in the class of the shortest prompts. */
   record(
     lengthClass: string,
     firstTokenMs: number,
@@ -26,7 +29,7 @@
   ): void;
 }
 
-/** Starts with an empty window. */
+/** Creates the metrics with an empty window. */
 export function createFirstTokenMetrics(
   metrics: Metrics,
   clock: Clock,
--- a/src/entry/run/prompt_sender.ts
+++ b/src/entry/run/prompt_sender.ts
@@ -1,12 +1,12 @@
 /**
- * Sends a prompt in small frames, each only when the channel can take it, so
- * that a prompt of megabytes neither blocks short requests in this process nor
- * fills its memory with unsent frames.
+ * Sends a prompt in small frames, each only when the channel can take it. A
+ * prompt of several megabytes then neither blocks short requests in this
+ * process nor fills its memory with unsent frames.
  */
 import type {RunUp} from '../../types/peer_messages.js';
 import type {Body} from '../../types/services.js';
 
-/** Largest prompt frame, in bytes. */
+/** Maximum size of a prompt frame, in bytes. Longer pieces are split. */
 export const PROMPT_FRAME_BYTES = 64 * 1024;
 
 export interface PromptTarget {
@@ -14,7 +14,7 @@
   isClosed(): boolean;
 }
 
-/** Resolves to true when the prompt's end was sent. */
+/** Resolves with true when the whole prompt was sent. */
 export async function sendPrompt(
   target: PromptTarget,
   body: Body,
--- a/src/entry/run/run_link.ts
+++ b/src/entry/run/run_link.ts
@@ -1,7 +1,7 @@
 /**
- * One connection of a run's channel, watched for silence. A connection may go
- * silent for good while new ones work; without the watch the run would look
- * slow until its deadline.
+ * One connection of a run's channel, monitored for silence. A connection may go
+ * silent for good while new ones work. Without the monitoring, such a run would
+ * look slow until its deadline.
  */
 import type {Address} from '../../types/ids.js';
 import type {RunDown, RunUp} from '../../types/peer_messages.js';
@@ -13,7 +13,7 @@
 
 export interface RunLink {
   send(frame: RunUp): Promise<void>;
-  /** Ends the link without telling its owner. */
+  /** Closes the link without calling `onLost`. */
   close(): void;
   isClosed(): boolean;
 }
@@ -23,14 +23,14 @@
   readonly clock: Clock;
   readonly timing: RequestTiming;
   readonly side: Address;
-  /** On a new connection rather than an established one. */
+  /** True to open a new connection instead of using an established one. */
   readonly newConnection: boolean;
   readonly onFrame: (frame: RunDown) => void;
-  /** Called once at most, and not after `close`. */
+  /** Called at most once, and not after `close`. */
   readonly onLost: (loss: LinkLoss) => void;
 }
 
-/** Opens a link; beats are sent and expected from now on. */
+/** Opens a link; from then on heartbeats are sent and expected. */
 export function openRunLink(options: RunLinkOptions): RunLink {
   const {clock, timing} = options;
   const channel = options.transport.openRun(
@@ -58,8 +58,8 @@
 
   const tick = () => {
     const now = clock.now();
-    // This process was paused: frames may wait in its own socket unread, so
-    // the pause is not counted as the peer's silence.
+    // This process was paused. Frames may be waiting unread in its own socket,
+    // so the pause is not counted as silence of the peer.
     if (now - nextTickAt > timing.heartbeatMs) lastFrameAt = now;
     nextTickAt = now + timing.heartbeatMs;
     if (now - lastFrameAt > timing.silenceTimeoutMs) {
@@ -69,13 +69,13 @@
     void channel.send({kind: 'beat'});
   };
 
-  // A side that lives beats at once on whatever connection. One that is frozen
-  // takes connections all the same, its kernel does: with the full silence for
-  // each of them its callers would wait on for a run that cannot go on.
+  // A running side sends a heartbeat at once on any connection. The kernel of a
+  // frozen side still accepts connections. Waiting for the full silence timeout
+  // on each of them would delay its callers for a run that cannot continue.
   const startFirstFrameTimer = () => {
     const dueAt = clock.now() + timing.firstFrameTimeoutMs;
     cancelFirstFrameTimer = clock.after(timing.firstFrameTimeoutMs, () => {
-      // As above: this process was paused itself.
+      // As above, this process was paused.
       if (clock.now() - dueAt > timing.heartbeatMs) startFirstFrameTimer();
       else lose('silent');
     });
--- a/src/entry/timing.ts
+++ b/src/entry/timing.ts
@@ -1,28 +1,46 @@
-/** Waiting times on the path of a request, in milliseconds. */
+/** Timeouts and intervals of request handling, in milliseconds. */
 
 export interface RequestTiming {
-  /** Longest wait for the answer to an offer. @default 1000 */
+  /** Maximum time to wait for the answer to an offer. @default 1000 */
   readonly offerTimeoutMs: number;
-  /** Longest wait for the answer to an abandon. @default 1000 */
+  /** Maximum time to wait for the answer to an abandon call. @default 1000 */
   readonly abandonTimeoutMs: number;
-  /** Longest wait for one side's answer to a locate. @default 1000 */
+  /**
+   * Maximum time to wait for one side's answer to a locate call. @default 1000
+   */
   readonly locateTimeoutMs: number;
-  /** Pause between beats on a run's channel. @default 1000 */
+  /** Interval between heartbeats on a run's channel. @default 1000 */
   readonly heartbeatMs: number;
-  /** A channel quiet for so long is taken as silent. @default 3000 */
+  /**
+   * A channel without any frame for this long counts as silent and is replaced.
+   * @default 3000
+   */
   readonly silenceTimeoutMs: number;
   /**
-   * A new connection that a run is taken up on counts as silent when its first
-   * word takes so long; over one beat of the side. @default 1500
+   * A new connection to a run that is already under way counts as silent when
+   * its first frame takes longer than this. Must be longer than the side's
+   * heartbeat interval. @default 1500
    */
   readonly firstFrameTimeoutMs: number;
-  /** New connections tried before a side counts as lost. @default 3 */
+  /**
+   * Connections opened in a row to replace a failed one before the side counts
+   * as lost. @default 3
+   */
   readonly maxReconnects: number;
-  /** Pause before a retry, doubled each time, with jitter. @default 50 */
+  /**
+   * Delay before the first retry. It doubles with each retry and is jittered.
+   * @default 50
+   */
   readonly retryBackoffMs: number;
-  /** Hold of a group's reservations while it gathers. @default 500 */
+  /**
+   * Time within which all members of a group must be reserved, and then must
+   * start. @default 500
+   */
   readonly groupHoldMs: number;
-  /** How long an ended request's answer is kept to resume. @default 30000 */
+  /**
+   * How long an ended request's answer is kept for callers that resume it.
+   * @default 30000
+   */
   readonly endedRetentionMs: number;
 }
 
--- a/test/claims.test.ts
+++ b/test/claims.test.ts
@@ -13,7 +13,10 @@
 interface ClaimsVariant {
   readonly name: string;
   readonly create: typeof createClaimsService;
-  /** When the first write has taken effect and its answer is on its way. */
+  /**
+   * Time after which the first write has taken effect and its response is on
+   * its way, in milliseconds.
+   */
   readonly effectMs: number;
 }
 
@@ -27,7 +30,7 @@
   },
 ];
 
-/** Several entries over one store, each with its own claims service. */
+/** Starts several entries on one store, each with its own claims service. */
 async function createEntries(variant: ClaimsVariant, count: number, seed = 1) {
   const test = createTestRuntime(seed);
   const {clock, random, runtime} = test;
@@ -40,7 +43,9 @@
     kernels.push(kernel);
   }
 
-  /** Starts a claim; resolves to what the requests service would be told. */
+  /**
+   * Starts a claim; resolves to a summary of the reply to the requests service.
+   */
   const claim = async (entry: number, requestId: string, key = 'k') => {
     const outcome = await kernels[entry].ask<'claims', Outcome>(
       'claims',
@@ -64,7 +69,7 @@
 const REFUSED = 'store-unavailable claim ran no';
 
 describe.each(VARIANTS)('claims $name', form => {
-  it('gives a key to the first request and names it to all others', async () => {
+  it('gives a key to the first request and names that request to all others', async () => {
     const {claim, during} = await createEntries(form, 2);
     expect(await during(claim(0, 'r1'), 100)).toBe('ours');
     expect(await during(claim(0, 'r2'), 100)).toBe('taken r1');
@@ -72,10 +77,9 @@
     expect(await during(claim(1, 'r4', 'other'), 100)).toBe('ours');
   });
 
-  // The store makes the record and its answer is lost. Taken as failed, the
-  // caller's repeat would meet the record and be told that another request
-  // has run; taken as done unread, two entries could both believe it.
-  it('settles a lost answer by the nonce that is stored', async () => {
+  // The record is stored but the response is lost. Taken as a failure, a repeat
+  // would be refused; taken as success, two entries could both run it.
+  it('decides by the stored nonce when the response to a claim is lost', async () => {
     const {claim, during, core} = await createEntries(form, 2);
     core.setFaults({loseEvery: 1});
     const both = Promise.all([claim(0, 'r1'), claim(1, 'r2')]);
@@ -84,10 +88,9 @@
     expect(outcomes.filter(it => it.startsWith('taken'))).toHaveLength(1);
   });
 
-  // The store is out when a permit lookup comes in. Without a claim nothing
-  // tells whether another entry runs the same key, so it is refused at once
-  // as not run, with a time to come back, and the same key is good later.
-  it('refuses as not run while the store is out', async () => {
+  // Without a claim, another entry may run the same key. The request is refused
+  // as not run, and the key must work once the store is back.
+  it('refuses requests as not run while the store is unavailable', async () => {
     for (const hang of [false, true]) {
       const {claim, during, core} = await createEntries(form, 2);
       core.setFaults({outage: true, hang});
@@ -97,11 +100,9 @@
     }
   });
 
-  // The record is made, its answer lost, and the store goes out before it can
-  // be read back: the request is refused though its claim stands. The repeat
-  // at the same entry knows the claim by its nonce; else the key were burnt.
-  // Two repeats at once must not both know it.
-  it('gives a claim of unknown effect to one repeat at the same entry', async () => {
+  // The claim is stored, but its response is lost and the store fails before it
+  // is read back. Exactly one repeat at the same entry may take it over.
+  it('gives a claim of unknown effect to exactly one repeat at the same entry', async () => {
     const {claim, during, clock, core} = await createEntries(form, 2);
     core.setFaults({loseEvery: 1});
     const first = claim(0, 'r1');
@@ -115,9 +116,9 @@
     expect(await during(claim(1, 'r5'), 100)).toBe('taken r3');
   });
 
-  // All faults at once, by chance. The judge stands outside: whatever the
-  // store does, no key is given to two requests.
-  it('gives no key twice through random faults', async () => {
+  // Random combinations of all faults. The check is independent of the service:
+  // no key may be given to two requests.
+  it('gives no key to two requests under random faults', async () => {
     for (let seed = 1; seed <= 20; seed++) {
       const entries = await createEntries(form, 3, seed);
       const {random, core, clock} = entries;
@@ -149,8 +150,8 @@
   });
 });
 
-describe('calls of claims', () => {
-  it('costs one call when the key is new', async () => {
+describe('store calls of the claims services', () => {
+  it('are one per claim when the key is new', async () => {
     const {claim, during, core} = await createEntries(VARIANTS[0], 1);
     await during(claim(0, 'r1'), 100);
     expect(core.counts()).toEqual([
@@ -158,7 +159,7 @@
     ]);
   });
 
-  it('are one for all claims of a batch', async () => {
+  it('are one per shard for all claims of a batch', async () => {
     const {claim, during, core} = await createEntries(VARIANTS[1], 1);
     const keys = Array.from({length: 50}, (_, index) => `k${index}`);
     const all = keys.map(key => claim(0, key, key));
--- a/test/entry_answer.test.ts
+++ b/test/entry_answer.test.ts
@@ -1,4 +1,7 @@
-/** Whole answers: order, count and digest checked between side and caller. */
+/**
+ * Complete answers: order, count and digest are verified between side and
+ * caller.
+ */
 import {describe, expect, it} from 'vitest';
 import {REQUEST_EVENTS} from '../src/utils/events.js';
 import {ENTRY, startEntry} from './support/entry_fixture.js';
@@ -10,7 +13,7 @@
 } from './support/scripted_side.js';
 
 describe('a request on one side', () => {
-  it('is offered, run and answered whole', async () => {
+  it('is offered, run and answered completely', async () => {
     const entry = await startEntry({sides: [{}]});
     const caller = entry.submit();
     await entry.clock.runFor(100);
@@ -36,11 +39,10 @@
   });
 });
 
-describe('frames that are not the next of this answer', () => {
-  // The caller sees one clean answer. The side's chunks arrive late, twice and
-  // out of order, mixed with one of an earlier attempt; only the chunk that is
-  // next may pass, and what is missing is fetched again by its number.
-  it('are dropped and counted, and gaps fetched again', async () => {
+describe('frames that are not the next frame of the answer', () => {
+  // Chunks arrive late, twice, out of order and mixed with one of an earlier
+  // attempt. Only the next chunk may pass; missing ones are fetched again.
+  it('are dropped and counted, and missing chunks are fetched again', async () => {
     const entry = await startEntry({
       sides: [
         {
@@ -69,9 +71,9 @@
     expect(entry.violations).toEqual([]);
   });
 
-  // The caller would take a cut answer for a whole one. The side's end frame
-  // counts more chunks than came, so the rest is fetched before the end.
-  it('let no answer end before all its chunks came', async () => {
+  // The end frame counts more chunks than arrived. Without the check, the
+  // caller would take a truncated answer for a complete one.
+  it('do not end an answer before all its chunks have arrived', async () => {
     const entry = await startEntry({
       sides: [
         {
@@ -89,9 +91,9 @@
     expect(entry.sides[0].attaches).toEqual([1]);
   });
 
-  // A chunk's bytes changed on the way while count and order hold. Only the
-  // digest shows it; the caller must be told that the answer is not whole.
-  it('fail the request when the bytes are not those of the side', async () => {
+  // A chunk's bytes change on the way while count and order stay right. Only
+  // the digest shows it, and the caller must be told.
+  it('fail the request when the bytes differ from what the side sent', async () => {
     const entry = await startEntry({
       sides: [
         {
@@ -134,10 +136,9 @@
 });
 
 describe('a connection that goes silent', () => {
-  // The caller sees a pause, then the rest of its answer. The first connection
-  // loses all frames for good while new ones work; the silence is seen after
-  // three seconds and the run is taken up from the next chunk, not run again.
-  it('is replaced by a new one, and the run goes on', async () => {
+  // The first connection loses all frames while new ones work. After three
+  // seconds the run is resumed from the next chunk, not run again.
+  it('is replaced by a new one, and the run continues', async () => {
     const entry = await startEntry({
       sides: [
         {
@@ -160,10 +161,9 @@
     expect(entry.sides[0].goDispatches).toHaveLength(1);
   });
 
-  // The side's process is stopped for good after its first words, while its
-  // kernel takes connections. The caller has words that no other run can go on
-  // from: it is told so after one silence and three short waits.
-  it('for good ends the request in under ten seconds', async () => {
+  // The side freezes while its kernel still accepts connections. The caller has
+  // chunks already, so the request must fail soon and not be retried.
+  it('fails the request within ten seconds when new connections are silent too', async () => {
     const entry = await startEntry({
       sides: [
         {
@@ -183,9 +183,9 @@
     expect((caller.endedAt() ?? Infinity) - frozenAt).toBeLessThan(10_000);
   });
 
-  // The entry itself was stopped for ten seconds. Frames of that time wait in
-  // its socket; the connection is well, and must not be taken for silent.
-  it('is not confused with a pause of this process', async () => {
+  // The entry itself is paused for ten seconds while frames wait in its socket.
+  // The working connection must not count as silent.
+  it('is not assumed when this process itself was paused', async () => {
     const entry = await startEntry({
       sides: [
         {
--- a/test/entry_attempts.test.ts
+++ b/test/entry_attempts.test.ts
@@ -1,4 +1,7 @@
-/** When another side may be tried, and what is said of whether it ran. */
+/**
+ * When another side may be tried, and what is reported of whether a request
+ * ran.
+ */
 import {describe, expect, it} from 'vitest';
 import type {RoutingPolicy} from '../src/policy/routing.js';
 import type {Caller, EntryFixture} from './support/entry_fixture.js';
@@ -12,10 +15,10 @@
 } from './support/scripted_side.js';
 import type {SideScript} from './support/scripted_side.js';
 
-/** Takes the go and says nothing more. */
+/** Accepts the go and sends nothing. */
 const silentSide: SideScript = {run: () => undefined};
 
-/** Sends one chunk, then goes down. */
+/** Sends one chunk, then becomes unreachable. */
 function sideFailingAfterOneChunk(entry: () => EntryFixture): SideScript {
   return {
     run: (side, run) => {
@@ -54,10 +57,9 @@
     expect(caller.final()).toMatchObject({kind: 'end'});
   });
 
-  // The caller has 30 s, and every side refuses within milliseconds. It must
-  // hear so now, with the earliest time that a side named, and not be held
-  // until its deadline.
-  it('refused by all end the request at once', async () => {
+  // Every side refuses at once. The caller must get the earliest retry time
+  // that a side named now, and not wait for its deadline of 30 s.
+  it('end the request at once when all sides refuse', async () => {
     const entry = await startEntry({
       sides: [
         {offer: () => refused('full', 4_000)},
@@ -74,7 +76,7 @@
     expect(entry.heldLimits()).toBe(0);
   });
 
-  it('refused as too late say that the deadline cannot be met', async () => {
+  it('report an unreachable deadline when refused as too late', async () => {
     const entry = await startEntry({
       sides: [{offer: () => refused('too-late', 9_000)}],
     });
@@ -87,7 +89,7 @@
     });
   });
 
-  it('that can never be met name no time to come back', async () => {
+  it('name no retry time when the refusal is permanent', async () => {
     const entry = await startEntry({sides: [{offer: () => refused('full')}]});
     const caller = entry.submit();
     await entry.clock.runFor(50);
@@ -95,10 +97,9 @@
     expect(errorOf(caller)?.retryAfterMs).toBeUndefined();
   });
 
-  // The first side takes the offer and its answer is lost. No go was sent, so
-  // the other side may have the work; the first is told to forget the id, or
-  // it would hold memory for it.
-  it('without an answer are tombstoned and made elsewhere', async () => {
+  // The first side accepts but its answer is lost. No go was sent, so another
+  // side may run it; the first must release the reservation.
+  it('are tombstoned and made elsewhere when no answer comes', async () => {
     const entry = await startEntry({
       sides: [{offer: () => new Promise(() => undefined)}, {}],
       requests: {routingPolicy: () => inOrder},
@@ -112,9 +113,8 @@
 });
 
 describe('a request that may not be repeated', () => {
-  // The go went out, then the side froze: it may have run, or may run on
-  // waking. The caller is told 'unknown'; a second run could do twice what
-  // must be done once.
+  // The side freezes after the go, so the request may have run or may run
+  // later. The caller gets `unknown`; a second run could repeat its work.
   it('is not run elsewhere when its side falls silent', async () => {
     const entry = await startEntry({sides: [silentSide, {}]});
     const caller = entry.submit({repeatable: false});
@@ -131,9 +131,9 @@
     expect(entry.violations).toEqual([]);
   });
 
-  // The side's connection broke, and asked anew the side says that it never
-  // started and never will. That is evidence, so another may run it.
-  it('is run elsewhere on the evidence that it never started', async () => {
+  // The connection breaks and the side then answers that the run never started
+  // and never will, so another side may run it.
+  it('is run elsewhere when its side proves that it never started', async () => {
     const entry = await startEntry({
       sides: [
         {
@@ -152,7 +152,7 @@
     expect(entry.violations).toEqual([]);
   });
 
-  it('fails as run when its side says that it ran', async () => {
+  it('fails as run when its side reports that it ran', async () => {
     const entry = await startEntry({
       sides: [
         {run: (_side, run) => run.send(failed(run.dispatchId, 'yes'))},
@@ -168,7 +168,7 @@
 });
 
 describe('a request that may be repeated', () => {
-  it('is run elsewhere when its side goes before the first chunk', async () => {
+  it('is run elsewhere when its side fails before the first chunk', async () => {
     const entry = await startEntry({
       sides: [{run: side => takeDown(entry, side.address)}, {}],
       requests: {routingPolicy: () => inOrder},
@@ -178,8 +178,8 @@
     expect(caller.text()).toBe('one two three');
   });
 
-  // The caller has the first words of one run when its side dies. A second run
-  // may word its answer differently: the two together are no run's answer.
+  // The caller has the first chunk when the side fails. A second run may word
+  // its answer differently, so the two must not be joined.
   it('is not run again once the caller has a chunk', async () => {
     const entry = await startEntry({
       sides: [sideFailingAfterOneChunk(() => entry), {}],
@@ -192,10 +192,9 @@
     expect(goDispatchesOf(entry)).toHaveLength(1);
   });
 
-  // The caller waits for the whole answer and has seen nothing of it when the
-  // side dies after the first chunk. The chunk is given up, and the answer that
-  // the caller gets is the second run's alone.
-  it('is run again after a chunk that no caller was shown', async () => {
+  // The caller waits for the complete answer when the side fails after a chunk.
+  // The chunk is discarded, and only the second run's answer is sent.
+  it('is run again after a chunk that no caller has seen', async () => {
     const entry = await startEntry({
       sides: [sideFailingAfterOneChunk(() => entry), {}],
       requests: {routingPolicy: () => inOrder},
@@ -208,8 +207,8 @@
     expect(entry.violations).toEqual([]);
   });
 
-  // The caller asked for the whole answer, then came a second time for a
-  // stream of it: that one has the chunk, so the run may not be replaced.
+  // A second connection of the same caller streams the answer and has its first
+  // chunk, so the run must not be replaced.
   it('is not run again once a second connection has a chunk', async () => {
     const entry = await startEntry({
       sides: [sideFailingAfterOneChunk(() => entry), {}],
@@ -233,9 +232,9 @@
     expect(goDispatchesOf(entry)).toHaveLength(1);
   });
 
-  // Every run fails on every side. Without a budget each request would be run
-  // three times, and the extra load would take down what is left.
-  it('is retried within a budget over all requests', async () => {
+  // Every run fails on every side. Without a budget each request would run
+  // three times, and the extra load would overload the remaining sides.
+  it('is retried within a budget for all requests', async () => {
     const broken: SideScript = {
       run: (_side, run) => run.send(failed(run.dispatchId, 'yes')),
     };
@@ -250,8 +249,8 @@
 });
 
 describe('time limits', () => {
-  // The side goes on beating but never answers. The caller hears at its
-  // deadline, not later, and the run is cancelled so that its memory is freed.
+  // The side sends heartbeats but never answers. The caller must be told at its
+  // deadline, and the run cancelled to release its memory.
   it('end a request at its deadline and cancel its run', async () => {
     const entry = await startEntry({sides: [silentSide]});
     const deadlineAt = entry.clock.now() + 5_000;
@@ -264,7 +263,7 @@
     expect(entry.heldLimits()).toBe(0);
   });
 
-  it('stop an offer that is accepted after the deadline', async () => {
+  it('withdraw an offer that is accepted after the deadline', async () => {
     const entry = await startEntry({
       sides: [
         {
@@ -286,8 +285,8 @@
   });
 });
 
-describe('ownership', () => {
-  it('of each dispatch is told to the membership and taken back', async () => {
+describe('ownership of dispatches', () => {
+  it('is reported to the membership at the start and the end of a run', async () => {
     const entry = await startEntry({
       sides: [
         {
@@ -306,7 +305,7 @@
   });
 });
 
-/** Candidates as the membership shows them. */
+/** Keeps the candidates in the order in which the membership lists them. */
 const inOrder: RoutingPolicy = input =>
   input.targets.map(target => ({
     target,
--- a/test/entry_groups.test.ts
+++ b/test/entry_groups.test.ts
@@ -1,4 +1,7 @@
-/** Prompts over one engine's memory: several engines, all or none. */
+/**
+ * Prompts larger than one engine's memory: several engines are reserved, or
+ * none.
+ */
 import {describe, expect, it} from 'vitest';
 import {startEntry} from './support/entry_fixture.js';
 import type {EntryFixture} from './support/entry_fixture.js';
@@ -16,7 +19,9 @@
   deadlineAt: 600_000,
 };
 
-/** Leads answer; members say that they hold their memory, and beat. */
+/**
+ * Leads answer; members report that they hold their memory and send heartbeats.
+ */
 const groupSideScript = (entry: () => EntryFixture): SideScript => ({
   run: (side, run) => {
     const offer = offerOf(entry(), run.dispatchId);
@@ -34,7 +39,7 @@
     .find(offer => offer.dispatchId === dispatchId);
 }
 
-/** Dispatches that no side was told to cancel or forget. */
+/** Dispatches that no side was told to abandon. */
 function heldDispatches(entry: EntryFixture): readonly string[] {
   return entry.sides.flatMap(side =>
     side.offers
@@ -43,8 +48,8 @@
   );
 }
 
-describe('a prompt over one engine’s memory', () => {
-  it('runs on the fewest engines and frees the members at its end', async () => {
+describe('a prompt larger than one engine’s memory', () => {
+  it('runs on the fewest engines and releases the members at its end', async () => {
     const script = groupSideScript(() => entry);
     const entry = await startEntry({sides: [script, script, script, script]});
     const caller = entry.submit(LONG_PROMPT);
@@ -61,10 +66,9 @@
     expect(heldDispatches(entry)).toEqual([lead]);
   });
 
-  // One engine of the group has no room for a while. What the others hold in
-  // the meantime is memory that nobody uses: it is given back before the next
-  // try, and the request runs when all three have room at once.
-  it('gives back what it holds while one engine refuses', async () => {
+  // While one engine has no room, memory held on the others is unused. It must
+  // be released before the next attempt.
+  it('releases its reservations while one engine refuses', async () => {
     let room = false;
     const entry = await startEntry({
       sides: [
@@ -87,11 +91,9 @@
     expect(caller.text()).toBe('one two three');
   });
 
-  // Two groups want the same three engines, each of which has room for one
-  // member. They rank the engines in opposite orders, and yet both reserve by
-  // address: the second meets the first at the first engine and holds nothing
-  // while it waits. Both end.
-  it('reserves in one order, so that two groups both end', async () => {
+  // Two groups that rank the same three engines in opposite orders could
+  // deadlock. Both reserve by address, so the second waits without holding any.
+  it('reserves in a fixed order, so that two groups both complete', async () => {
     const taken = new Set<string>();
     const reservedAt: string[] = [];
     const sideWithRoomForOne = (at: number): SideScript => ({
@@ -137,9 +139,9 @@
     expect(reservedAt).toEqual(['s1', 's2', 's3', 's1', 's2', 's3']);
   });
 
-  // A member dies while the lead works. The lead cannot end without the memory
-  // that went, so the run is cancelled on all, at once, and gathered anew.
-  it('is cancelled on all when a member is lost, and run again', async () => {
+  // A member is lost while the lead runs. The lead cannot finish without its
+  // memory, so the run is cancelled on all and reserved anew.
+  it('is cancelled on all engines and run again when a member is lost', async () => {
     const script = groupSideScript(() => entry);
     const entry = await startEntry({sides: [script, script, script, script]});
     const caller = entry.submit(LONG_PROMPT);
@@ -159,10 +161,9 @@
     expect(still).toEqual([member?.offers[0].dispatchId]);
   });
 
-  // The caller cancelled at another entry, which has the sides end their parts.
-  // A member's part is told here first: as a lost member it would have the
-  // group gathered again for a request that nobody wants.
-  it('is not run again when a member was cancelled for the caller', async () => {
+  // The caller cancels at another entry and this entry hears it first from a
+  // member. Treated as a lost member, the group would be run again.
+  it('is not run again when the caller cancelled it at another entry', async () => {
     const script = groupSideScript(() => entry);
     const entry = await startEntry({sides: [script, script, script]});
     const caller = entry.submit(LONG_PROMPT);
@@ -177,7 +178,7 @@
     expect(entry.sides.flatMap(side => side.goDispatches)).toHaveLength(3);
   });
 
-  it('fails at once when all engines together have not the room', async () => {
+  it('fails at once when all engines together lack the memory', async () => {
     const entry = await startEntry({sides: [{}, {}]});
     const caller = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(50);
--- a/test/locate.test.ts
+++ b/test/locate.test.ts
@@ -15,11 +15,9 @@
 const RUNNING: LocateRes = {...NONE, state: 'running', dispatchId: 'r.1'};
 
 describe('locating a run', () => {
-  // A caller comes to another entry for its answer. That entry asks all sides
-  // at once; the one that runs the request answers first, one that knows
-  // nothing of it answers last. The caller must not be told that there is no
-  // such request.
-  it('holds on to what is found when a side that knows nothing answers last', async () => {
+  // The side that runs the request answers first, one that does not know it
+  // last. The late answer must not discard the run that was found.
+  it('keeps the run that was found when a side without it answers last', async () => {
     const answers = new Map<string, (res: LocateRes) => void>();
     const call = (side: string) =>
       new Promise(resolve => {
--- a/test/retry_storm.test.ts
+++ b/test/retry_storm.test.ts
@@ -5,9 +5,9 @@
 
 const ENTRIES = 2;
 const ENGINES = 6;
-/** The default of the policy's `retryRatio`. */
+/** Default of the policy's `retryRatio`. */
 const RETRY_RATIO = 0.2;
-/** Retries that each entry may make at once after a quiet time. */
+/** Number of retries that each entry may make at once after a quiet period. */
 const RETRY_BURST = 10;
 const LATE_SLACK_MS = 50;
 
@@ -21,7 +21,10 @@
   priority: 1,
 };
 
-/** Runs by the engines' own counters; those handed to dead ones never ran. */
+/**
+ * Counts runs by the engines' own counters; runs sent to stopped engines never
+ * ran.
+ */
 function countRuns(fleet: MemoryFleet) {
   const runs = fleet.engines.flatMap(({model}) =>
     Object.entries(model.counts().runsStarted),
@@ -41,11 +44,9 @@
   }
 }
 
-test('half of the engines die under load and retries stay a share of the work', async () => {
-  // Three of six engines die with all that they were reading. Each of their
-  // runs could be tried again elsewhere, on engines that have twice the load
-  // already; these would fall behind, and more would be tried again. The budget
-  // lets through a share; the other callers are told at once.
+test('retries stay within their budget when half of the engines fail under load', async () => {
+  // Retries of the runs of three lost engines would overload the other three
+  // and so cause more retries. The budget must limit them to a share.
   const fleet = createMemoryFleet({
     seed: 1,
     entries: ENTRIES,
--- a/test/sessions.test.ts
+++ b/test/sessions.test.ts
@@ -1,4 +1,7 @@
-/** Whole sessions of each kind, as a caller sees them, in golden files. */
+/**
+ * Complete sessions of each kind, as a caller sees them, compared with golden
+ * files.
+ */
 import {afterAll, beforeAll, expect, it} from 'vitest';
 import {KEYS, startSessionFleet} from './support/session_fleet.js';
 import type {SessionFleet} from './support/session_fleet.js';
@@ -25,7 +28,7 @@
   });
 }
 
-/** The exchanges, and the numbered events of the first one's request. */
+/** Compares the exchanges and the log events of the first one's request. */
 async function expectSessionMatches(
   name: string,
   exchanges: readonly Exchange[],
@@ -48,13 +51,13 @@
   await expectSessionMatches('streamed', [streamed]);
 });
 
-it('answers as a whole', async () => {
+it('answers with a single response', async () => {
   const prompt = 'Check isolation sequence 7';
   const whole = await complete('entry-1', {prompt, max_tokens: 3});
   await expectSessionMatches('whole', [whole]);
 });
 
-it('passes a call to a plain service on whole', async () => {
+it('forwards a call to a plain service unchanged', async () => {
   const url = `${fleet.url('entry-1')}/v1/services/station-app/alerts?zone=4`;
   const call = {
     method: 'POST',
@@ -66,7 +69,7 @@
   await expectSessionMatches('plain_call', [first, again]);
 });
 
-it('refuses what cannot be done in time, and what makes no sense', async () => {
+it('refuses unreachable deadlines and invalid requests', async () => {
   const late = await complete(
     'entry-1',
     {prompt: 'archive '.repeat(50_000), max_tokens: 10},
@@ -81,9 +84,8 @@
   await expectSessionMatches('refusal', [late, unknown, past]);
 });
 
-// The caller's connection breaks in mid-stream, and the balancer sends the
-// caller to another entry. That one finds the run at its side, and the caller
-// gets the chunks that it lacks; another organisation gets nothing.
+// The connection breaks mid-stream and the caller resumes at another entry,
+// which finds the run at its side. Another organisation gets nothing.
 it('resumes a broken stream at another entry', async () => {
   const broken = await complete(
     'entry-1',
@@ -110,9 +112,9 @@
   ).toMatchFileSnapshot('golden/sessions/resume.txt');
 });
 
-// Operators drain an entry while it streams an answer. It is ready no more and
-// refuses new work as not run; the answer in progress ends whole.
-it('drains without cutting an answer', async () => {
+// A draining entry is not ready and refuses new requests as not run. The answer
+// in progress must still complete.
+it('drains without interrupting an answer', async () => {
   const rest: Exchange[] = [];
   let drained: Promise<void> = Promise.resolve();
   const drain = async () => {
--- a/test/support/entry_fixture.ts
+++ b/test/support/entry_fixture.ts
@@ -1,6 +1,6 @@
 /**
- * The request service on virtual time with scripted sides, and stand-ins for
- * the services that it asks.
+ * Runs the `requests` service on virtual time with scripted sides and stand-ins
+ * for the services that it calls.
  */
 import {Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -26,10 +26,10 @@
 
 export interface Caller {
   readonly events: RequestEvent[];
-  /** Text of the chunks so far, those that were called void left out. */
+  /** Text of the chunks received so far, without those that were discarded. */
   text(): string;
   final(): RequestEvent | undefined;
-  /** When the final event came, on the virtual clock. */
+  /** When the final event was received, on the virtual clock. */
   endedAt(): number | undefined;
   readonly listener: (event: RequestEvent) => void;
 }
@@ -161,12 +161,12 @@
     toMembership: membershipMessages,
     caller,
     submit,
-    /** Stops a side's process, as by a signal, without ending it. */
+    /** Pauses a side's process, as a stop signal does, without ending it. */
     freezeSide: (at: number) => {
       sideClocks[at].pause();
       network.faults.freeze(sides[at].address);
     },
-    /** Places that are taken of the organisation's limit. */
+    /** Requests that currently count against the organisation's limits. */
     heldLimits: () => heldLimits,
     setMembership: (replicas: readonly Replica[]) =>
       notifyMembership?.(membershipViewOf(replicas)),
--- a/test/support/session_fleet.ts
+++ b/test/support/session_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * A small fleet for golden files: stand-in programs, and entries and sides
- * wired as the daemon wires them, with real HTTP and grpc, in the test's own
- * process so that their log events can be read.
+ * A small fleet for golden files. Stand-in programs run as processes of their
+ * own. Entries and sides are wired as in the daemon, with real HTTP and gRPC,
+ * but run in the test's process so that the test can read their log events.
  */
 import {createServer} from 'node:net';
 import type {AddressInfo} from 'node:net';
@@ -26,7 +26,7 @@
 const SALT = '00112233445566778899aabbccddeeff';
 const POLL_MS = 25;
 const MAX_POLLS = 800;
-/** Callers' keys by organisation. */
+/** API keys of the callers, by organisation. */
 export const KEYS = {
   'prairie-sky': 'onyx_prairie',
   'ingufu-hamwe': 'onyx_ingufu',
@@ -40,12 +40,12 @@
 }
 
 export interface SessionFleet {
-  /** Callers' base URL of an entry. */
+  /** Base URL of an entry for callers. */
   url(entry: string): string;
-  /** Operators' base URL of an entry. */
+  /** Base URL of an entry for operators. */
   operators(entry: string): string;
   readonly operatorToken: string;
-  /** Events that name the request, process by process. */
+  /** Log events that name the request, grouped by process. */
   eventsOf(requestId: string): readonly string[];
   close(): Promise<void>;
 }
@@ -63,7 +63,7 @@
     if (await check().catch(() => false)) return;
     await sleep(POLL_MS);
   }
-  throw new Error(`waited in vain: ${what}`);
+  throw new Error(`timed out waiting until ${what}`);
 }
 
 async function send(url: string, method: string, body: object) {
@@ -75,7 +75,7 @@
   if (!res.ok) throw new Error(`${url}: ${res.status} ${await res.text()}`);
 }
 
-/** Three entries, one engine, one plain service. */
+/** Starts three entries, one engine and one plain service. */
 export async function startSessionFleet(): Promise<SessionFleet> {
   const [objectApi, hostList, weightStore, engine, service] =
     (await Promise.all([
@@ -220,7 +220,10 @@
   });
 }
 
-/** Ready, and both upstreams have reported what they can take. */
+/**
+ * Waits until the entry is ready, follows both replicas and the engine's model
+ * is ready.
+ */
 function waitUntilServing(operators: string): Promise<void> {
   const headers = {authorization: `Bearer ${TOKEN}`};
   return waitUntil(`${operators} serves`, async () => {
--- a/test/support/session_text.ts
+++ b/test/support/session_text.ts
@@ -1,4 +1,7 @@
-/** Records HTTP exchanges as text, and puts what differs by run into words. */
+/**
+ * Records HTTP exchanges as text and masks the values that vary from run to
+ * run.
+ */
 import {request} from 'node:http';
 import type {IncomingMessage} from 'node:http';
 
@@ -6,14 +9,14 @@
   readonly method: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
-  /** Breaks the connection after so many events of a stream. */
+  /** Closes the connection after this many events of a stream. */
   readonly closeAfterEvents?: number;
-  /** Called once, when the first event of a stream has come. */
+  /** Called once, after the first event of a stream has arrived. */
   readonly onFirstEvent?: () => void;
 }
 
 export interface Exchange {
-  /** Both directions, as they went over the connection, less the framing. */
+  /** Request and response as sent over the connection, without the framing. */
   readonly text: string;
   readonly requestId: string;
   readonly body: string;
@@ -22,7 +25,10 @@
 const MAX_SHOWN_BODY = 200;
 const EVENT_END = '\n\n';
 
-/** Sends a request and reads its answer to the end, or to the cut. */
+/**
+ * Sends a request and reads the response to its end, or until the connection is
+ * closed.
+ */
 export async function exchange(
   url: string,
   options: ExchangeOptions,
@@ -75,7 +81,10 @@
   return body.length <= MAX_SHOWN_BODY ? body : `(${body.length} bytes)`;
 }
 
-/** The same session gives the same text: ids, addresses and times go. */
+/**
+ * Replaces ids, addresses and times, so that the same session always gives the
+ * same text.
+ */
 export function maskVaryingValues(text: string): string {
   const names = new Map<string, string>();
   const nameOf = (kind: string) => (value: string) => {
