--- a/src/entry/admission/admission.ts
+++ b/src/entry/admission/admission.ts
@@ -1,7 +1,7 @@
 /**
- * Makes a request's spec from what the caller sent and the newest
- * declarations: model, classes, time limit, prefix hashes. No upstream is
- * asked here, so a refusal costs none of them anything.
+ * Builds the spec of a request from the caller's fields and the newest
+ * declarations: model, classes, time limit and prefix hashes. It contacts no
+ * upstream, so a refused request costs upstreams nothing.
  */
 import type {
   Declarations,
@@ -17,36 +17,39 @@
 import type {CallHead} from '../../types/peer_messages.js';
 import type {Body, RequestSpec} from '../../types/services.js';
 import type {CompletionFields} from '../front/completion_fields.js';
-import {badRequest} from '../faults.js';
+import {badRequest} from '../entry_errors.js';
 import {prefixHashes} from './prefix_hashes.js';
 import type {RequestOptions} from '../front/request_options.js';
 
 /**
- * Bytes of prompt per token, for the estimate. English prose under the usual
- * tokenizers has some four; only engines count exactly.
+ * Bytes of prompt per token, for estimates. English prose has about four bytes
+ * per token with common tokenizers; only engines count tokens exactly.
  */
 export const BYTES_PER_TOKEN = 4;
 
-/** Length class of calls in metrics. */
+/** Length class that metrics report for calls. */
 export const CALL_LENGTH_CLASS = 'call';
 
-/** What is known of a request before its body is looked at. */
-export interface Arrival {
+/** What is known of a request before its body is examined. */
+export interface ArrivedRequest {
   readonly id: RequestId;
   readonly organisation: Organisation;
   readonly config: NumberedDeclarations;
-  /** On this process's clock; the time limit counts from here. */
+  /**
+   * Arrival time on this process's clock, in milliseconds. The time limit
+   * starts here.
+   */
   readonly arrivedAt: number;
 }
 
-/** Estimated tokens of a prompt. */
+/** Estimates the number of tokens of a prompt from its size in bytes. */
 export function estimateTokens(bytes: number): number {
   return Math.ceil(bytes / BYTES_PER_TOKEN);
 }
 
 /** Throws an `OnyxError` when the request cannot be admitted. */
 export function admitCompletion(
-  arrival: Arrival,
+  arrival: ArrivedRequest,
   fields: CompletionFields,
   options: RequestOptions,
 ): RequestSpec {
@@ -54,12 +57,12 @@
   const {model, adapter} = findModel(declarations, fields.model);
   const promptTokens = estimateTokens(fields.prompt.bytes);
   if (promptTokens > model.maxPromptTokens) {
-    throw tooLong(promptTokens, model);
+    throw promptTooLong(promptTokens, model);
   }
   const lengthClass = findLengthClass(declarations, promptTokens);
   const scope = `${arrival.organisation.id}\n${model.id}\n${adapter}`;
   return {
-    ...common(arrival, options, lengthClass.defaultTimeLimitMs),
+    ...commonFields(arrival, options, lengthClass.defaultTimeLimitMs),
     kind: 'completion',
     pool: '',
     model: model.id,
@@ -77,14 +80,14 @@
 
 /** Throws an `OnyxError` when the call cannot be admitted. */
 export function admitCall(
-  arrival: Arrival,
+  arrival: ArrivedRequest,
   service: PlainService,
   call: CallHead,
   body: Body,
   options: RequestOptions,
 ): RequestSpec {
   return {
-    ...common(arrival, options, service.defaultTimeLimitMs),
+    ...commonFields(arrival, options, service.defaultTimeLimitMs),
     kind: 'call',
     pool: service.pool,
     model: '',
@@ -101,7 +104,7 @@
   };
 }
 
-/** Throws `not-found` for a pool that no plain service is declared for. */
+/** Throws `not-found` when no plain service is declared for the pool. */
 export function findService(
   declarations: Declarations,
   pool: PoolId,
@@ -113,8 +116,8 @@
   return found;
 }
 
-function common(
-  arrival: Arrival,
+function commonFields(
+  arrival: ArrivedRequest,
   options: RequestOptions,
   defaultTimeLimitMs: number,
 ) {
@@ -139,28 +142,31 @@
   readonly adapter: string;
 }
 
-/** `MODEL` or `MODEL:ADAPTER`; none for the default model. */
+/**
+ * Finds the model for `MODEL` or `MODEL:ADAPTER`; the default model when none
+ * is requested.
+ */
 function findModel(
   declarations: Declarations,
-  wanted: string | undefined,
+  requested: string | undefined,
 ): ModelChoice {
   const {models} = declarations;
-  const whole =
-    wanted === undefined
+  const exact =
+    requested === undefined
       ? models.find(model => model.isDefault)
-      : models.find(model => model.id === wanted);
-  if (whole !== undefined) return {model: whole, adapter: ''};
-  const colon = (wanted ?? '').lastIndexOf(':');
-  const id = (wanted ?? '').slice(0, Math.max(0, colon));
-  const adapter = (wanted ?? '').slice(colon + 1);
+      : models.find(model => model.id === requested);
+  if (exact !== undefined) return {model: exact, adapter: ''};
+  const colon = (requested ?? '').lastIndexOf(':');
+  const id = (requested ?? '').slice(0, Math.max(0, colon));
+  const adapter = (requested ?? '').slice(colon + 1);
   const base = models.find(
     model => model.id === id && model.adapters.includes(adapter),
   );
   if (base !== undefined) return {model: base, adapter};
   throw badRequest(
-    wanted === undefined
+    requested === undefined
       ? 'no model was named and none is the default'
-      : `no model "${wanted}"`,
+      : `no model "${requested}"`,
     'validate',
     'unknown-model',
   );
@@ -196,7 +202,7 @@
   });
 }
 
-function tooLong(promptTokens: number, model: Model): OnyxError {
+function promptTooLong(promptTokens: number, model: Model): OnyxError {
   return badRequest(
     `the prompt has some ${promptTokens} tokens; ` +
       `"${model.id}" takes ${model.maxPromptTokens}`,
--- a/src/entry/admission/admit.ts
+++ b/src/entry/admission/preconditions.ts
@@ -1,6 +1,6 @@
 /**
- * What a request needs before it is routed: a place within its organisation's
- * limits and, where it must not run twice, the record of its idempotency key.
+ * What a request needs before it is routed: capacity within its organisation's
+ * limits and, if it must not run twice, a claim on its idempotency key.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -10,12 +10,15 @@
 
 type Ctx = ServiceContext<'requests'>;
 
-/** Takes a place; `release` must follow when the request is over. */
-export function acquirePlace(
+/**
+ * Acquires capacity within the organisation's limits. The caller must send
+ * `release` when the request is over.
+ */
+export function acquireLimit(
   ctx: Ctx,
   spec: RequestSpec,
 ): Promise<Either<OnyxError, void>> {
-  return asked(
+  return rejectionAsLeft(
     ctx.ask('limits', (reply: (value: Either<OnyxError, void>) => void) => ({
       kind: 'acquire',
       organisation: spec.organisation,
@@ -25,8 +28,11 @@
   );
 }
 
-/** A request that may be repeated, or has no key, is always ours. */
-export function claimKey(
+/**
+ * Claims the request's idempotency key. A request that is repeatable or has no
+ * key needs no claim and gets `ours`.
+ */
+export function claimIdempotencyKey(
   ctx: Ctx,
   spec: RequestSpec,
 ): Promise<Either<OnyxError, ClaimOutcome>> {
@@ -34,7 +40,7 @@
   if (spec.repeatable || key === undefined) {
     return Promise.resolve(Right({kind: 'ours'}));
   }
-  return asked(
+  return rejectionAsLeft(
     ctx.ask(
       'claims',
       (reply: (value: Either<OnyxError, ClaimOutcome>) => void) => ({
@@ -48,8 +54,11 @@
   );
 }
 
-/** `ask` rejects when the other service has ended. */
-async function asked<T>(
+/**
+ * Turns a rejection with an `OnyxError` into a `Left`. `ask` rejects when the
+ * other service has ended.
+ */
+async function rejectionAsLeft<T>(
   answer: Promise<Either<OnyxError, T>>,
 ): Promise<Either<OnyxError, T>> {
   try {
--- a/src/entry/entry_peers.ts
+++ b/src/entry/entry_peers.ts
@@ -1,6 +1,6 @@
 /**
- * The service that owns the entry's listener for peers: calls of other
- * processes become messages to the services here.
+ * The `entryPeers` service. It owns the entry's listener for calls of other
+ * processes and forwards each call as a message to the service that answers it.
  */
 import type {Address} from '../types/ids.js';
 import type {ServiceContext, ServiceSpec} from '../types/kernel.js';
@@ -15,9 +15,11 @@
 
 export interface EntryPeersOptions {
   readonly transport: Transport;
-  /** Where to listen; port 0 takes a free one. */
+  /** Address to listen on; port 0 selects a free port. */
   readonly address: Address;
-  /** Told once the listener is open. @default nobody */
+  /**
+   * Called with the actual address once the listener is open. @default no call
+   */
   readonly onListening?: (address: Address) => void;
 }
 
@@ -27,7 +29,7 @@
   return {
     name: 'entryPeers',
     start: async ctx => {
-      const handlers = handlersOf(ctx);
+      const handlers = createPeerHandlers(ctx);
       const listener: Listener = await options.transport.listen(
         options.address,
         handlers,
@@ -41,7 +43,7 @@
   };
 }
 
-function handlersOf(ctx: ServiceContext<'entryPeers'>): PeerHandlers {
+function createPeerHandlers(ctx: ServiceContext<'entryPeers'>): PeerHandlers {
   return {
     entryHeartbeat: req =>
       ctx.ask('membership', (reply: (res: EntryHeartbeatRes) => void) => ({
@@ -71,12 +73,12 @@
           reply,
         }),
       );
-      return locateResOf(state);
+      return toLocateRes(state);
     },
   };
 }
 
-function locateResOf(state: RequestState): LocateRes {
+function toLocateRes(state: RequestState): LocateRes {
   return {
     state: state.state,
     dispatchId: state.dispatchId,
--- a/src/entry/front/new_request_routes.ts
+++ b/src/entry/front/new_request_routes.ts
@@ -13,7 +13,7 @@
   admitCompletion,
   findService,
 } from '../admission/admission.js';
-import type {Arrival} from '../admission/admission.js';
+import type {ArrivedRequest} from '../admission/admission.js';
 import {
   createServiceResponseWriter,
   createEventStreamWriter,
@@ -24,7 +24,7 @@
 import type {Exchange, CallersDeps} from './callers_exchange.js';
 import type {RequestSlot} from './callers_state.js';
 import {EMPTY_BODY_OPTIONS, validateCompletion} from './completion_fields.js';
-import {badRequest} from '../faults.js';
+import {badRequest} from '../entry_errors.js';
 import {declaredLength} from './http_body.js';
 import {readRequestOptions} from './request_options.js';
 
@@ -107,7 +107,7 @@
 async function withSlot(
   deps: CallersDeps,
   exchange: Exchange,
-  handler: (arrival: Arrival, slot: RequestSlot) => Promise<void>,
+  handler: (arrival: ArrivedRequest, slot: RequestSlot) => Promise<void>,
 ): Promise<void> {
   const {req, id, arrivedAt} = exchange;
   const config = deps.state.config();
--- a/src/entry/groups/group_run.ts
+++ b/src/entry/groups/group_run.ts
@@ -1,18 +1,19 @@
 /**
- * Runs a request on a reserved group: the members hold memory, the lead gets
- * the prompt and gives the answer. Any member lost ends the run on all, at
- * once, since the lead cannot end without the memory that went.
+ * Runs a request on a reserved group. The members hold memory; the lead
+ * receives the prompt and produces the answer. When any member is lost, the run
+ * ends at once on all of them, because the lead cannot finish without that
+ * member's memory.
  */
 import type {RequestSpec} from '../../types/services.js';
 import {createAnswerLog} from '../run/answer_log.js';
 import {startAttempt} from '../run/attempt.js';
 import type {Attempt, AttemptOutcome} from '../run/attempt.js';
 import type {ReservedPart} from './group_reserve.js';
-import {withdrawOffer} from '../routing/offer_call.js';
-import type {OfferDeps} from '../routing/offer_call.js';
+import {withdrawOffer} from '../routing/send_offer.js';
+import type {OfferDeps} from '../routing/send_offer.js';
 import type {OpenRequest} from '../open_request.js';
 
-/** Resolves with the lead's outcome; all members are cancelled by then. */
+/** Resolves with the lead's outcome, after all members were cancelled. */
 export async function runGroup(
   deps: OfferDeps,
   open: OpenRequest,
@@ -21,7 +22,7 @@
 ): Promise<AttemptOutcome> {
   const run = createGroupRun(deps, open, spec);
   for (const part of parts) run.own(part);
-  const outcome = await run.go(parts);
+  const outcome = await run.runLead(parts);
   for (const part of parts) run.disown(part);
   return outcome;
 }
@@ -30,34 +31,37 @@
   const members: Attempt[] = [];
   let lead: Attempt | undefined;
   let lostMember: string | undefined;
-  /** A member's word that the caller ended the request at another entry. */
-  let cancelled: AttemptOutcome | undefined;
+  /**
+   * Set when a member reports that the caller cancelled the request at another
+   * entry.
+   */
+  let cancelledOutcome: AttemptOutcome | undefined;
   let stopped = false;
 
-  const tell = (kind: 'own' | 'disown', {offer}: ReservedPart) =>
-    deps.tellMembership({
+  const reportOwnership = (kind: 'own' | 'disown', {offer}: ReservedPart) =>
+    deps.sendToMembership({
       kind,
       address: offer.ranked.target.replica.address,
       dispatchId: offer.dispatchId,
     });
 
-  const start = (
+  const startPart = (
     {part, offer}: ReservedPart,
-    answer = open.answer,
+    answerLog = open.answerLog,
     onStarted: () => void = () => undefined,
   ): Attempt => {
     const side = offer.ranked.target.replica.address;
-    const body = part.lead ? spec.body : {pieces: [], bytes: 0};
+    const body = part.isLead ? spec.body : {pieces: [], bytes: 0};
     return startAttempt(deps, {
       side,
       dispatchId: offer.dispatchId,
       incarnation: offer.incarnation,
       organisation: spec.organisation,
       go: {body, call: undefined, deadlineAt: spec.deadlineAt},
-      answer,
+      answerLog,
       onStarted,
       onEvidence: (what, incarnation) =>
-        deps.tellMembership({
+        deps.sendToMembership({
           kind: 'evidence',
           address: side,
           what,
@@ -70,87 +74,89 @@
     for (const member of members) member.stop();
   };
 
-  const letGo = () => {
-    open.stopAttempt = undefined;
-    open.attemptRan = undefined;
+  const releaseMembers = () => {
+    open.stopCurrentAttempt = undefined;
+    open.currentAttemptRan = undefined;
     stopMembers();
   };
 
-  /** Resolves when the member holds its memory, or is lost. */
+  /** Resolves when the member holds its memory or is lost. */
   const startMember = (reserved: ReservedPart): Promise<void> =>
     new Promise(resolve => {
       const {dispatchId} = reserved.offer;
-      const nothing = createAnswerLog(dispatchId, 0, deps.invariant);
-      const member = start(reserved, nothing, resolve);
+      const emptyLog = createAnswerLog(dispatchId, 0, deps.invariant);
+      const member = startPart(reserved, emptyLog, resolve);
       members.push(member);
       void member.outcome.then(outcome => {
         if (outcome.kind !== 'stopped') {
           lostMember = dispatchId;
-          if (isCancelled(outcome)) cancelled = outcome;
+          if (isCancelled(outcome)) cancelledOutcome = outcome;
           lead?.abandon(`group member ${dispatchId} lost`);
         }
         resolve();
       });
     });
 
-  const holdAll = async (parts: readonly ReservedPart[]): Promise<boolean> => {
+  const startMembers = async (
+    parts: readonly ReservedPart[],
+  ): Promise<boolean> => {
     const holding = Promise.all(
-      parts.filter(one => !one.part.lead).map(startMember),
+      parts.filter(one => !one.part.isLead).map(startMember),
     ).then(() => true);
-    const late = new Promise<boolean>(resolve =>
+    const timeout = new Promise<boolean>(resolve =>
       deps.clock.after(deps.timing.groupHoldMs, () => resolve(false)),
     );
-    return (await Promise.race([holding, late])) && lostMember === undefined;
+    return (await Promise.race([holding, timeout])) && lostMember === undefined;
   };
 
-  const go = async (
+  const runLead = async (
     parts: readonly ReservedPart[],
   ): Promise<AttemptOutcome> => {
-    const leading = parts.find(one => one.part.lead);
-    if (leading === undefined) return {kind: 'stopped'};
-    const {offer} = leading;
+    const leadPart = parts.find(one => one.part.isLead);
+    if (leadPart === undefined) return {kind: 'stopped'};
+    const {offer} = leadPart;
     open.side = offer.ranked.target.replica.address;
     open.dispatchId = offer.dispatchId;
-    open.stopAttempt = () => {
+    open.stopCurrentAttempt = () => {
       stopped = true;
       stopMembers();
       lead?.stop();
     };
-    // The members hold no part of the prompt: until the lead's go is sent,
-    // nothing has run.
-    open.attemptRan = () => lead?.ran() ?? 'no';
-    const held = await holdAll(parts);
+    // Members hold no part of the prompt. Nothing has run until the lead's go
+    // is sent.
+    open.currentAttemptRan = () => lead?.ran() ?? 'no';
+    const allHold = await startMembers(parts);
     if (stopped) return {kind: 'stopped'};
-    if (!held) {
-      letGo();
+    if (!allHold) {
+      releaseMembers();
       withdrawOffer(deps, offer);
       return (
-        cancelled ?? {
+        cancelledOutcome ?? {
           kind: 'lost',
           ran: 'no',
           reason: 'the group did not assemble',
         }
       );
     }
-    open.answer.placed({
+    open.answerLog.setPlacement({
       kind: 'placed',
       dispatchId: offer.dispatchId,
       side: open.side,
     });
-    lead = start(leading);
+    lead = startPart(leadPart);
     const outcome = await lead.outcome;
-    letGo();
-    // Taken for a lost member, it would be run again for nobody.
-    return cancelled ?? outcome;
+    releaseMembers();
+    // Treated as the loss of a member, a cancelled request would be run again.
+    return cancelledOutcome ?? outcome;
   };
 
   return {
-    go,
-    own: (part: ReservedPart) => tell('own', part),
+    runLead,
+    own: (part: ReservedPart) => reportOwnership('own', part),
     disown: (part: ReservedPart) => {
-      tell('disown', part);
+      reportOwnership('disown', part);
       const {ranked, dispatchId} = part.offer;
-      deps.router.attemptOver(ranked.target.replica.address, dispatchId);
+      deps.router.endAssignment(ranked.target.replica.address, dispatchId);
     },
   };
 }
--- a/src/entry/open_request.ts
+++ b/src/entry/open_request.ts
@@ -1,6 +1,7 @@
 /**
- * One request that this entry owns, from submit to its one final event, and
- * what is known so far of whether its work ran.
+ * The state of one request that this entry owns, from its submission to its
+ * single final event. It includes what is known of whether the request's work
+ * ran.
  */
 import {OnyxError} from '../types/errors.js';
 import type {ErrorDetails, Ran} from '../types/errors.js';
@@ -14,71 +15,79 @@
 import type {AnswerLog, FinalEvent} from './run/answer_log.js';
 import type {AttemptOutcome} from './run/attempt.js';
 
-export interface RequestIdentity {
+export interface RequestSummary {
   readonly id: RequestId;
   readonly organisation: OrganisationId;
   readonly kind: WorkKind;
-  /** As the answer names it; empty for a call. */
+  /** Model name as given in the answer; empty for a call. */
   readonly model: string;
   readonly promptTokens: number;
 }
 
-export interface OpenRequest extends RequestIdentity {
-  readonly answer: AnswerLog;
-  /** Side and dispatch of the newest attempt; empty before the first. */
+export interface OpenRequest extends RequestSummary {
+  readonly answerLog: AnswerLog;
+  /**
+   * Side of the newest attempt; empty before the first attempt. `dispatchId` is
+   * that attempt's.
+   */
   side: Address;
   dispatchId: DispatchId;
-  /** Highest attempt number given out. */
-  attempts: number;
-  /** What the attempts that are over let us say. */
+  /** Highest attempt number used so far. */
+  lastAttempt: number;
+  /** Whether the request ran, as far as the finished attempts show. */
   ran: Ran;
-  /** Another entry took the run over: what is known here is out of date. */
+  /**
+   * True when another entry has taken over the run, so the state held here is
+   * out of date.
+   */
   takenOver: boolean;
-  /** Ends the attempt that runs now. */
-  stopAttempt: (() => void) | undefined;
-  /** What the running attempt lets us say. */
-  attemptRan: (() => Ran) | undefined;
+  /** Stops the current attempt; undefined when none is running. */
+  stopCurrentAttempt: (() => void) | undefined;
+  /** Whether the current attempt ran, as far as is known. */
+  currentAttemptRan: (() => Ran) | undefined;
 }
 
 export function createOpenRequest(
-  identity: RequestIdentity,
-  answer: AnswerLog,
+  identity: RequestSummary,
+  answerLog: AnswerLog,
 ): OpenRequest {
   return {
     ...identity,
-    answer,
+    answerLog,
     side: '',
     dispatchId: '',
-    attempts: 0,
+    lastAttempt: 0,
     ran: 'no',
     takenOver: false,
-    stopAttempt: undefined,
-    attemptRan: undefined,
+    stopCurrentAttempt: undefined,
+    currentAttemptRan: undefined,
   };
 }
 
 const RAN_ORDER: readonly Ran[] = ['no', 'unknown', 'yes'];
 
-/** The stronger claim of two: `yes` over `unknown` over `no`. */
-export function strongerRan(a: Ran, b: Ran): Ran {
+/** Returns the stronger of two statements: `yes` over `unknown` over `no`. */
+export function mergeRan(a: Ran, b: Ran): Ran {
   return RAN_ORDER.indexOf(a) >= RAN_ORDER.indexOf(b) ? a : b;
 }
 
-/** What may be said now about the whole request. */
-export function ranSoFar(open: OpenRequest): Ran {
-  return strongerRan(open.ran, open.attemptRan?.() ?? 'no');
+/** Whether the request ran, as far as all its attempts show now. */
+export function currentRan(open: OpenRequest): Ran {
+  return mergeRan(open.ran, open.currentAttemptRan?.() ?? 'no');
 }
 
-/** Whether the outcome is a side's word that another entry has the run. */
+/** True when the side reported that another entry has taken over the run. */
 export function isTakenOver(outcome: AttemptOutcome): boolean {
   return outcome.kind === 'failed' && outcome.failed.code === 'superseded';
 }
 
-export function isOver(open: OpenRequest): boolean {
-  return open.answer.final() !== undefined;
+export function isFinished(open: OpenRequest): boolean {
+  return open.answerLog.finalEvent() !== undefined;
 }
 
-/** The failure as the caller gets it, with id and `ran` filled in. */
+/**
+ * The `failed` event for the caller, with the request id and `ran` filled in.
+ */
 export function failedEvent(
   open: OpenRequest,
   details: ErrorDetails,
@@ -88,7 +97,7 @@
     error: new OnyxError({
       ...details,
       requestId: open.id,
-      ran: details.ran ?? ranSoFar(open),
+      ran: details.ran ?? currentRan(open),
     }),
   };
 }
--- a/src/entry/resume/resume.ts
+++ b/src/entry/resume/resumer.ts
@@ -1,6 +1,6 @@
 /**
- * Resuming a request and telling its state, at whichever entry the caller asks:
- * from what is kept here, else from the side that holds the run.
+ * Resumes requests and reports their state at whichever entry the caller asks.
+ * It uses what this entry holds; otherwise it asks the side that has the run.
  */
 import {OnyxError} from '../../types/errors.js';
 import type {OrganisationId, RequestId} from '../../types/ids.js';
@@ -10,43 +10,52 @@
   RequestState,
   RequestsMessage,
 } from '../../types/services.js';
-import {adoptRun} from './adopt.js';
+import {adoptRun} from './adopt_run.js';
 import {createAnswerLog} from '../run/answer_log.js';
-import type {DriveDeps} from '../run/drive_request.js';
-import {locateRun} from './locate.js';
-import type {Located} from './locate.js';
-import {createOpenRequest, failedEvent, isOver} from '../open_request.js';
+import type {ExecuteDeps} from '../run/execute_request.js';
+import {locateRun} from './locate_run.js';
+import type {LocatedRun} from './locate_run.js';
+import {createOpenRequest, failedEvent, isFinished} from '../open_request.js';
 import type {OpenRequest} from '../open_request.js';
-import {stateOf} from '../request_table.js';
+import {requestStateOf} from '../request_table.js';
 import type {RequestTable} from '../request_table.js';
 
 type ResumeMessage = Extract<RequestsMessage, {readonly kind: 'resume'}>;
 
 export interface Resumer {
   resume(message: ResumeMessage): Promise<void>;
-  state(
+  reportState(
     id: RequestId,
     organisation: OrganisationId,
     reply: (state: RequestState) => void,
   ): Promise<void>;
-  /** From what is known at this entry alone. */
+  /** The state known to this entry alone. */
   localState(id: RequestId, organisation: OrganisationId): RequestState;
-  /** Gives `open` the answer of the request that took its key before. */
-  followEarlier(open: OpenRequest, earlier: RequestId): Promise<void>;
+  /**
+   * Gives `open` the answer of the earlier request that claimed the same
+   * idempotency key.
+   */
+  followEarlierRequest(open: OpenRequest, earlier: RequestId): Promise<void>;
 }
 
 export interface ResumerOptions {
-  readonly deps: DriveDeps;
+  readonly deps: ExecuteDeps;
   readonly table: RequestTable;
-  readonly open: (open: OpenRequest, release: readonly (() => void)[]) => void;
+  readonly addRequest: (
+    open: OpenRequest,
+    release: readonly (() => void)[],
+  ) => void;
   readonly view: () => MembershipView;
 }
 
 export function createResumer(options: ResumerOptions): Resumer {
   const {deps, table} = options;
 
-  /** Not one that another entry has by now: the sides know how it goes on. */
-  const find = (id: RequestId, organisation: OrganisationId) => {
+  /**
+   * Finds a request held here, unless another entry has taken it over. The
+   * sides know the current state of such a run.
+   */
+  const findCurrent = (id: RequestId, organisation: OrganisationId) => {
     const known = table.find(id, organisation);
     return known?.takenOver === true ? undefined : known;
   };
@@ -66,8 +75,8 @@
       allSides: options.view().allSides,
     });
 
-  const adopt = (located: Located, message: ResumeMessage) => {
-    const answer = createAnswerLog(message.id, 0, deps.invariant);
+  const adopt = (located: LocatedRun, message: ResumeMessage) => {
+    const answerLog = createAnswerLog(message.id, 0, deps.invariant);
     const open = createOpenRequest(
       {
         id: message.id,
@@ -76,10 +85,10 @@
         model: located.res.model ?? '',
         promptTokens: located.res.promptTokens ?? 0,
       },
-      answer,
+      answerLog,
     );
-    options.open(open, []);
-    answer.subscribe(message.fromSeq, message.listener, message.streamed);
+    options.addRequest(open, []);
+    answerLog.subscribe(message.fromSeq, message.listener, message.streamed);
     const known = options
       .view()
       .replicas.find(one => one.address === located.side);
@@ -89,7 +98,7 @@
       fromSeq: message.fromSeq,
       incarnation: known?.incarnation ?? '',
     }).catch(err => {
-      if (isOver(open)) return;
+      if (isFinished(open)) return;
       deps.finish(
         open,
         failedEvent(open, {
@@ -104,32 +113,39 @@
 
   const resume = async (message: ResumeMessage) => {
     const {id, organisation, fromSeq, listener, streamed} = message;
-    const known = find(id, organisation);
+    const known = findCurrent(id, organisation);
     if (known !== undefined) {
-      known.answer.subscribe(fromSeq, listener, streamed);
+      known.answerLog.subscribe(fromSeq, listener, streamed);
       return;
     }
     const located = await locate(id, organisation, message.sideHint);
-    // Another resume of the same request may have been faster.
-    const meanwhile = find(id, organisation);
-    if (meanwhile !== undefined) {
-      meanwhile.answer.subscribe(fromSeq, listener, streamed);
+    // Another resume of the same request may have added it in the meantime.
+    const addedMeanwhile = findCurrent(id, organisation);
+    if (addedMeanwhile !== undefined) {
+      addedMeanwhile.answerLog.subscribe(fromSeq, listener, streamed);
     } else if (located !== undefined) adopt(located, message);
     else listener({kind: 'failed', error: notFound(id)});
   };
 
   const localState: Resumer['localState'] = (id, organisation) => {
-    const known = find(id, organisation);
-    return known === undefined ? unknownState(id) : stateOf(known);
+    const known = findCurrent(id, organisation);
+    return known === undefined ? unknownState(id) : requestStateOf(known);
   };
 
-  /** What was known here last, also of a run that was taken over. */
-  const ownState = (id: RequestId, organisation: OrganisationId) => {
+  /**
+   * The last state known here, including that of a run that another entry took
+   * over.
+   */
+  const lastKnownState = (id: RequestId, organisation: OrganisationId) => {
     const known = table.find(id, organisation);
-    return known === undefined ? undefined : stateOf(known);
+    return known === undefined ? undefined : requestStateOf(known);
   };
 
-  const state: Resumer['state'] = async (id, organisation, reply) => {
+  const reportState: Resumer['reportState'] = async (
+    id,
+    organisation,
+    reply,
+  ) => {
     const known = localState(id, organisation);
     if (known.state !== 'none') {
       reply(known);
@@ -137,41 +153,44 @@
     }
     const located = await locate(id, organisation, '');
     if (located !== undefined) reply({...located.res, id, side: located.side});
-    else reply(ownState(id, organisation) ?? known);
+    else reply(lastKnownState(id, organisation) ?? known);
   };
 
-  /** Copies the events of the earlier request into the later one's answer. */
-  const copyTo =
+  /**
+   * Returns a listener that copies the events of the earlier request to the
+   * later one.
+   */
+  const copyEventsTo =
     (open: OpenRequest): RequestListener =>
     event => {
-      if (isOver(open)) return;
+      if (isFinished(open)) return;
       if (event.kind === 'placed') {
         open.side = event.side;
         open.dispatchId = event.dispatchId;
-        open.answer.placed(event);
+        open.answerLog.setPlacement(event);
       } else if (event.kind === 'chunk') {
-        open.answer.append(event);
+        open.answerLog.append(event);
       } else if (event.kind === 'restarted') {
-        open.answer.restart();
+        open.answerLog.discardChunks();
       } else if (event.kind === 'end') {
         deps.finish(open, event);
       } else {
-        deps.finish(open, earlierFailed(open, event.error));
+        deps.finish(open, earlierFailure(open, event.error));
       }
     };
 
   return {
     resume,
-    state,
+    reportState,
     localState,
-    followEarlier: async (open, earlier) => {
+    followEarlierRequest: async (open, earlier) => {
       await resume({
         kind: 'resume',
         id: earlier,
         organisation: open.organisation,
         fromSeq: 0,
         sideHint: '',
-        listener: copyTo(open),
+        listener: copyEventsTo(open),
       });
     },
   };
@@ -199,10 +218,11 @@
 }
 
 /**
- * The key was taken, so this request does not run. The earlier one's trace is
- * gone or cannot be reached: whether that one ran is not known.
+ * Turns the earlier request's error into the final event of the later one. If
+ * the earlier request cannot be found, it is unknown whether it ran; the later
+ * one does not run, because the key is taken.
  */
-function earlierFailed(open: OpenRequest, error: OnyxError) {
+function earlierFailure(open: OpenRequest, error: OnyxError) {
   if (error.code !== 'not-found') {
     return {kind: 'failed', error} as const;
   }
--- a/src/entry/routing/offer_call.ts
+++ b/src/entry/routing/send_offer.ts
@@ -1,6 +1,7 @@
 /**
- * One offer to one side, and what its answer says of the side. No go is sent
- * in here: whatever the side answers, or fails to, the offer has not run.
+ * Sends one offer to one side and reports what the answer shows about the side.
+ * This module sends no go, so an offer has not run, whether the side answers or
+ * not.
  */
 import type {OnyxError} from '../../types/errors.js';
 import type {DispatchId, Incarnation, NodeId} from '../../types/ids.js';
@@ -12,7 +13,7 @@
 import {REQUEST_EVENTS, ROUTING_EVENTS} from '../../utils/events.js';
 import {abandonDispatch} from '../run/abandon.js';
 import type {OpenRequest} from '../open_request.js';
-import type {NotAccepted, Refusal} from './refusals.js';
+import type {OfferFailureReason, Refusal} from './refusals.js';
 import type {Router} from './router.js';
 import type {RequestTiming} from '../timing.js';
 
@@ -21,13 +22,13 @@
   readonly timing: RequestTiming;
   readonly node: NodeId;
   readonly router: Router;
-  readonly tellMembership: (message: MembershipMessage) => void;
+  readonly sendToMembership: (message: MembershipMessage) => void;
 }
 
-/** What is offered to one side. */
+/** The terms of an offer to one side. */
 export interface OfferTerms {
   readonly candidate: RankedTarget;
-  /** Incarnation that the offer is meant for. */
+  /** Incarnation of the side that the offer is meant for. */
   readonly incarnation: Incarnation;
   /** 0 is the most urgent. */
   readonly priority: number;
@@ -41,55 +42,57 @@
   readonly dispatchId: DispatchId;
   readonly incarnation: Incarnation;
   readonly predictedFirstTokenMs: number;
-  /** It lapses after this long without a go. */
+  /** Time in milliseconds after which the reservation lapses without a go. */
   readonly lapseMs: number;
 }
 
-export interface OfferNotAccepted extends Refusal {
+export interface RefusedOffer extends Refusal {
   readonly kind: 'refused';
-  /** Set when another incarnation of the side may take the request. */
+  /** Set when another incarnation of the side may accept the request. */
   readonly incarnation?: Incarnation;
 }
 
-export type OfferAnswer = AcceptedOffer | OfferNotAccepted;
+export type OfferResult = AcceptedOffer | RefusedOffer;
 
-/** Refusals that say something of the side itself. */
-const EVIDENCE: {
-  readonly [reason in NotAccepted]?: 'leaving' | 'incarnation';
+/**
+ * Refusal reasons that are evidence about the side itself, for the membership.
+ */
+const EVIDENCE_BY_REASON: {
+  readonly [reason in OfferFailureReason]?: 'leaving' | 'incarnation';
 } = {leaving: 'leaving', incarnation: 'incarnation'};
 
-/** Takes the next attempt number of the request. */
+/** Sends an offer under the request's next attempt number. */
 export async function sendOffer(
   deps: OfferDeps,
   open: OpenRequest,
   spec: RequestSpec,
   terms: OfferTerms,
-): Promise<OfferAnswer> {
+): Promise<OfferResult> {
   const side = terms.candidate.target.replica.address;
-  open.attempts++;
-  const dispatchId = `${spec.id}.${open.attempts}`;
-  deps.router.assigned(spec, side, dispatchId);
-  const req = offerOf(deps, spec, dispatchId, terms);
+  open.lastAttempt++;
+  const dispatchId = `${spec.id}.${open.lastAttempt}`;
+  deps.router.recordAssignment(spec, side, dispatchId);
+  const req = buildOffer(deps, spec, dispatchId, terms);
   const waitMs = Math.min(deps.timing.offerTimeoutMs, req.timeLeftMs);
   const res = await deps.transport.call(side, 'offer', req, waitMs);
-  return res.caseOf<OfferAnswer>({
+  return res.caseOf<OfferResult>({
     Left: err => {
-      noAnswer(deps, terms, dispatchId, err);
+      handleNoAnswer(deps, terms, dispatchId, err);
       return {kind: 'refused', side, reason: 'unanswered', retryAfterMs: 0};
     },
-    Right: answer => judge(deps, spec, terms, dispatchId, answer),
+    Right: answer => handleAnswer(deps, spec, terms, dispatchId, answer),
   });
 }
 
-/** Frees the reservation of an accepted offer that is not wanted any more. */
+/** Releases the reservation of an accepted offer that is no longer needed. */
 export function withdrawOffer(deps: OfferDeps, offer: AcceptedOffer): void {
   const {dispatchId, incarnation} = offer;
   const side = offer.ranked.target.replica.address;
-  deps.router.refused(side, dispatchId);
+  deps.router.removeAssignment(side, dispatchId);
   void abandonDispatch(deps, {side, dispatchId, incarnation});
 }
 
-function noAnswer(
+function handleNoAnswer(
   deps: OfferDeps,
   terms: OfferTerms,
   dispatchId: DispatchId,
@@ -97,40 +100,40 @@
 ): void {
   const {incarnation} = terms;
   const side = terms.candidate.target.replica.address;
-  deps.router.refused(side, dispatchId);
+  deps.router.removeAssignment(side, dispatchId);
   deps.log(REQUEST_EVENTS.offerUnanswered, {
     dispatchId,
     side,
     cause: err.message,
   });
-  // A handler that failed has answered, after all.
+  // After an error of the side's handler the side is reachable.
   if (err.code !== 'internal') {
-    deps.tellMembership({
+    deps.sendToMembership({
       kind: 'evidence',
       address: side,
       what: 'unreachable',
       incarnation,
     });
   }
-  // The offer may have been accepted unseen, or may still be on its way: the
-  // tombstone frees the reservation and stops a late copy.
+  // The side may have accepted the offer, or the offer may still be on its way.
+  // The tombstone releases the reservation and stops a late copy.
   void abandonDispatch(deps, {side, dispatchId, incarnation});
 }
 
-function judge(
+function handleAnswer(
   deps: OfferDeps,
   spec: RequestSpec,
   terms: OfferTerms,
   dispatchId: DispatchId,
   answer: OfferRes,
-): OfferAnswer {
+): OfferResult {
   const {candidate} = terms;
   if (answer.kind === 'accepted') {
     return {...answer, ranked: candidate, dispatchId};
   }
   const {reason, incarnation, retryAfterMs} = answer;
   const side = candidate.target.replica.address;
-  deps.router.refused(side, dispatchId);
+  deps.router.removeAssignment(side, dispatchId);
   deps.metrics.count('onyxloft_offer_refusals_total', {reason});
   deps.log(ROUTING_EVENTS.refused, {
     requestId: spec.id,
@@ -139,21 +142,22 @@
     reason,
     retryAfterMs,
   });
-  const what = EVIDENCE[reason];
+  const what = EVIDENCE_BY_REASON[reason];
   if (what !== undefined) {
-    deps.tellMembership({kind: 'evidence', address: side, what, incarnation});
+    deps.sendToMembership({kind: 'evidence', address: side, what, incarnation});
   }
-  const renewed = reason === 'incarnation' && incarnation !== terms.incarnation;
+  const wasRestarted =
+    reason === 'incarnation' && incarnation !== terms.incarnation;
   return {
     kind: 'refused',
     side,
     reason,
     retryAfterMs,
-    incarnation: renewed ? incarnation : undefined,
+    incarnation: wasRestarted ? incarnation : undefined,
   };
 }
 
-function offerOf(
+function buildOffer(
   deps: OfferDeps,
   spec: RequestSpec,
   dispatchId: DispatchId,
--- a/src/entry/run/attempt.ts
+++ b/src/entry/run/attempt.ts
@@ -1,7 +1,7 @@
 /**
- * One attempt: a dispatch on one side from its go (or attach) to its end. It
- * lets only checked chunks through, resumes on new connections, and at the
- * end says what is known of whether the work ran.
+ * One attempt: a dispatch on one side, from its go or attach to its end. It
+ * passes on only verified chunks, reconnects when a connection fails, and at
+ * the end reports whether the work ran, as far as is known.
  */
 import type {Ran} from '../../types/errors.js';
 import type {
@@ -23,28 +23,29 @@
 import type {Transport} from '../../types/transport.js';
 import {REQUEST_EVENTS} from '../../utils/events.js';
 import {abandonDispatch} from './abandon.js';
-import {createAnswerCheck} from './answer_check.js';
+import {createAnswerVerifier} from './answer_verifier.js';
 import type {AnswerLog} from './answer_log.js';
 import {sendPrompt} from './prompt_sender.js';
 import {openRunLink} from './run_link.js';
 import type {LinkLoss, RunLink} from './run_link.js';
 import type {RequestTiming} from '../timing.js';
 
-/** Chunks between acknowledgements. */
-const ACK_EVERY = 32;
+/** Number of chunks between acknowledgements. */
+const ACK_INTERVAL_CHUNKS = 32;
 /**
- * Acknowledgements lag so far behind: a caller that resumes at another entry
- * after this one died may lack chunks which this one had sent to its socket.
+ * Number of chunks by which acknowledgements lag behind. When this entry dies,
+ * chunks that it wrote to the caller's socket may be lost. A caller that
+ * resumes at another entry can still get them from the side.
  */
-const ACK_LAG = 256;
+const ACK_LAG_CHUNKS = 256;
 
 export type AttemptOutcome =
   | {readonly kind: 'end'; readonly end: RunEnd}
-  /** As the side itself says. */
+  /** The side reported the failure. */
   | {readonly kind: 'failed'; readonly failed: RunFailed}
-  /** The side did not answer; `ran` is what the evidence allows to say. */
+  /** The side did not answer. `ran` is what the evidence shows. */
   | {readonly kind: 'lost'; readonly ran: Ran; readonly reason: string}
-  /** All chunks came, but they are not the bytes that the side sent. */
+  /** All chunks arrived, but count or digest differ from what the side sent. */
   | {readonly kind: 'changed'}
   | {readonly kind: 'stopped'};
 
@@ -59,17 +60,19 @@
   readonly dispatchId: DispatchId;
   readonly incarnation: Incarnation;
   readonly organisation: OrganisationId;
-  /** Left out to take up a run that goes on already. */
+  /**
+   * The work to start; undefined to attach to a run that is already under way.
+   */
   readonly go?: {
     readonly body: Body;
     readonly call: CallHead | undefined;
-    /** On this process's clock. */
+    /** On this process's clock, in milliseconds. */
     readonly deadlineAt: number;
   };
-  readonly answer: AnswerLog;
-  /** The run was handed to the upstream. */
+  readonly answerLog: AnswerLog;
+  /** Called when the side has handed the run to the upstream. */
   readonly onStarted?: () => void;
-  /** Direct evidence about the side, for the membership. */
+  /** Called with direct evidence about the side, for the membership. */
   readonly onEvidence: (
     what: 'unreachable' | 'incarnation' | 'answered',
     incarnation: Incarnation,
@@ -78,42 +81,47 @@
 
 export interface Attempt {
   readonly outcome: Promise<AttemptOutcome>;
-  /** What is known now of whether the work ran. */
+  /** Whether the work ran, as far as is known now. */
   ran(): Ran;
-  /** Cancels the run at the side and resolves as `stopped`. */
+  /** Cancels the run at the side; the outcome is `stopped`. */
   stop(): void;
-  /** Cancels it, and resolves as `lost` with what the side says of it. */
+  /**
+   * Cancels the run; the outcome is `lost`, with `ran` as the side reports it.
+   */
   abandon(reason: string): void;
 }
 
 /** Starts the attempt at once. */
 export function startAttempt(deps: AttemptDeps, spec: AttemptSpec): Attempt {
   const {clock, timing} = deps;
-  const check = createAnswerCheck(spec.dispatchId, spec.answer.nextSeq());
+  const verifier = createAnswerVerifier(
+    spec.dispatchId,
+    spec.answerLog.nextSeq(),
+  );
   let link: RunLink | undefined;
-  let relinkTimer: Cancel = () => undefined;
-  let renewals = 0;
+  let cancelReconnect: Cancel = () => undefined;
+  let reconnects = 0;
   let promptSent = spec.go === undefined;
   let started = false;
   let linkOpenedAt = clock.now();
-  let linkHeard = false;
-  let heardOnce = false;
-  let endRefetched = false;
+  let linkReceivedFrame = false;
+  let receivedFrame = false;
+  let endFetchedAgain = false;
   let settled = false;
-  let settle: (outcome: AttemptOutcome) => void = () => undefined;
+  let resolveOutcome: (outcome: AttemptOutcome) => void = () => undefined;
   const outcome = new Promise<AttemptOutcome>(resolve => {
-    settle = resolve;
+    resolveOutcome = resolve;
   });
 
   const finish = (result: AttemptOutcome) => {
     if (settled) return;
     settled = true;
-    relinkTimer();
+    cancelReconnect();
     link?.close();
-    settle(result);
+    resolveOutcome(result);
   };
 
-  const drop = (reason: string, frame: RunDown) => {
+  const dropFrame = (reason: string, frame: RunDown) => {
     deps.metrics.count('onyxloft_dropped_frames_total', {reason});
     deps.log(REQUEST_EVENTS.frameDropped, {
       dispatchId: spec.dispatchId,
@@ -124,46 +132,46 @@
   };
 
   const onChunk = (chunk: Chunk) => {
-    const verdict = check.chunk(chunk);
-    if (verdict !== 'next') {
-      drop(verdict, chunk);
-      if (verdict === 'gap') renew('gap');
+    const status = verifier.checkChunk(chunk);
+    if (status !== 'next') {
+      dropFrame(status, chunk);
+      if (status === 'gap') reconnect('gap');
       return;
     }
     started = true;
-    renewals = 0;
-    spec.answer.append({
+    reconnects = 0;
+    spec.answerLog.append({
       kind: 'chunk',
       seq: chunk.seq,
       data: chunk.data,
       tokens: chunk.tokens,
       callHead: chunk.callHead,
     });
-    const ackable = check.nextSeq() - ACK_LAG;
-    if (ackable > 0 && ackable % ACK_EVERY === 0) {
-      void link?.send({kind: 'ack', nextSeq: ackable});
+    const ackSeq = verifier.nextSeq() - ACK_LAG_CHUNKS;
+    if (ackSeq > 0 && ackSeq % ACK_INTERVAL_CHUNKS === 0) {
+      void link?.send({kind: 'ack', nextSeq: ackSeq});
     }
   };
 
   const onEnd = (end: RunEnd) => {
-    const verdict = check.end(end);
-    if (verdict === 'whole') {
+    const status = verifier.checkEnd(end);
+    if (status === 'whole') {
       void link?.send({kind: 'ack', nextSeq: end.count});
       finish({kind: 'end', end});
       return;
     }
-    drop(verdict, end);
-    if (verdict === 'short') renew('short');
-    if (verdict !== 'changed') return;
-    // The end frame itself may be the damaged one: fetched again once.
-    if (endRefetched) finish({kind: 'changed'});
-    endRefetched = true;
-    renew('changed');
+    dropFrame(status, end);
+    if (status === 'short') reconnect('short');
+    if (status !== 'changed') return;
+    // The end frame itself may be damaged, so it is fetched again once.
+    if (endFetchedAgain) finish({kind: 'changed'});
+    endFetchedAgain = true;
+    reconnect('changed');
   };
 
   const onFrame = (frame: RunDown) => {
-    linkHeard = true;
-    heardOnce = true;
+    linkReceivedFrame = true;
+    receivedFrame = true;
     switch (frame.kind) {
       case 'started':
         started = true;
@@ -176,7 +184,7 @@
         onEnd(frame);
         return;
       case 'failed':
-        if (frame.dispatchId !== spec.dispatchId) drop('foreign', frame);
+        if (frame.dispatchId !== spec.dispatchId) dropFrame('foreign', frame);
         else finish({kind: 'failed', failed: frame});
         return;
       case 'beat':
@@ -184,33 +192,34 @@
     }
   };
 
-  const open = (fresh: boolean): RunLink => {
+  const openLink = (newConnection: boolean): RunLink => {
     linkOpenedAt = clock.now();
-    linkHeard = false;
+    linkReceivedFrame = false;
     return openRunLink({
       transport: deps.transport,
       clock,
       timing,
       side: spec.side,
-      fresh,
+      newConnection,
       onFrame,
       onLost: onLinkLost,
     });
   };
 
   const onLinkLost = (loss: LinkLoss) => {
-    if (!settled) renew(loss);
+    if (!settled) reconnect(loss);
   };
 
-  /** Takes the run up on a new connection, from the next chunk. */
-  const renew = (reason: string) => {
+  /** Attaches to the run over a new connection, from the next chunk on. */
+  const reconnect = (reason: string) => {
     if (settled) return;
     link?.close();
-    relinkTimer();
-    if (linkWasSound()) renewals = 0;
-    renewals++;
-    // A prompt cut short cannot be taken up; the side's answer decides.
-    if (!promptSent || renewals > timing.attachTries) {
+    cancelReconnect();
+    if (linkWorked()) reconnects = 0;
+    reconnects++;
+    // A run whose prompt was not fully sent cannot be resumed. The side's
+    // answer to the abandon call decides the outcome.
+    if (!promptSent || reconnects > timing.maxReconnects) {
       void giveUp(reason);
       return;
     }
@@ -218,32 +227,39 @@
       dispatchId: spec.dispatchId,
       side: spec.side,
       reason,
-      fromSeq: check.nextSeq(),
-      renewal: renewals,
+      fromSeq: verifier.nextSeq(),
+      renewal: reconnects,
     });
     deps.metrics.count('onyxloft_channel_renewals_total', {reason});
-    relinkTimer = clock.after(renewPauseMs(), attach);
+    cancelReconnect = clock.after(reconnectDelayMs(), attach);
   };
 
-  /** A long prefill may well outlive several connections. */
-  const linkWasSound = () =>
-    linkHeard && clock.now() - linkOpenedAt > 2 * timing.silenceMs;
+  /**
+   * True when the last connection worked for some time. Such a connection does
+   * not count towards `maxReconnects`, because a long prefill may outlast
+   * several connections.
+   */
+  const linkWorked = () =>
+    linkReceivedFrame &&
+    clock.now() - linkOpenedAt > 2 * timing.silenceTimeoutMs;
 
-  const renewPauseMs = () =>
-    renewals <= 1
+  const reconnectDelayMs = () =>
+    reconnects <= 1
       ? 0
-      : timing.retryPauseMs * 2 ** (renewals - 2) * (0.5 + deps.random.next());
+      : timing.retryBackoffMs *
+        2 ** (reconnects - 2) *
+        (0.5 + deps.random.next());
 
   const attach = () => {
     if (settled) return;
-    link = open(renewals > 0);
+    link = openLink(reconnects > 0);
     void link.send({
       kind: 'attach',
       dispatchId: spec.dispatchId,
       organisation: spec.organisation,
       entry: deps.node,
-      fromSeq: check.nextSeq(),
-      takeOver: spec.go === undefined && !heardOnce,
+      fromSeq: verifier.nextSeq(),
+      takeOver: spec.go === undefined && !receivedFrame,
     });
   };
 
@@ -261,8 +277,8 @@
     });
   };
 
-  const begin = async (go: NonNullable<AttemptSpec['go']>) => {
-    link = open(false);
+  const sendGo = async (go: NonNullable<AttemptSpec['go']>) => {
+    link = openLink(false);
     const first = link;
     await first.send({
       kind: 'go',
@@ -271,21 +287,21 @@
       timeLeftMs: Math.max(0, go.deadlineAt - clock.now()),
       call: go.call,
     });
-    if (first.closed()) return;
+    if (first.isClosed()) return;
     promptSent = await sendPrompt(first, go.body);
   };
 
   const stop = () => {
     if (settled) return;
     void link?.send({kind: 'cancel'});
-    // The cancel frame is lost on a silent connection: the call goes on one
-    // of its own, else the run would hold the engine's memory until its lease.
+    // The cancel frame is lost on a silent connection. Without this separate
+    // call, the run would hold the engine's memory until its lease expires.
     void abandonDispatch(deps, spec);
     finish({kind: 'stopped'});
   };
 
   if (spec.go === undefined) attach();
-  else void begin(spec.go);
+  else void sendGo(spec.go);
 
   return {
     outcome,
@@ -294,7 +310,7 @@
     abandon: reason => {
       if (settled) return;
       link?.close();
-      relinkTimer();
+      cancelReconnect();
       void giveUp(reason);
     },
   };
--- a/src/entry/run/answer_link.ts
+++ b/src/entry/run/caller_link.ts
@@ -1,6 +1,7 @@
 /**
- * Joins a request to its caller's connection. Whatever happens to either, the
- * caller gets one final answer at most and the run is not left behind.
+ * Connects a request to its caller's HTTP connection. Whatever happens to
+ * either of them, the caller gets at most one final answer and the run is not
+ * left running without a caller.
  */
 import type {ServerResponse} from 'node:http';
 import {OnyxError} from '../../types/errors.js';
@@ -9,59 +10,77 @@
 import type {RequestEvent, RequestListener} from '../../types/services.js';
 import {FRONT_EVENTS} from '../../utils/events.js';
 import type {ResponseWriter} from '../front/response_writers.js';
-import {asOnyxError} from '../faults.js';
+import {toOnyxError} from '../entry_errors.js';
 
 /** How a request ended for its caller. */
-export type Outcome =
+export type CallerOutcome =
   'complete' | 'refused' | 'failed' | 'cancelled' | 'superseded';
 
-export interface LinkOptions {
+export interface CallerLinkOptions {
   readonly id: RequestId;
   readonly res: ServerResponse;
   readonly writer: ResponseWriter;
-  /** First chunk wanted. */
+  /** Sequence number of the first chunk wanted. */
   readonly fromSeq: number;
-  /** On this process's clock; undefined when another entry admitted it. */
+  /**
+   * On this process's clock, in milliseconds; undefined when another entry
+   * admitted the request.
+   */
   readonly deadlineAt: number | undefined;
-  readonly timing: LinkTiming;
-  /** Most of an answer that may wait for a slow caller, in bytes. */
-  readonly maxAnswerBytes: number;
-  /** Ends the run. */
+  readonly timing: CallerLinkTiming;
+  /**
+   * Maximum number of response bytes waiting to be sent. Beyond it, the
+   * connection of the slow caller is closed.
+   */
+  readonly maxUnsentResponseBytes: number;
+  /** Cancels the run. */
   readonly cancelRun: () => void;
   readonly onFirstChunk: () => void;
   /** Called once, with the error if there was one. */
-  readonly onEnd: (outcome: Outcome, error?: OnyxError) => void;
+  readonly onEnd: (outcome: CallerOutcome, error?: OnyxError) => void;
 }
 
-export interface LinkTiming {
-  /** Period of beats on a quiet stream. */
+export interface CallerLinkTiming {
+  /** Interval between keep-alive messages to the caller, in milliseconds. */
   readonly keepAliveIntervalMs: number;
-  /** How long a caller that left may come back before its run is cancelled. */
+  /**
+   * How long a disconnected caller may take to come back before its run is
+   * cancelled, in milliseconds.
+   */
   readonly disconnectGraceMs: number;
-  /** How long after the deadline the front answers in the request's stead. */
+  /**
+   * How long after the deadline the link itself ends the request, in
+   * milliseconds.
+   */
   readonly deadlineGraceMs: number;
 }
 
-export interface Link {
+export interface CallerLink {
   readonly listener: RequestListener;
-  /** Another connection of the caller takes over. */
+  /** Ends this link because another connection of the caller replaces it. */
   supersede(): void;
-  /** The process or service ends. */
+  /** Ends this link and cancels the run because the process or service ends. */
   drop(): void;
 }
 
-/** `left`: the caller is gone, and the run waits for it to come back. */
+/** `left`: the caller disconnected, and the run waits for it to come back. */
 type LinkState = 'open' | 'left' | 'ended';
 
-/** Joins them; the listener is to be handed to `requests`. */
-export function createLink(runtime: Runtime, options: LinkOptions): Link {
-  const {id, res, writer: answer, timing} = options;
+/**
+ * Creates the link. The caller of this function passes the link's listener to
+ * the `requests` service.
+ */
+export function createCallerLink(
+  runtime: Runtime,
+  options: CallerLinkOptions,
+): CallerLink {
+  const {id, res, writer, timing} = options;
   const timers: Cancel[] = [];
   let state: LinkState = 'open';
   let nextSeq = options.fromSeq;
-  let begun = false;
+  let firstChunkReported = false;
 
-  const settle = (outcome: Outcome, error?: OnyxError) => {
+  const settle = (outcome: CallerOutcome, error?: OnyxError) => {
     if (state === 'ended') return;
     state = 'ended';
     for (const cancel of timers) cancel();
@@ -70,42 +89,48 @@
 
   const fail = (error: OnyxError) => {
     if (state === 'ended') return;
-    if (state === 'open') answer.fail(error);
+    if (state === 'open') writer.fail(error);
     settle(error.ran === 'no' ? 'refused' : 'failed', error);
   };
 
-  /** The front itself cannot go on: the run is of no use to anybody. */
+  /**
+   * Handles an error in the front end itself: it cannot continue, so the run is
+   * cancelled.
+   */
   const abort = (error: OnyxError) => {
     options.cancelRun();
     fail(error);
   };
 
   const onChunk = (event: Extract<RequestEvent, {kind: 'chunk'}>) => {
-    // A lost or doubled chunk would reach the caller as a text with a hole or
-    // a repetition that looks whole. Chunks are numbered, so both show here.
-    if (event.seq !== nextSeq) throw outOfOrder(id, event.seq, nextSeq);
+    // A lost or repeated chunk would give the caller a text with a gap or a
+    // repetition that looks complete. The sequence numbers show both.
+    if (event.seq !== nextSeq) throw sequenceError(id, event.seq, nextSeq);
     nextSeq += 1;
-    // After a restart chunk 0 comes once more.
-    if (event.seq === 0 && !begun) options.onFirstChunk();
-    begun = true;
-    answer.writeChunk(event);
-    checkBuffered();
+    // After the chunks were discarded, chunk 0 arrives a second time.
+    if (event.seq === 0 && !firstChunkReported) options.onFirstChunk();
+    firstChunkReported = true;
+    writer.writeChunk(event);
+    checkUnsentBytes();
   };
 
   const onRestart = () => {
-    answer.discardChunks();
+    writer.discardChunks();
     nextSeq = 0;
   };
 
   const onEnd = (event: Extract<RequestEvent, {kind: 'end'}>) => {
-    if (event.count !== nextSeq) throw outOfOrder(id, event.count, nextSeq);
-    answer.end(event);
+    if (event.count !== nextSeq) throw sequenceError(id, event.count, nextSeq);
+    writer.end(event);
     settle('complete');
   };
 
-  /** Nothing slows a run down, so a caller that does not read fills memory. */
-  const checkBuffered = () => {
-    if (res.writableLength <= options.maxAnswerBytes) return;
+  /**
+   * Closes the connection of a caller that does not read. Runs are not slowed
+   * down for their callers, so unsent chunks would fill the memory.
+   */
+  const checkUnsentBytes = () => {
+    if (res.writableLength <= options.maxUnsentResponseBytes) return;
     runtime.log(FRONT_EVENTS.callerSlow, {
       requestId: id,
       bufferedBytes: res.writableLength,
@@ -113,8 +138,8 @@
     res.destroy();
   };
 
-  const apply = (event: RequestEvent) => {
-    if (event.kind === 'placed') answer.setDispatch(event.dispatchId);
+  const handleEvent = (event: RequestEvent) => {
+    if (event.kind === 'placed') writer.setDispatch(event.dispatchId);
     else if (event.kind === 'chunk') onChunk(event);
     else if (event.kind === 'restarted') onRestart();
     else if (event.kind === 'end') onEnd(event);
@@ -128,17 +153,17 @@
       return;
     }
     try {
-      apply(event);
+      handleEvent(event);
     } catch (err) {
       if (!(err instanceof OnyxError)) {
         const cause = err instanceof Error ? err.stack : String(err);
         runtime.log(FRONT_EVENTS.frontFailed, {requestId: id, cause});
       }
-      abort(asOnyxError(err, 'answer'));
+      abort(toOnyxError(err, 'answer'));
     }
   };
 
-  const leave = () => {
+  const onCallerDisconnect = () => {
     if (state !== 'open') return;
     state = 'left';
     const graceMs = timing.disconnectGraceMs;
@@ -151,25 +176,26 @@
     );
   };
 
-  const guardDeadline = (deadlineAt: number) => {
-    // If the service that owns the request fails or loses it, nobody else
-    // would end the caller's wait: the promise of an end in time is kept here.
+  const watchDeadline = (deadlineAt: number) => {
+    // If the service that owns the request fails or loses it, nothing else
+    // would end the caller's wait. This timer keeps the promise that a request
+    // ends in time.
     const dueMs = deadlineAt - runtime.clock.now() + timing.deadlineGraceMs;
     const cancel = runtime.clock.after(dueMs, () => {
       const overdueMs = runtime.clock.now() - deadlineAt;
       runtime.log(FRONT_EVENTS.overdue, {requestId: id, overdueMs});
-      abort(overdue(id));
+      abort(deadlineExceeded(id));
     });
     timers.push(cancel);
   };
 
-  res.on('close', leave);
+  res.on('close', onCallerDisconnect);
   timers.push(
     runtime.clock.every(timing.keepAliveIntervalMs, () => {
-      if (state === 'open') answer.keepAlive();
+      if (state === 'open') writer.keepAlive();
     }),
   );
-  if (options.deadlineAt !== undefined) guardDeadline(options.deadlineAt);
+  if (options.deadlineAt !== undefined) watchDeadline(options.deadlineAt);
 
   return {
     listener,
@@ -188,17 +214,21 @@
   };
 }
 
-function outOfOrder(id: RequestId, seq: number, wanted: number): OnyxError {
+function sequenceError(
+  id: RequestId,
+  seq: number,
+  expected: number,
+): OnyxError {
   return new OnyxError({
     code: 'answer-incomplete',
     step: 'answer',
     requestId: id,
-    message: `the answer goes on at chunk ${seq} where ${wanted} was due`,
+    message: `the answer goes on at chunk ${seq} where ${expected} was due`,
     ran: 'yes',
   });
 }
 
-function overdue(id: RequestId): OnyxError {
+function deadlineExceeded(id: RequestId): OnyxError {
   return new OnyxError({
     code: 'deadline-exceeded',
     step: 'answer',
--- a/src/entry/run/first_token_metrics.ts
+++ b/src/entry/run/first_token_metrics.ts
@@ -1,59 +1,66 @@
 /**
- * Time to first token by length class, and how much slower short requests are
- * than they would be alone.
+ * Metrics of the time to first token by length class, and of how much slower
+ * short requests are than they would be alone.
  *
- * The time alone can't be measured while others run. It is estimated by the
- * least time to first token of the class over the last ten minutes: with
- * bursty load some request met an idle engine. The estimate is low rather than
- * high, so the slowdown shown is high rather than low.
+ * The time alone cannot be measured while other requests run. It is estimated
+ * as the minimum time to first token of the shortest class over the last ten
+ * minutes, because with bursty load some request finds an idle engine. The
+ * estimate tends to be low, so the slowdown shown tends to be high.
  */
 import type {Clock, Metrics} from '../../types/runtime.js';
 
+/** Time over which the minimum is taken, in milliseconds. */
 const WINDOW_MS = 10 * 60_000;
-const SLOT_MS = 60_000;
+/** Time covered by one bucket of the window, in milliseconds. */
+const BUCKET_MS = 60_000;
 
-interface Slot {
+/** Minimum time to first token within one part of the window. */
+interface MinimumBucket {
   readonly startsAt: number;
-  readonly leastMs: number;
+  readonly minMs: number;
 }
 
 export interface FirstTokenMetrics {
-  /** `shortest` tells whether this is the class of the shortest prompts. */
-  record(lengthClass: string, firstTokenMs: number, shortest: boolean): void;
+  /** `isShortestClass`: the request is in the class of the shortest prompts. */
+  record(
+    lengthClass: string,
+    firstTokenMs: number,
+    isShortestClass: boolean,
+  ): void;
 }
 
-/** Starts with an empty window. */
+/** Creates the metrics with an empty window. */
 export function createFirstTokenMetrics(
   metrics: Metrics,
   clock: Clock,
 ): FirstTokenMetrics {
-  let slots: readonly Slot[] = [];
+  let buckets: readonly MinimumBucket[] = [];
 
-  const note = (firstTokenMs: number) => {
+  const updateMinimum = (firstTokenMs: number) => {
     const now = clock.now();
-    const kept = slots.filter(slot => slot.startsAt > now - WINDOW_MS);
-    const last = kept.at(-1);
-    if (last === undefined || now - last.startsAt >= SLOT_MS) {
-      slots = [...kept, {startsAt: now, leastMs: firstTokenMs}];
+    const recent = buckets.filter(slot => slot.startsAt > now - WINDOW_MS);
+    const last = recent.at(-1);
+    if (last === undefined || now - last.startsAt >= BUCKET_MS) {
+      buckets = [...recent, {startsAt: now, minMs: firstTokenMs}];
       return;
     }
-    const leastMs = Math.min(last.leastMs, firstTokenMs);
-    slots = [...kept.slice(0, -1), {startsAt: last.startsAt, leastMs}];
+    const minMs = Math.min(last.minMs, firstTokenMs);
+    buckets = [...recent.slice(0, -1), {startsAt: last.startsAt, minMs}];
   };
 
   const record = (
     lengthClass: string,
     firstTokenMs: number,
-    shortest: boolean,
+    isShortestClass: boolean,
   ) => {
     metrics.observe(
       'onyxloft_first_token_ms',
       {length_class: lengthClass},
       firstTokenMs,
     );
-    if (!shortest) return;
-    note(firstTokenMs);
-    const aloneMs = Math.min(...slots.map(slot => slot.leastMs));
+    if (!isShortestClass) return;
+    updateMinimum(firstTokenMs);
+    const aloneMs = Math.min(...buckets.map(slot => slot.minMs));
     if (aloneMs <= 0) return;
     metrics.observe('onyxloft_short_slowdown', {}, firstTokenMs / aloneMs);
   };
--- a/test/entry_groups.test.ts
+++ b/test/entry_groups.test.ts
@@ -1,4 +1,7 @@
-/** Prompts over one engine's memory: several engines, all or none. */
+/**
+ * Prompts larger than one engine's memory: several engines are reserved, or
+ * none.
+ */
 import {describe, expect, it} from 'vitest';
 import {startEntry} from './support/entry_fixture.js';
 import type {EntryFixture} from './support/entry_fixture.js';
@@ -10,10 +13,16 @@
 } from './support/scripted_side.js';
 import type {SideScript} from './support/scripted_side.js';
 
-const LONG = {promptTokens: 1_000_000, maxTokens: 1_000, deadlineAt: 600_000};
+const LONG_PROMPT = {
+  promptTokens: 1_000_000,
+  maxTokens: 1_000,
+  deadlineAt: 600_000,
+};
 
-/** Leads answer; members say that they hold their memory, and beat. */
-const groupSide = (entry: () => EntryFixture): SideScript => ({
+/**
+ * Leads answer; members report that they hold their memory and send heartbeats.
+ */
+const groupSideScript = (entry: () => EntryFixture): SideScript => ({
   run: (side, run) => {
     const offer = offerOf(entry(), run.dispatchId);
     if (offer?.group?.lead === true) {
@@ -30,8 +39,8 @@
     .find(offer => offer.dispatchId === dispatchId);
 }
 
-/** Dispatches that no side was told to cancel or forget. */
-function heldAt(entry: EntryFixture): readonly string[] {
+/** Dispatches that no side was told to abandon. */
+function heldDispatches(entry: EntryFixture): readonly string[] {
   return entry.sides.flatMap(side =>
     side.offers
       .map(offer => offer.dispatchId)
@@ -39,11 +48,11 @@
   );
 }
 
-describe('a prompt over one engine’s memory', () => {
-  it('runs on the fewest engines and frees the members at its end', async () => {
-    const script = groupSide(() => entry);
+describe('a prompt larger than one engine’s memory', () => {
+  it('runs on the fewest engines and releases the members at its end', async () => {
+    const script = groupSideScript(() => entry);
     const entry = await startEntry({sides: [script, script, script, script]});
-    const caller = entry.submit(LONG);
+    const caller = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(5_000);
     expect(caller.text()).toBe('one two three');
     const offers = entry.sides.flatMap(side => side.offers);
@@ -54,25 +63,24 @@
     );
     expect(held).toBeGreaterThanOrEqual(1_001_000);
     const lead = offers.find(({group}) => group?.lead)?.dispatchId;
-    expect(heldAt(entry)).toEqual([lead]);
+    expect(heldDispatches(entry)).toEqual([lead]);
   });
 
-  // One engine of the group has no room for a while. What the others hold in
-  // the meantime is memory that nobody uses: it is given back before the next
-  // try, and the request runs when all three have room at once.
-  it('gives back what it holds while one engine refuses', async () => {
+  // While one engine has no room, memory held on the others is unused. It must
+  // be released before the next attempt.
+  it('releases its reservations while one engine refuses', async () => {
     let room = false;
     const entry = await startEntry({
       sides: [
-        groupSide(() => entry),
-        groupSide(() => entry),
+        groupSideScript(() => entry),
+        groupSideScript(() => entry),
         {
-          ...groupSide(() => entry),
+          ...groupSideScript(() => entry),
           offer: () => (room ? accepted(entry.sides[2]) : refused('full', 100)),
         },
       ],
     });
-    const caller = entry.submit(LONG);
+    const caller = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(3_000);
     const [first] = entry.sides;
     expect(first.offers.length).toBeGreaterThan(2);
@@ -83,14 +91,12 @@
     expect(caller.text()).toBe('one two three');
   });
 
-  // Two groups want the same three engines, each of which has room for one
-  // member. They rank the engines in opposite orders, and yet both reserve by
-  // address: the second meets the first at the first engine and holds nothing
-  // while it waits. Both end.
-  it('reserves in one order, so that two groups both end', async () => {
+  // Two groups that rank the same three engines in opposite orders could
+  // deadlock. Both reserve by address, so the second waits without holding any.
+  it('reserves in a fixed order, so that two groups both complete', async () => {
     const taken = new Set<string>();
     const reservedAt: string[] = [];
-    const one = (at: number): SideScript => ({
+    const sideWithRoomForOne = (at: number): SideScript => ({
       offer: () => {
         const side = entry.sides[at];
         if (taken.has(side.address)) return refused('full', 100);
@@ -113,49 +119,54 @@
         });
       },
     });
-    const entry = await startEntry({sides: [one(0), one(1), one(2)]});
-    const first = entry.submit(LONG);
+    const entry = await startEntry({
+      sides: [
+        sideWithRoomForOne(0),
+        sideWithRoomForOne(1),
+        sideWithRoomForOne(2),
+      ],
+    });
+    const first = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(1);
     const reversed = entry.sides.map((side, at) =>
       side.replica({freeTokens: 300_000 + at}),
     );
-    entry.view(reversed);
-    const second = entry.submit(LONG);
+    entry.setMembership(reversed);
+    const second = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(60_000);
     expect(first.text()).toBe('one two three');
     expect(second.text()).toBe('one two three');
     expect(reservedAt).toEqual(['s1', 's2', 's3', 's1', 's2', 's3']);
   });
 
-  // A member dies while the lead works. The lead cannot end without the memory
-  // that went, so the run is cancelled on all, at once, and gathered anew.
-  it('is cancelled on all when a member is lost, and run again', async () => {
-    const script = groupSide(() => entry);
+  // A member is lost while the lead runs. The lead cannot finish without its
+  // memory, so the run is cancelled on all and reserved anew.
+  it('is cancelled on all engines and run again when a member is lost', async () => {
+    const script = groupSideScript(() => entry);
     const entry = await startEntry({sides: [script, script, script, script]});
-    const caller = entry.submit(LONG);
+    const caller = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(500);
     const member = entry.sides.find(
       side =>
         side.goDispatches.length > 0 && side.offers[0].group?.lead === false,
     );
-    const before = heldAt(entry);
+    const before = heldDispatches(entry);
     entry.network.faults.down(member?.address ?? '');
-    entry.view(
+    entry.setMembership(
       entry.sides.filter(side => side !== member).map(side => side.replica()),
     );
     await entry.clock.runFor(10_000);
     expect(caller.text()).toBe('one two three');
-    const still = heldAt(entry).filter(id => before.includes(id));
+    const still = heldDispatches(entry).filter(id => before.includes(id));
     expect(still).toEqual([member?.offers[0].dispatchId]);
   });
 
-  // The caller cancelled at another entry, which has the sides end their parts.
-  // A member's part is told here first: as a lost member it would have the
-  // group gathered again for a request that nobody wants.
-  it('is not run again when a member was cancelled for the caller', async () => {
-    const script = groupSide(() => entry);
+  // The caller cancels at another entry and this entry hears it first from a
+  // member. Treated as a lost member, the group would be run again.
+  it('is not run again when the caller cancelled it at another entry', async () => {
+    const script = groupSideScript(() => entry);
     const entry = await startEntry({sides: [script, script, script]});
-    const caller = entry.submit(LONG);
+    const caller = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(500);
     const member = entry.sides
       .flatMap(({runs}) => [...runs.values()])
@@ -167,9 +178,9 @@
     expect(entry.sides.flatMap(side => side.goDispatches)).toHaveLength(3);
   });
 
-  it('fails at once when all engines together have not the room', async () => {
+  it('fails at once when all engines together lack the memory', async () => {
     const entry = await startEntry({sides: [{}, {}]});
-    const caller = entry.submit(LONG);
+    const caller = entry.submit(LONG_PROMPT);
     await entry.clock.runFor(50);
     expect(caller.final()).toMatchObject({
       error: {code: 'too-large', ran: 'no'},
--- a/test/retry_storm.test.ts
+++ b/test/retry_storm.test.ts
@@ -5,13 +5,13 @@
 
 const ENTRIES = 2;
 const ENGINES = 6;
-/** The default of the policy's `retryRatio`. */
+/** Default of the policy's `retryRatio`. */
 const RETRY_RATIO = 0.2;
-/** Retries that each entry may make at once after a quiet time. */
-const BURST = 10;
+/** Number of retries that each entry may make at once after a quiet period. */
+const RETRY_BURST = 10;
 const LATE_SLACK_MS = 50;
 
-const ASK: Ask = {
+const REQUEST: Ask = {
   kind: 'completion',
   organisation: 'prairie-sky',
   promptTokens: 4_000,
@@ -21,7 +21,10 @@
   priority: 1,
 };
 
-/** Runs by the engines' own counters; those handed to dead ones never ran. */
+/**
+ * Counts runs by the engines' own counters; runs sent to stopped engines never
+ * ran.
+ */
 function countRuns(fleet: MemoryFleet) {
   const runs = fleet.engines.flatMap(({model}) =>
     Object.entries(model.counts().runsStarted),
@@ -31,18 +34,19 @@
   return {attempts, requests: new Set(ids).size};
 }
 
-async function load(fleet: MemoryFleet, count: number): Promise<void> {
+async function submitRequests(
+  fleet: MemoryFleet,
+  count: number,
+): Promise<void> {
   for (let at = 0; at < count; at++) {
-    fleet.submit(at % ENTRIES, ASK);
+    fleet.submit(at % ENTRIES, REQUEST);
     await fleet.clock.runFor(5);
   }
 }
 
-test('half of the engines die under load and retries stay a share of the work', async () => {
-  // Three of six engines die with all that they were reading. Each of their
-  // runs could be tried again elsewhere, on engines that have twice the load
-  // already; these would fall behind, and more would be tried again. The budget
-  // lets through a share; the other callers are told at once.
+test('retries stay within their budget when half of the engines fail under load', async () => {
+  // Retries of the runs of three lost engines would overload the other three
+  // and so cause more retries. The budget must limit them to a share.
   const fleet = createMemoryFleet({
     seed: 1,
     entries: ENTRIES,
@@ -51,14 +55,14 @@
     failureDomains: ['hall-north', 'hall-south'],
   });
   await fleet.start();
-  await load(fleet, 300);
+  await submitRequests(fleet, 300);
   for (const engine of fleet.engines.slice(0, ENGINES / 2)) engine.kill();
-  await load(fleet, 40);
-  await fleet.clock.runFor(ASK.timeLimitMs + LATE_SLACK_MS);
+  await submitRequests(fleet, 40);
+  await fleet.clock.runFor(REQUEST.timeLimitMs + LATE_SLACK_MS);
   const {attempts, requests} = countRuns(fleet);
   expect(attempts).toBeGreaterThan(requests);
   expect(attempts).toBeLessThanOrEqual(
-    requests * (1 + RETRY_RATIO) + ENTRIES * BURST,
+    requests * (1 + RETRY_RATIO) + ENTRIES * RETRY_BURST,
   );
   for (const one of fleet.tracked) {
     expect(one.finals).toBe(1);
--- a/test/support/session_fleet.ts
+++ b/test/support/session_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * A small fleet for golden files: stand-in programs, and entries and sides
- * wired as the daemon wires them, with real HTTP and grpc, in the test's own
- * process so that their log events can be read.
+ * A small fleet for golden files. Stand-in programs run as processes of their
+ * own. Entries and sides are wired as in the daemon, with real HTTP and gRPC,
+ * but run in the test's process so that the test can read their log events.
  */
 import {createServer} from 'node:net';
 import type {AddressInfo} from 'node:net';
@@ -25,8 +25,8 @@
 const TOKEN = 'operators-token';
 const SALT = '00112233445566778899aabbccddeeff';
 const POLL_MS = 25;
-const TRIES = 800;
-/** Callers' keys by organisation. */
+const MAX_POLLS = 800;
+/** API keys of the callers, by organisation. */
 export const KEYS = {
   'prairie-sky': 'onyx_prairie',
   'ingufu-hamwe': 'onyx_ingufu',
@@ -40,17 +40,17 @@
 }
 
 export interface SessionFleet {
-  /** Callers' base URL of an entry. */
+  /** Base URL of an entry for callers. */
   url(entry: string): string;
-  /** Operators' base URL of an entry. */
+  /** Base URL of an entry for operators. */
   operators(entry: string): string;
   readonly operatorToken: string;
-  /** Events that name the request, process by process. */
+  /** Log events that name the request, grouped by process. */
   eventsOf(requestId: string): readonly string[];
   close(): Promise<void>;
 }
 
-async function freeAddress(): Promise<string> {
+async function findFreeAddress(): Promise<string> {
   const server = createServer();
   await new Promise<void>(done => server.listen(0, '127.0.0.1', done));
   const {port} = server.address() as AddressInfo;
@@ -58,12 +58,12 @@
   return `127.0.0.1:${port}`;
 }
 
-async function until(what: string, check: () => Promise<boolean>) {
-  for (let tries = 0; tries < TRIES; tries++) {
+async function waitUntil(what: string, check: () => Promise<boolean>) {
+  for (let tries = 0; tries < MAX_POLLS; tries++) {
     if (await check().catch(() => false)) return;
     await sleep(POLL_MS);
   }
-  throw new Error(`waited in vain: ${what}`);
+  throw new Error(`timed out waiting until ${what}`);
 }
 
 async function send(url: string, method: string, body: object) {
@@ -75,7 +75,7 @@
   if (!res.ok) throw new Error(`${url}: ${res.status} ${await res.text()}`);
 }
 
-/** Three entries, one engine, one plain service. */
+/** Starts three entries, one engine and one plain service. */
 export async function startSessionFleet(): Promise<SessionFleet> {
   const [objectApi, hostList, weightStore, engine, service] =
     (await Promise.all([
@@ -92,7 +92,7 @@
     ])) as [Program, Program, Program, Program, Program];
   const events: LoggedEvent[] = [];
   const wired: WiredProcess[] = [];
-  const listens = new Map<string, Readonly<Record<string, string>>>();
+  const listenAddresses = new Map<string, Readonly<Record<string, string>>>();
   const platform = {
     objectApi: objectApi.url,
     hostList: hostList.url,
@@ -120,10 +120,10 @@
   ) => {
     const listen = Object.fromEntries(
       await Promise.all(
-        names.map(async name => [name, await freeAddress()] as const),
+        names.map(async name => [name, await findFreeAddress()] as const),
       ),
     );
-    listens.set(node, listen);
+    listenAddresses.set(node, listen);
     const host = `host-${node}`;
     const failureDomain = 'hall-north';
     const settings = parseSettings(
@@ -176,20 +176,20 @@
   }
 
   const addressOf = (node: string, name: string) =>
-    `http://${listens.get(node)?.[name]}`;
+    `http://${listenAddresses.get(node)?.[name]}`;
   const operators = (entry: string) => addressOf(entry, 'operators');
   await applyDeclarations(operators('entry-1'));
-  await Promise.all(entries.map(entry => untilServing(operators(entry))));
+  await Promise.all(entries.map(entry => waitUntilServing(operators(entry))));
 
   return {
     url: entry => addressOf(entry, 'callers'),
     operators,
     operatorToken: TOKEN,
     eventsOf: requestId => {
-      const own = events.filter(({text}) => text.includes(requestId));
-      const nodes = [...new Set(own.map(({node}) => node))].sort();
+      const requestEvents = events.filter(({text}) => text.includes(requestId));
+      const nodes = [...new Set(requestEvents.map(({node}) => node))].sort();
       return nodes.flatMap(node =>
-        own
+        requestEvents
           .filter(event => event.node === node)
           .map(({line}) => `${node} ${line}`),
       );
@@ -210,8 +210,8 @@
   }));
   const shape = {...DEMO_SHAPE, engines: 1, services: 1};
   const keyed = toKeyed(demoDeclarations(shape, organisations));
-  const gone = {urgent: null, normal: null};
-  const priorityClasses = {...gone, ...keyed.priorityClasses};
+  const removedClasses = {urgent: null, normal: null};
+  const priorityClasses = {...removedClasses, ...keyed.priorityClasses};
   await send(`${operators}/operator/v1/config/patches`, 'POST', {
     patchId: 'first',
     base: 0,
@@ -220,10 +220,13 @@
   });
 }
 
-/** Ready, and both upstreams have reported what they can take. */
-function untilServing(operators: string): Promise<void> {
+/**
+ * Waits until the entry is ready, follows both replicas and the engine's model
+ * is ready.
+ */
+function waitUntilServing(operators: string): Promise<void> {
   const headers = {authorization: `Bearer ${TOKEN}`};
-  return until(`${operators} serves`, async () => {
+  return waitUntil(`${operators} serves`, async () => {
     const ready = await fetch(`${operators}/readyz`);
     if (!ready.ok) return false;
     const res = await fetch(`${operators}/operator/v1/hosts`, {headers});
