--- a/src/limits/admission.ts
+++ b/src/limits/admission.ts
@@ -10,9 +10,9 @@
 import type {ServiceContext} from '../types/kernel.js';
 import type {GrantReq, GrantRes} from '../types/peer_messages.js';
 import {LIMIT_EVENTS} from '../utils/events.js';
-import type {FleetView, Home} from './fleet_view.js';
-import {MIN_TTL_MS} from './home.js';
-import {allowanceOf, createShare} from './share.js';
+import type {FleetView, Home} from './entry_set.js';
+import {MIN_TTL_MS} from './home_ledger.js';
+import {allowanceOf, createShare} from './entry_share.js';
 
 /** After a refusal or a lost ask the next waits this part of a lifetime. */
 const PAUSE_DIVISOR = 4;
--- a/src/limits/limits.ts
+++ b/src/limits/limits.ts
@@ -29,10 +29,10 @@
 import type {Transport} from '../types/transport.js';
 import {createAdmission} from './admission.js';
 import type {Admission} from './admission.js';
-import {createFleetView} from './fleet_view.js';
-import type {FleetView, Home} from './fleet_view.js';
-import {MIN_TTL_MS, createHomeLedger} from './home.js';
-import type {HomeLedger} from './home.js';
+import {createFleetView} from './entry_set.js';
+import type {FleetView, Home} from './entry_set.js';
+import {MIN_TTL_MS, createHomeLedger} from './home_ledger.js';
+import type {HomeLedger} from './home_ledger.js';
 
 /** Longest wait for a home's answer. */
 const ASK_TIMEOUT_MS = 300;
--- a/src/membership/roster.ts
+++ b/src/membership/member_table.ts
@@ -15,7 +15,7 @@
   withListing,
 } from './member.js';
 import type {Member, MemberState} from './member.js';
-import {createGuards} from './guards.js';
+import {createGuards} from './assigned_sides.js';
 import {chooseSubset} from './subset.js';
 import type {MembershipTiming} from './timing.js';
 
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -33,9 +33,9 @@
   sideAnswered,
   unanswered,
   withEvidence,
-} from './observations.js';
-import type {Evidence} from './observations.js';
-import {createRoster} from './roster.js';
+} from './member_updates.js';
+import type {Evidence} from './member_updates.js';
+import {createRoster} from './member_table.js';
 import {createStateLog} from './state_log.js';
 import {DEFAULT_MEMBERSHIP_TIMING} from './timing.js';
 import type {MembershipTiming} from './timing.js';
--- a/src/membership/state_log.ts
+++ b/src/membership/state_log.ts
@@ -7,7 +7,7 @@
 import {MEMBERSHIP_EVENTS} from '../utils/events.js';
 import {isEntry} from './member.js';
 import type {Member, MemberState} from './member.js';
-import type {Roster} from './roster.js';
+import type {Roster} from './member_table.js';
 
 export interface StateLog {
   compare(roster: Roster): void;
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -27,8 +27,8 @@
 import type {Lease} from '../stores/lease.js';
 import {PLACEMENT_EVENTS} from '../utils/events.js';
 import {isLeaseCandidate} from './lease_candidates.js';
-import {createOrderBook} from './order_book.js';
-import type {OrderBook} from './order_book.js';
+import {createOrderBook} from './order_tracker.js';
+import type {OrderBook} from './order_tracker.js';
 import {createRoleMemory} from './plan_roles.js';
 import {DEFAULT_PLANNER_LIMITS} from './plan_types.js';
 import type {
@@ -40,8 +40,8 @@
 } from './plan_types.js';
 import {PLACER_LEASE_KEY} from './placement_lease.js';
 import {planPlacement} from './planner.js';
-import {createSurvey} from './survey.js';
-import type {Survey, SurveySelf} from './survey.js';
+import {createSurvey} from './side_poller.js';
+import type {Survey, SurveySelf} from './side_poller.js';
 
 const ORDER_ID_BYTES = 8;
 const LEASE_TTL_MS = 10_000;
--- a/test/limit_grants.test.ts
+++ b/test/limit_grants.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
-import {createHomeLedger} from '../src/limits/home.js';
-import type {HomeLimits} from '../src/limits/home.js';
-import {allowanceOf, createShare} from '../src/limits/share.js';
+import {createHomeLedger} from '../src/limits/home_ledger.js';
+import type {HomeLimits} from '../src/limits/home_ledger.js';
+import {allowanceOf, createShare} from '../src/limits/entry_share.js';
 import {createTestRuntime} from './support/test_runtime.js';
 
 const TTL_MS = 2_000;
