--- a/bench/placement_pacing.ts
+++ b/bench/placement_pacing.ts
@@ -16,7 +16,7 @@
     sides: ENGINES,
     bytesPerSec: BYTES_PER_SEC,
   });
-  await fleet.addPlacer({limits: {maxLoads, usefulLoadMs: LIMIT_MS}});
+  await fleet.addPlacer({limits: {maxLoads, targetLoadMs: LIMIT_MS}});
   fleet.declare(1, declareModel('1', {minReplicas: ENGINES}));
   const readyAt: number[] = [];
   let readyMs = 0;
--- a/src/limits/admission.ts
+++ b/src/limits/admission.ts
@@ -10,12 +10,12 @@
 import type {ServiceContext} from '../types/kernel.js';
 import type {GrantReq, GrantRes} from '../types/peer_messages.js';
 import {LIMIT_EVENTS} from '../utils/events.js';
-import type {FleetView, Home} from './entry_set.js';
+import type {EntrySet, Home} from './entry_set.js';
 import {MIN_TTL_MS} from './home_ledger.js';
-import {allowanceOf, createShare} from './entry_share.js';
+import {allowanceOf, createEntryShare} from './entry_share.js';
 
 /** After a refusal or a lost ask the next waits this part of a lifetime. */
-const PAUSE_DIVISOR = 4;
+const ASK_PAUSE_DIVISOR = 4;
 /** On a change of home, entries report within this, not all at once. */
 const REPORT_SPREAD_MS = 100;
 const MAX_RETRY_AFTER_MS = 10_000;
@@ -29,7 +29,7 @@
   readonly node: NodeId;
   readonly ctx: ServiceContext<'limits'>;
   readonly organisation: () => Organisation | undefined;
-  readonly fleet: () => FleetView;
+  readonly entries: () => EntrySet;
   /** Left: why there is no grant. */
   readonly askHome: (
     home: Home,
@@ -54,24 +54,24 @@
 
 /** Starts without a grant: the first request asks for one. */
 export function createAdmission(options: AdmissionOptions): Admission {
-  const {id, ctx, fleet} = options;
+  const {id, ctx, entries} = options;
   const {clock, metrics} = ctx;
-  const share = createShare(MIN_TTL_MS);
-  let home = fleet().homeOf(id);
+  const share = createEntryShare(MIN_TTL_MS);
+  let home = entries().homeOf(id);
   let waiters: readonly Waiter[] = [];
   let isAsking = false;
-  let isFallenBack = false;
+  let isFallbackActive = false;
   let nextAskAt = 0;
   let renewAt = clock.now() + share.ttlMs() / 2;
 
-  const showUse = (): void => {
+  const reportUsage = (): void => {
     const labels = {organisation: id};
     metrics.gauge('onyxloft_limit_places_used', labels, share.used());
   };
 
   const refusal = (tokens: number): OnyxError => {
-    const lack = share.lacks(tokens, clock.now());
-    const pauseMs = share.ttlMs() / PAUSE_DIVISOR;
+    const lack = share.lackFor(tokens, clock.now());
+    const pauseMs = share.ttlMs() / ASK_PAUSE_DIVISOR;
     const waitMs = Math.max(nextAskAt - clock.now(), pauseMs);
     metrics.count('onyxloft_limit_refusals_total', {organisation: id, lack});
     return new OnyxError({
@@ -92,96 +92,96 @@
       refused: refused.length,
       used: share.used(),
       home: home.address,
-      fallenBack: isFallenBack,
+      fallenBack: isFallbackActive,
     });
     for (const {tokens, reply} of refused) reply(Left(refusal(tokens)));
   };
 
   /** Admits those waiting as far as the share goes; the rest stays. */
-  const admit = (): void => {
+  const admitWaiters = (): void => {
     waiters = waiters.filter(({tokens, reply}) => {
-      const isIn = share.take(tokens, clock.now()) === 'none';
-      if (isIn) reply(Right(undefined));
-      return !isIn;
+      const isAdmitted = share.tryTake(tokens, clock.now()) === 'none';
+      if (isAdmitted) reply(Right(undefined));
+      return !isAdmitted;
     });
-    showUse();
+    reportUsage();
   };
 
-  const fallBack = (cause: string): void => {
+  const startFallback = (cause: string): void => {
     const organisation = options.organisation();
     if (organisation === undefined) return;
     const {maxRunning, tokensPerSec} = organisation;
-    const allowance = allowanceOf(maxRunning, tokensPerSec, fleet().size());
-    share.fallBack(allowance, clock.now());
-    if (isFallenBack) return;
-    isFallenBack = true;
+    const allowance = allowanceOf(maxRunning, tokensPerSec, entries().size());
+    share.setAllowance(allowance, clock.now());
+    if (isFallbackActive) return;
+    isFallbackActive = true;
     metrics.gauge('onyxloft_limit_fallback', {organisation: id}, 1);
     ctx.log(LIMIT_EVENTS.homeUnreachable, {
       organisation: id,
       home: home.address,
       cause,
-      places: allowance.places,
+      places: allowance.slots,
       tokensPerSec: allowance.tokensPerSec,
     });
   };
 
-  const comeBack = (): void => {
-    share.fallBack(undefined, clock.now());
-    if (!isFallenBack) return;
-    isFallenBack = false;
+  const endFallback = (): void => {
+    share.setAllowance(undefined, clock.now());
+    if (!isFallbackActive) return;
+    isFallbackActive = false;
     metrics.gauge('onyxloft_limit_fallback', {organisation: id}, 0);
     const fields = {organisation: id, home: home.address};
     ctx.log(LIMIT_EVENTS.homeBack, fields);
   };
 
-  const request = (): GrantReq => {
+  const createGrantReq = (): GrantReq => {
     const tokens = waiters.reduce((sum, waiter) => sum + waiter.tokens, 0);
-    const wants = share.wants(waiters.length, tokens, clock.now());
+    const demand = share.demand(waiters.length, tokens, clock.now());
     return {
       organisation: id,
       entry: options.node,
-      wantPlaces: wants.places,
-      wantTokens: wants.tokens,
+      wantPlaces: demand.slots,
+      wantTokens: demand.tokens,
       usedPlaces: share.used(),
     };
   };
 
   /** Asks the home for what those waiting at this moment need. */
-  const ask = async (): Promise<void> => {
-    const asked = home;
+  const requestGrant = async (): Promise<void> => {
+    const askedHome = home;
     const askedAt = clock.now();
-    const involved = new Set(waiters);
+    const included = new Set(waiters);
     isAsking = true;
     metrics.count('onyxloft_limit_asks_total', {organisation: id});
-    const outcome = await options.askHome(asked, request());
+    const outcome = await options.askHome(askedHome, createGrantReq());
     isAsking = false;
     outcome.caseOf({
-      Left: fallBack,
+      Left: startFallback,
       Right: grant => {
-        share.enter(grant, askedAt);
-        comeBack();
+        share.addGrant(grant, askedAt);
+        endFallback();
       },
     });
-    if (asked === home) renewAt = clock.now() + share.ttlMs() / 2;
-    admit();
-    const refused = waiters.filter(waiter => involved.has(waiter));
-    waiters = waiters.filter(waiter => !involved.has(waiter));
+    if (askedHome === home) renewAt = clock.now() + share.ttlMs() / 2;
+    admitWaiters();
+    const refused = waiters.filter(waiter => included.has(waiter));
+    waiters = waiters.filter(waiter => !included.has(waiter));
     // Asking again at once would get the same answer, at the home's cost.
     if (outcome.isLeft() || refused.length > 0) {
-      nextAskAt = clock.now() + share.ttlMs() / PAUSE_DIVISOR;
+      nextAskAt = clock.now() + share.ttlMs() / ASK_PAUSE_DIVISOR;
     }
     refuse(refused);
-    if (waiters.length > 0) seek();
+    if (waiters.length > 0) askOrRefuse();
   };
 
   /** Gets more for those waiting, or refuses them when it asked just now. */
-  const seek = (): void => {
+  const askOrRefuse = (): void => {
     if (isAsking) return;
     if (clock.now() >= nextAskAt) {
-      void ask().catch(ctx.fail);
+      void requestGrant().catch(ctx.fail);
       return;
     }
-    admit();
+    admitWaiters();
     const refused = waiters;
     waiters = [];
     refuse(refused);
@@ -190,26 +190,26 @@
   return {
     acquire: (tokens, reply) => {
       waiters = [...waiters, {tokens, reply}];
-      if (waiters.length === 1) admit();
-      if (waiters.length > 0) seek();
+      if (waiters.length === 1) admitWaiters();
+      if (waiters.length > 0) askOrRefuse();
     },
     release: () => {
       share.release();
-      showUse();
+      reportUsage();
     },
     renew: () => {
       const now = clock.now();
       if (isAsking || now < renewAt) return true;
       renewAt = now + share.ttlMs() / 2;
-      if (!share.endPeriod(now)) {
-        comeBack();
+      if (!share.endRenewalPeriod(now)) {
+        endFallback();
         return false;
       }
-      void ask().catch(ctx.fail);
+      void requestGrant().catch(ctx.fail);
       return true;
     },
     checkHome: () => {
-      const next = fleet().homeOf(id);
+      const next = entries().homeOf(id);
       if (next.address === home.address) return;
       const fields = {organisation: id, from: home.address, to: next.address};
       ctx.log(LIMIT_EVENTS.homeChanged, fields);
--- a/src/limits/entry_set.ts
+++ b/src/limits/entry_set.ts
@@ -16,36 +16,39 @@
 }
 
 /** The entries at one time, and the homes that follow from them. */
-export interface FleetView {
+export interface EntrySet {
   homeOf(organisation: OrganisationId): Home;
   /** Entries that are not known to be gone, this one included. */
   size(): number;
   /** Share of those that a home here can reach, over 0 up to 1. */
-  part(): number;
+  reachableShare(): number;
   /** False once an entry is known to be gone. */
   isPresent(entry: NodeId): boolean;
   /** When the entries that can be a home last changed. */
   readonly changedAt: number;
 }
 
-interface Candidate {
+interface HomeCandidate {
   readonly id: NodeId;
   readonly address: Address;
 }
 
-function sameNodes(a: readonly Candidate[], b: readonly Candidate[]): boolean {
+function haveSameNodes(
+  a: readonly HomeCandidate[],
+  b: readonly HomeCandidate[],
+): boolean {
   return (
     a.length === b.length && a.every((entry, index) => entry.id === b[index].id)
   );
 }
 
-class EntriesView implements FleetView {
+class RendezvousEntrySet implements EntrySet {
   private readonly homes = new Map<OrganisationId, Home>();
 
   constructor(
     private readonly self: Self,
-    readonly candidates: readonly Candidate[],
-    private readonly reached: number,
+    readonly candidates: readonly HomeCandidate[],
+    private readonly reachableCount: number,
     private readonly known: ReadonlySet<NodeId>,
     readonly changedAt: number,
   ) {}
@@ -64,8 +67,8 @@
     return this.known.size;
   }
 
-  part(): number {
-    return this.reached / this.known.size;
+  reachableShare(): number {
+    return this.reachableCount / this.known.size;
   }
 
   isPresent(entry: NodeId): boolean {
@@ -74,12 +77,12 @@
 }
 
 /** `before` is the view that this one takes the place of. */
-export function createFleetView(
+export function createEntrySet(
   self: Self,
   peers: readonly EntryPeer[],
   now: number,
-  before?: FleetView,
-): FleetView {
+  previous?: EntrySet,
+): EntrySet {
   const candidates = peers
     .filter(peer => peer.state === 'live' && peer.node !== self.node)
     .map(peer => ({id: peer.node, address: peer.address}))
@@ -88,14 +91,15 @@
   const known = peers.filter(
     peer => peer.state !== 'gone' && peer.node !== self.node,
   );
-  const reached = known.filter(peer => peer.state !== 'suspect');
+  const reachable = known.filter(peer => peer.state !== 'suspect');
   const isSame =
-    before instanceof EntriesView && sameNodes(before.candidates, candidates);
-  const changedAt = isSame ? before.changedAt : now;
-  return new EntriesView(
+    previous instanceof RendezvousEntrySet &&
+    haveSameNodes(previous.candidates, candidates);
+  const changedAt = isSame ? previous.changedAt : now;
+  return new RendezvousEntrySet(
     self,
     candidates,
-    reached.length + 1,
+    reachable.length + 1,
     new Set([self.node, ...known.map(peer => peer.node)]),
     changedAt,
   );
--- a/src/limits/entry_share.ts
+++ b/src/limits/entry_share.ts
@@ -12,7 +12,7 @@
 
 /** What an entry may use without the home. */
 export interface Allowance {
-  readonly places: number;
+  readonly slots: number;
   readonly tokensPerSec: number;
 }
 
@@ -27,19 +27,19 @@
 ): Allowance {
   const parts = ALLOWANCE_DIVISOR * Math.max(1, entries);
   return {
-    places: Math.max(1, Math.floor(maxRunning / parts)),
+    slots: Math.max(1, Math.floor(maxRunning / parts)),
     tokensPerSec: tokensPerSec / parts,
   };
 }
 
 interface TokenBatch {
   tokens: number;
-  readonly lapsesAt: number;
+  readonly expiresAt: number;
 }
 
 /** What an ask to the home should want. */
-export interface Wants {
-  readonly places: number;
+export interface Demand {
+  readonly slots: number;
   readonly tokens: number;
 }
 
@@ -47,29 +47,29 @@
 export type Lack = 'none' | 'places' | 'tokens';
 
 /** Places and tokens that this entry may give out, with what is in use. */
-export interface Share {
+export interface EntryShare {
   /** Takes a place and the tokens of a request, if there are. */
-  take(tokens: number, now: number): Lack;
+  tryTake(tokens: number, now: number): Lack;
   /** What a request of so many tokens lacks now. */
-  lacks(tokens: number, now: number): Lack;
+  lackFor(tokens: number, now: number): Lack;
   release(): void;
   used(): number;
   /** Enters a grant that was asked for at `askedAt`. */
-  enter(grant: GrantRes, askedAt: number): void;
+  addGrant(grant: GrantRes, askedAt: number): void;
   /** Stands in for the home until the next grant; undefined ends it. */
-  fallBack(allowance: Allowance | undefined, now: number): void;
+  setAllowance(allowance: Allowance | undefined, now: number): void;
   /** Needs of `waiting` requests of `waitingTokens`, with headroom. */
-  wants(waiting: number, waitingTokens: number, now: number): Wants;
+  demand(waiting: number, waitingTokens: number, now: number): Demand;
   /** Ends a renewal period; false when nothing was asked for in it. */
-  endPeriod(now: number): boolean;
+  endRenewalPeriod(now: number): boolean;
   /** Time to live of the last grant, in milliseconds. */
   ttlMs(): number;
 }
 
 /** Starts empty; `firstTtlMs` stands until the first grant. */
-export function createShare(firstTtlMs: number): Share {
-  let places = 0;
-  let placesLapseAt = 0;
+export function createEntryShare(firstTtlMs: number): EntryShare {
+  let grantedSlots = 0;
+  let slotsExpireAt = 0;
   let batches: readonly TokenBatch[] = [];
   let ttl = firstTtlMs;
   let used = 0;
@@ -78,32 +78,31 @@
   let allowanceTokens = 0;
   let allowanceFilledAt = 0;
 
-  let peakNow = 0;
-  let peakBefore = 0;
+  let peakUsed = 0;
+  let previousPeakUsed = 0;
   /** Tokens taken in this renewal period and the two before it. */
-  let takenNow = 0;
-  let takenBefore = 0;
-  let takenEarlier = 0;
-  let asked = false;
-
-  const placeLimit = (now: number): number => {
-    const granted = now < placesLapseAt ? places : 0;
-    return Math.max(granted, allowance?.places ?? 0);
+  let takenTokens = 0;
+  let previousTakenTokens = 0;
+  let earlierTakenTokens = 0;
+  let hasTried = false;
+
+  const slotLimit = (now: number): number => {
+    const granted = now < slotsExpireAt ? grantedSlots : 0;
+    return Math.max(granted, allowance?.slots ?? 0);
   };
 
   const grantedTokens = (now: number): number => {
-    batches = batches.filter(batch => batch.lapsesAt > now);
+    batches = batches.filter(batch => batch.expiresAt > now);
     return batches.reduce((sum, batch) => sum + batch.tokens, 0);
   };
 
-  const fillAllowance = (now: number): void => {
+  const refillAllowance = (now: number): void => {
     if (allowance === undefined) return;
-    const gathered =
-      ((now - allowanceFilledAt) / 1_000) * allowance.tokensPerSec;
+    const added = ((now - allowanceFilledAt) / 1_000) * allowance.tokensPerSec;
     allowanceFilledAt = now;
     // A second's worth at most, and at least one, so that it gets over 0.
-    const most = Math.max(1, allowance.tokensPerSec);
-    allowanceTokens = Math.min(most, allowanceTokens + gathered);
+    const cap = Math.max(1, allowance.tokensPerSec);
+    allowanceTokens = Math.min(cap, allowanceTokens + added);
   };
 
   /** Uses up the batches that lapse first. */
@@ -116,10 +115,10 @@
     }
   };
 
-  const lacks = (tokens: number, now: number): Lack => {
-    if (used >= placeLimit(now)) return 'places';
+  const lackFor = (tokens: number, now: number): Lack => {
+    if (used >= slotLimit(now)) return 'places';
     if (grantedTokens(now) >= tokens) return 'none';
-    fillAllowance(now);
+    refillAllowance(now);
     // As at the home: whole while over 0, then the debt is waited for.
     const isAllowed = allowance !== undefined && allowanceTokens > 0;
     return isAllowed ? 'none' : 'tokens';
@@ -131,59 +130,59 @@
   };
 
   return {
-    take: (tokens, now) => {
-      asked = true;
-      const lack = lacks(tokens, now);
+    tryTake: (tokens, now) => {
+      hasTried = true;
+      const lack = lackFor(tokens, now);
       if (lack !== 'none') return lack;
       takeTokens(tokens, now);
       used++;
-      peakNow = Math.max(peakNow, used);
-      takenNow += tokens;
+      peakUsed = Math.max(peakUsed, used);
+      takenTokens += tokens;
       return 'none';
     },
-    lacks,
+    lackFor,
     release: () => {
       used = Math.max(0, used - 1);
     },
     used: () => used,
-    enter: (grant, askedAt) => {
+    addGrant: (grant, askedAt) => {
       ttl = grant.ttlMs;
-      places = grant.places;
+      grantedSlots = grant.places;
       // Counted from the ask, so that it lapses here before it does there.
-      placesLapseAt = askedAt + grant.ttlMs;
+      slotsExpireAt = askedAt + grant.ttlMs;
       if (grant.tokens > 0) {
-        const batch = {tokens: grant.tokens, lapsesAt: placesLapseAt};
+        const batch = {tokens: grant.tokens, expiresAt: slotsExpireAt};
         batches = [...batches, batch];
       }
     },
-    fallBack: (next, now) => {
-      fillAllowance(now);
+    setAllowance: (next, now) => {
+      refillAllowance(now);
       if (allowance === undefined) {
         allowanceTokens = next?.tokensPerSec ?? 0;
         allowanceFilledAt = now;
       }
       allowance = next;
     },
-    wants: (waiting, waitingTokens, now) => {
-      const need = Math.max(used + waiting, peakNow, peakBefore);
+    demand: (waiting, waitingTokens, now) => {
+      const neededSlots = Math.max(used + waiting, peakUsed, previousPeakUsed);
       // The lesser of two periods: a single huge prompt foretells no other,
       // and tokens granted for one would only lapse.
-      const forecast = Math.min(takenBefore, takenEarlier);
-      const lacking = forecast + waitingTokens - grantedTokens(now);
+      const forecast = Math.min(previousTakenTokens, earlierTakenTokens);
+      const lackingTokens = forecast + waitingTokens - grantedTokens(now);
       return {
-        places: need + Math.ceil(need * HEADROOM),
-        tokens: Math.max(waitingTokens, Math.ceil(lacking), 0),
+        slots: neededSlots + Math.ceil(neededSlots * HEADROOM),
+        tokens: Math.max(waitingTokens, Math.ceil(lackingTokens), 0),
       };
     },
-    endPeriod: now => {
-      const wasAsked = asked || used > 0;
-      peakBefore = peakNow;
-      peakNow = used;
-      takenEarlier = takenBefore;
-      takenBefore = takenNow;
-      takenNow = 0;
-      asked = false;
-      return wasAsked || now < placesLapseAt;
+    endRenewalPeriod: now => {
+      const wasUsed = hasTried || used > 0;
+      previousPeakUsed = peakUsed;
+      peakUsed = used;
+      earlierTakenTokens = previousTakenTokens;
+      previousTakenTokens = takenTokens;
+      takenTokens = 0;
+      hasTried = false;
+      return wasUsed || now < slotsExpireAt;
     },
     ttlMs: () => ttl,
   };
--- a/src/limits/home_ledger.ts
+++ b/src/limits/home_ledger.ts
@@ -28,27 +28,27 @@
   readonly maxRunning: number;
   readonly tokensPerSec: number;
   /** Share of the entries that this home reaches, over 0 up to 1. */
-  readonly part: number;
+  readonly reachableShare: number;
   /** False once the entry, and what it ran, is known to be gone. */
   readonly isPresent: (entry: NodeId) => boolean;
 }
 
 /** Places that an entry may be using until they lapse. */
-interface Holding {
-  readonly places: number;
-  readonly lapsesAt: number;
+interface SlotGrant {
+  readonly slots: number;
+  readonly expiresAt: number;
 }
 
 interface EntryRecord {
-  readonly wanted: number;
+  readonly wantedSlots: number;
   /** Places in use, as it last told. */
-  readonly used: number;
+  readonly usedSlots: number;
   /**
    * Newest last, places falling. A smaller grant does not end a larger one
    * before its time: its answer may be lost, or the ask may have been an old
    * one that came late, and the entry goes by the larger one until it lapses.
    */
-  readonly holdings: readonly Holding[];
+  readonly grants: readonly SlotGrant[];
 }
 
 /** An organisation's grants, kept at its home entry. */
@@ -70,34 +70,36 @@
   readonly initialSec: number;
 }
 
-function heldBy(record: EntryRecord): number {
-  return record.holdings[0]?.places ?? 0;
+function grantedTo(record: EntryRecord): number {
+  return record.grants[0]?.slots ?? 0;
 }
 
 /**
  * An entry that was cut off goes on with the requests it had when its grant
  * lapsed. Forgotten here, their places would be granted a second time.
  */
-function heldOrUsedBy(record: EntryRecord): number {
-  return Math.max(heldBy(record), record.used);
+function grantedOrUsedBy(record: EntryRecord): number {
+  return Math.max(grantedTo(record), record.usedSlots);
 }
 
 /** An entry that is cut off gets nothing here, whatever it wanted. */
 function wantedBy(record: EntryRecord): number {
-  return record.holdings.length > 0 ? record.wanted : 0;
+  return record.grants.length > 0 ? record.wantedSlots : 0;
 }
 
-function unlapsed(record: EntryRecord, now: number): EntryRecord {
-  const holdings = record.holdings.filter(({lapsesAt}) => lapsesAt > now);
-  return {...record, holdings};
+function withoutExpired(record: EntryRecord, now: number): EntryRecord {
+  const grants = record.grants.filter(
+    ({expiresAt: lapsesAt}) => lapsesAt > now,
+  );
+  return {...record, grants};
 }
 
 /** Holdings with a new one, without those that it outlasts and covers. */
-function withHolding(
-  holdings: readonly Holding[],
-  next: Holding,
-): readonly Holding[] {
-  const larger = holdings.filter(({places}) => places > next.places);
+function withGrant(
+  grants: readonly SlotGrant[],
+  next: SlotGrant,
+): readonly SlotGrant[] {
+  const larger = grants.filter(({slots: places}) => places > next.slots);
   return [...larger, next];
 }
 
@@ -116,27 +118,27 @@
   let balance: number | undefined;
   let filledAt = options.now;
 
-  const forgetLapsed = (
+  const removeExpired = (
     now: number,
     isPresent: HomeLimits['isPresent'],
   ): void => {
     for (const [node, record] of entries) {
-      const left = unlapsed(record, now);
-      const isCutOff = left.used > 0 && isPresent(node);
-      if (left.holdings.length > 0 || isCutOff) entries.set(node, left);
+      const left = withoutExpired(record, now);
+      const isCutOff = left.usedSlots > 0 && isPresent(node);
+      if (left.grants.length > 0 || isCutOff) entries.set(node, left);
       else entries.delete(node);
     }
   };
 
   const ttlMs = (askers: number): number => {
-    const crowd = askers / ENTRIES_AT_MIN_TTL;
-    return Math.min(MAX_TTL_MS, MIN_TTL_MS * Math.max(1, crowd));
+    const ttlFactor = askers / ENTRIES_AT_MIN_TTL;
+    return Math.min(MAX_TTL_MS, MIN_TTL_MS * Math.max(1, ttlFactor));
   };
 
   /** Tokens that gather while nobody asks: those of a renewal period. */
   const burstSec = (): number => ttlMs(entries.size) / 2_000;
 
-  const fill = (tokensPerSec: number, now: number): number => {
+  const refill = (tokensPerSec: number, now: number): number => {
     const before = balance ?? 1 + tokensPerSec * options.initialSec;
     const gathered = ((now - filledAt) / 1_000) * tokensPerSec;
     filledAt = now;
@@ -150,30 +152,30 @@
   };
 
   /** Places that nobody holds, within this home's part of the limit. */
-  const freePlaces = ({maxRunning, part}: HomeLimits): number => {
-    const ownPart = Math.max(1, Math.floor(maxRunning * part));
+  const freeSlots = ({maxRunning, reachableShare}: HomeLimits): number => {
+    const ownLimit = Math.max(1, Math.floor(maxRunning * reachableShare));
     const free = Math.min(
-      ownPart - sumOf(heldBy),
-      maxRunning - sumOf(heldOrUsedBy),
+      ownLimit - sumOf(grantedTo),
+      maxRunning - sumOf(grantedOrUsedBy),
     );
     return Math.max(0, free);
   };
 
-  const grantPlaces = (req: GrantReq, limits: HomeLimits): number => {
+  const grantSlots = (req: GrantReq, limits: HomeLimits): number => {
     const allWanted = sumOf(wantedBy) + req.wantPlaces;
-    const limit = limits.maxRunning * limits.part;
+    const limit = limits.maxRunning * limits.reachableShare;
     const share = fairShare(req.wantPlaces, allWanted, limit);
     // Fewer than are in use makes the entry wait until enough have ended. As
     // many as are in use would let it fill each one that ends, and a limit
     // once exceeded would stay so for as long as the load lasts.
-    return Math.min(share, freePlaces(limits));
+    return Math.min(share, freeSlots(limits));
   };
 
-  const checkLimit = (req: GrantReq, places: number, limit: number): void => {
+  const checkLimit = (req: GrantReq, slots: number, limit: number): void => {
     const {organisation, entry} = req;
-    const others = sumOf(heldOrUsedBy);
-    const fields = {organisation, entry, places, others, limit};
-    const fits = places === 0 || others + places <= limit;
+    const others = sumOf(grantedOrUsedBy);
+    const fields = {organisation, entry, places: slots, others, limit};
+    const fits = slots === 0 || others + slots <= limit;
     invariant(fits, 'limit-grants-within-limit', fields);
   };
 
@@ -185,23 +187,27 @@
 
   return {
     grant: (req, limits, now) => {
-      forgetLapsed(now, limits.isPresent);
-      balance = fill(limits.tokensPerSec * limits.part, now);
-      const before = entries.get(req.entry)?.holdings ?? [];
+      removeExpired(now, limits.isPresent);
+      balance = refill(limits.tokensPerSec * limits.reachableShare, now);
+      const before = entries.get(req.entry)?.grants ?? [];
       entries.delete(req.entry);
-      const places = grantPlaces(req, limits);
-      checkLimit(req, places, limits.maxRunning);
+      const slots = grantSlots(req, limits);
+      checkLimit(req, slots, limits.maxRunning);
       const ttl = ttlMs(entries.size + 1);
-      const held = Math.max(places, req.usedPlaces);
-      const holding = {places: held, lapsesAt: now + ttl};
-      const holdings = withHolding(before, holding);
-      const used = req.usedPlaces;
-      entries.set(req.entry, {wanted: req.wantPlaces, used, holdings});
+      const heldSlots = Math.max(slots, req.usedPlaces);
+      const grant = {slots: heldSlots, expiresAt: now + ttl};
+      const grants = withGrant(before, grant);
+      const usedSlots = req.usedPlaces;
+      entries.set(req.entry, {
+        wantedSlots: req.wantPlaces,
+        usedSlots,
+        grants,
+      });
       const tokens = grantTokens(req.wantTokens);
-      return {places, tokens, ttlMs: ttl, home: true};
+      return {places: slots, tokens, ttlMs: ttl, home: true};
     },
     isIdle: (now, isPresent) => {
-      forgetLapsed(now, isPresent);
+      removeExpired(now, isPresent);
       return entries.size === 0;
     },
   };
--- a/src/limits/limits.ts
+++ b/src/limits/limits.ts
@@ -13,7 +13,7 @@
  * places that the entry last said were in use until the entry is known to be
  * gone. Entries that it can't reach and that are not known to be gone may be
  * served by another home, so it grants only its part of the limit; two halves
- * of a fleet that are cut off from each other grant the limit between them,
+ * of a entries that are cut off from each other grant the limit between them,
  * not twice.
  */
 import {Left, Right} from 'purify-ts';
@@ -29,8 +29,8 @@
 import type {Transport} from '../types/transport.js';
 import {createAdmission} from './admission.js';
 import type {Admission} from './admission.js';
-import {createFleetView} from './entry_set.js';
-import type {FleetView, Home} from './entry_set.js';
+import {createEntrySet} from './entry_set.js';
+import type {EntrySet, Home} from './entry_set.js';
 import {MIN_TTL_MS, createHomeLedger} from './home_ledger.js';
 import type {HomeLedger} from './home_ledger.js';
 
@@ -54,14 +54,14 @@
   readonly admissions: Map<OrganisationId, Admission>;
   readonly ledgers: Map<OrganisationId, HomeLedger>;
   organisations: ReadonlyMap<OrganisationId, Organisation>;
-  fleet: FleetView;
+  entries: EntrySet;
 }
 
 function ledgerOf(state: State, id: OrganisationId): HomeLedger {
   const known = state.ledgers.get(id);
   if (known !== undefined) return known;
   const now = state.ctx.clock.now();
-  const isSettled = now - state.fleet.changedAt >= MIN_TTL_MS;
+  const isSettled = now - state.entries.changedAt >= MIN_TTL_MS;
   const ledger = createHomeLedger({
     invariant: state.ctx.invariant,
     now,
@@ -72,17 +72,17 @@
 }
 
 /** Answers an ask, as the home or as one that is not. */
-function grant(state: State, req: GrantReq): GrantRes {
-  const {fleet, organisations} = state;
+function answerGrantReq(state: State, req: GrantReq): GrantRes {
+  const {entries, organisations} = state;
   const organisation = organisations.get(req.organisation);
-  if (organisation === undefined || !fleet.homeOf(req.organisation).isHere) {
+  if (organisation === undefined || !entries.homeOf(req.organisation).isHere) {
     return {places: 0, tokens: 0, ttlMs: MIN_TTL_MS, home: false};
   }
   const limits = {
     maxRunning: organisation.maxRunning,
     tokensPerSec: organisation.tokensPerSec,
-    part: fleet.part(),
-    isPresent: (entry: NodeId) => fleet.isPresent(entry),
+    reachableShare: entries.reachableShare(),
+    isPresent: (entry: NodeId) => entries.isPresent(entry),
   };
   const ledger = ledgerOf(state, req.organisation);
   return ledger.grant(req, limits, state.ctx.clock.now());
@@ -95,7 +95,7 @@
 ): Promise<Either<string, GrantRes>> {
   const {transport} = state.options;
   const outcome: Either<OnyxError, GrantRes> = home.isHere
-    ? Right(grant(state, req))
+    ? Right(answerGrantReq(state, req))
     : await transport.call(home.address, 'grant', req, ASK_TIMEOUT_MS);
   return outcome
     .mapLeft(err => err.message)
@@ -112,7 +112,7 @@
     node: state.options.node,
     ctx: state.ctx,
     organisation: () => state.organisations.get(id),
-    fleet: () => state.fleet,
+    entries: () => state.entries,
     askHome: (home, req) => askHome(state, home, req),
   });
   state.admissions.set(id, admission);
@@ -140,7 +140,7 @@
       state.admissions.get(message.organisation)?.release();
       return;
     case 'grant':
-      message.reply(grant(state, message.req));
+      message.reply(answerGrantReq(state, message.req));
       return;
   }
 }
@@ -150,10 +150,10 @@
     if (!admission.renew()) state.admissions.delete(id);
   }
   const now = state.ctx.clock.now();
-  const {fleet} = state;
-  const isPresent = (entry: NodeId): boolean => fleet.isPresent(entry);
+  const {entries} = state;
+  const isPresent = (entry: NodeId): boolean => entries.isPresent(entry);
   for (const [id, ledger] of state.ledgers) {
-    if (fleet.homeOf(id).isHere || !ledger.isIdle(now, isPresent)) continue;
+    if (entries.homeOf(id).isHere || !ledger.isIdle(now, isPresent)) continue;
     state.ledgers.delete(id);
   }
 }
@@ -171,7 +171,7 @@
         admissions: new Map(),
         ledgers: new Map(),
         organisations: new Map(),
-        fleet: createFleetView(options, [], ctx.clock.now()),
+        entries: createEntrySet(options, [], ctx.clock.now()),
       };
       void ctx.mailbox.observe(message => handle(state, message));
       ctx.own(ctx.clock.every(TICK_MS, () => tick(state)));
@@ -186,7 +186,7 @@
         if (entries === known) return;
         known = entries;
         const now = ctx.clock.now();
-        state.fleet = createFleetView(options, entries, now, state.fleet);
+        state.entries = createEntrySet(options, entries, now, state.entries);
         for (const admission of state.admissions.values()) {
           admission.checkHome();
         }
--- a/src/limits/retry_budget.ts
+++ b/src/limits/retry_budget.ts
@@ -5,7 +5,7 @@
  */
 
 /** Retries that may be made at once after a quiet time. */
-const BURST = 10;
+const DEFAULT_BURST = 10;
 
 export interface RetryBudget {
   /** A first attempt was made: adds `ratio` of a retry. */
@@ -17,7 +17,7 @@
 }
 
 /** A full token bucket of `burst()` retries, which may change with time. */
-export function createRetryBudget(burst = () => BURST): RetryBudget {
+export function createRetryBudget(burst = () => DEFAULT_BURST): RetryBudget {
   let tokens = burst();
   return {
     onFirstAttempt: ratio => {
--- a/src/membership/assigned_sides.ts
+++ b/src/membership/assigned_sides.ts
@@ -9,25 +9,30 @@
 import {rendezvousNames} from '../utils/rendezvous.js';
 
 /** Entries of each side; one may be gone and still be listed. */
-const GUARDS = 2;
+const FOLLOWERS_PER_SIDE = 2;
 /** With a side in this many subsets on average, none is in no subset. */
-const ENOUGH_FOLLOWERS = 12;
+const ENOUGH_MEAN_FOLLOWERS = 12;
 
-export interface GuardOptions {
+export interface AssignedSidesOptions {
   readonly self: Address;
   readonly followReplicas: number;
 }
 
 /** Gives the sides that this entry guards; keeps the last outcome. */
-export function createGuards({self, followReplicas}: GuardOptions) {
-  let keyBefore = '';
-  let guarded: readonly Address[] = [];
+export function createAssignedSides({
+  self,
+  followReplicas,
+}: AssignedSidesOptions) {
+  let lastKey = '';
+  let assigned: readonly Address[] = [];
 
   const compute = (sides: readonly Address[], entries: readonly Address[]) => {
-    const mean = (entries.length * followReplicas) / sides.length;
-    if (mean >= ENOUGH_FOLLOWERS) return [];
+    const meanFollowers = (entries.length * followReplicas) / sides.length;
+    if (meanFollowers >= ENOUGH_MEAN_FOLLOWERS) return [];
     return sides.filter(side =>
-      rendezvousNames(side, entries).slice(0, GUARDS).includes(self),
+      rendezvousNames(side, entries)
+        .slice(0, FOLLOWERS_PER_SIDE)
+        .includes(self),
     );
   };
 
@@ -36,9 +41,9 @@
     others: readonly Address[],
   ): readonly Address[] => {
     const key = `${sides.join()} ${others.join()}`;
-    if (key === keyBefore) return guarded;
-    keyBefore = key;
-    guarded = compute(sides, [self, ...others]);
-    return guarded;
+    if (key === lastKey) return assigned;
+    lastKey = key;
+    assigned = compute(sides, [self, ...others]);
+    return assigned;
   };
 }
--- a/src/membership/follow_membership.ts
+++ b/src/membership/follow_membership.ts
@@ -2,7 +2,7 @@
 import type {ServiceContext, ServiceName} from '../types/kernel.js';
 import type {MembershipView} from '../types/services.js';
 
-const SUBSCRIBE_EVERY_MS = 5_000;
+const RESUBSCRIBE_INTERVAL_MS = 5_000;
 
 /**
  * Subscribes, and again each few seconds. A membership that failed and was
@@ -16,5 +16,5 @@
 ): void {
   const subscribe = () => ctx.send('membership', {kind: 'subscribe', listener});
   subscribe();
-  ctx.own(ctx.clock.every(SUBSCRIBE_EVERY_MS, subscribe));
+  ctx.own(ctx.clock.every(RESUBSCRIBE_INTERVAL_MS, subscribe));
 }
--- a/src/membership/heartbeats.ts
+++ b/src/membership/heartbeats.ts
@@ -16,7 +16,7 @@
 import type {MembershipTiming} from './timing.js';
 
 /** First heartbeats to new peers spread over this long. */
-const FIRST_WITHIN_MS = 100;
+const FIRST_HEARTBEAT_SPREAD_MS = 100;
 
 export interface HeartbeatOptions {
   readonly clock: Clock;
@@ -24,14 +24,14 @@
   readonly transport: Transport;
   readonly timing: MembershipTiming;
   readonly isEntry: (address: Address) => boolean;
-  readonly sideReq: (address: Address) => SideHeartbeatReq;
-  readonly entryReq: () => EntryHeartbeatReq;
-  readonly onSide: (
+  readonly sideRequest: (address: Address) => SideHeartbeatReq;
+  readonly entryRequest: () => EntryHeartbeatReq;
+  readonly onSideReply: (
     address: Address,
     res: Either<OnyxError, SideHeartbeatRes>,
     sentAt: number,
   ) => void;
-  readonly onEntry: (
+  readonly onEntryReply: (
     address: Address,
     res: Either<OnyxError, EntryHeartbeatRes>,
     sentAt: number,
@@ -40,9 +40,9 @@
 
 export interface Heartbeats {
   /** Sends to these from now on, and to no others. */
-  follow(addresses: ReadonlySet<Address>): void;
+  setPeers(addresses: ReadonlySet<Address>): void;
   /** Brings the next heartbeat to this peer forward. */
-  soon(address: Address): void;
+  sendSoon(address: Address): void;
   stop(): void;
 }
 
@@ -50,49 +50,54 @@
   const {clock, timing, transport} = options;
   const timers = new Map<Address, Cancel>();
   const inFlight = new Set<Address>();
-  const wantedSoon = new Set<Address>();
+  const sendAgainSoon = new Set<Address>();
 
   const schedule = (address: Address, delayMs: number) => {
     timers.get(address)?.();
     timers.set(
       address,
-      clock.after(delayMs, () => void beat(address)),
+      clock.after(delayMs, () => void sendHeartbeat(address)),
     );
   };
 
-  const beat = async (address: Address) => {
+  const sendHeartbeat = async (address: Address) => {
     if (inFlight.has(address)) return;
     inFlight.add(address);
-    wantedSoon.delete(address);
+    sendAgainSoon.delete(address);
     try {
       await exchange(address);
     } finally {
       inFlight.delete(address);
-      if (timers.has(address)) schedule(address, pauseMs(address));
+      if (timers.has(address)) schedule(address, nextDelayMs(address));
     }
   };
 
-  const pauseMs = (address: Address) =>
-    wantedSoon.has(address)
+  const nextDelayMs = (address: Address) =>
+    sendAgainSoon.has(address)
       ? 0
       : timing.heartbeatMs * (0.9 + 0.2 * options.random.next());
 
   const exchange = async (address: Address) => {
     const sentAt = clock.now();
-    const waitMs = timing.heartbeatTimeoutMs;
+    const timeoutMs = timing.heartbeatTimeoutMs;
     if (options.isEntry(address)) {
-      const req = options.entryReq();
-      const res = await transport.call(address, 'entryHeartbeat', req, waitMs);
-      if (timers.has(address)) options.onEntry(address, res, sentAt);
+      const req = options.entryRequest();
+      const res = await transport.call(
+        address,
+        'entryHeartbeat',
+        req,
+        timeoutMs,
+      );
+      if (timers.has(address)) options.onEntryReply(address, res, sentAt);
       return;
     }
-    const req = options.sideReq(address);
-    const res = await transport.call(address, 'sideHeartbeat', req, waitMs);
-    if (timers.has(address)) options.onSide(address, res, sentAt);
+    const req = options.sideRequest(address);
+    const res = await transport.call(address, 'sideHeartbeat', req, timeoutMs);
+    if (timers.has(address)) options.onSideReply(address, res, sentAt);
   };
 
   return {
-    follow: addresses => {
+    setPeers: addresses => {
       for (const [address, cancel] of timers) {
         if (addresses.has(address)) continue;
         cancel();
@@ -100,12 +105,12 @@
       }
       for (const address of addresses) {
         if (timers.has(address)) continue;
-        schedule(address, options.random.next() * FIRST_WITHIN_MS);
+        schedule(address, options.random.next() * FIRST_HEARTBEAT_SPREAD_MS);
       }
     },
-    soon: address => {
+    sendSoon: address => {
       if (!timers.has(address)) return;
-      if (inFlight.has(address)) wantedSoon.add(address);
+      if (inFlight.has(address)) sendAgainSoon.add(address);
       else schedule(address, 0);
     },
     stop: () => {
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -53,7 +53,7 @@
   readonly owned: readonly DispatchId[];
 }
 
-export const NO_LOAD: SideLoad = {
+export const EMPTY_LOAD: SideLoad = {
   capacityTokens: 0,
   freeTokens: 0,
   running: 0,
@@ -81,7 +81,7 @@
     answered: false,
     unreachable: false,
     suspectSince: undefined,
-    load: NO_LOAD,
+    load: EMPTY_LOAD,
     loadAt: now,
     models: [],
     configNumber: 0,
@@ -91,7 +91,7 @@
   };
 }
 
-export function withListing(member: Member, info: HostInfo): Member {
+export function withHostInfo(member: Member, info: HostInfo): Member {
   return {
     ...member,
     host: info.host,
@@ -108,7 +108,7 @@
   incarnation: Incarnation,
 ): Member {
   if (incarnation === '' || incarnation === member.incarnation) return member;
-  return {...member, incarnation, load: NO_LOAD, models: []};
+  return {...member, incarnation, load: EMPTY_LOAD, models: []};
 }
 
 export function isEntry(member: Member): boolean {
@@ -117,13 +117,13 @@
 
 /** Whichever of host list and the peer itself says leaving first wins. */
 export function isLeaving(member: Member): boolean {
-  const said =
+  const hasReportedLeaving =
     member.leavingIncarnation !== undefined &&
     member.leavingIncarnation === member.incarnation;
-  return member.listedLeaving || said;
+  return member.listedLeaving || hasReportedLeaving;
 }
 
-export function stateOf(
+export function memberStateOf(
   member: Member,
   now: number,
   timing: MembershipTiming,
--- a/src/membership/member_table.ts
+++ b/src/membership/member_table.ts
@@ -9,20 +9,20 @@
   createMember,
   isEntry,
   isSilent,
-  stateOf,
+  memberStateOf,
   toEntryPeer,
   toReplica,
-  withListing,
+  withHostInfo,
 } from './member.js';
 import type {Member, MemberState} from './member.js';
-import {createGuards} from './assigned_sides.js';
+import {createAssignedSides} from './assigned_sides.js';
 import {chooseSubset} from './subset.js';
 import type {MembershipTiming} from './timing.js';
 
 /** Other entries to which heartbeats go, at most. */
-const ENTRY_PEERS = 8;
+const MAX_FOLLOWED_ENTRIES = 8;
 
-export interface RosterOptions {
+export interface MemberTableOptions {
   readonly node: NodeId;
   readonly address: Address;
   readonly failureDomain: FailureDomain;
@@ -31,48 +31,48 @@
   readonly now: () => number;
 }
 
-export interface Roster {
+export interface MemberTable {
   get(address: Address): Member | undefined;
   /** Changes a member; makes one when the address is new. */
   update(address: Address, change: (member: Member) => Member): void;
   /** Changes all members. */
   updateAll(change: (member: Member) => Member): void;
   /** Takes in a newer host list. */
-  list(hosts: readonly HostInfo[]): void;
+  setHosts(hosts: readonly HostInfo[]): void;
   /** Notes who has gone silent; true when `follow` should be called. */
-  notice(): boolean;
+  updateSilence(): boolean;
   /** Chooses again whom to follow, and forgets who is gone. */
-  follow(): void;
-  following(): ReadonlySet<Address>;
-  state(member: Member): MemberState;
-  members(): readonly Member[];
+  chooseFollowed(): void;
+  followed(): ReadonlySet<Address>;
+  stateOf(member: Member): MemberState;
+  all(): readonly Member[];
   view(): MembershipView;
 }
 
-export function createRoster(options: RosterOptions): Roster {
+export function createMemberTable(options: MemberTableOptions): MemberTable {
   const {timing, now} = options;
   const members = new Map<Address, Member>();
-  const guardedOf = createGuards({
+  const assignedSides = createAssignedSides({
     self: options.address,
     followReplicas: options.followReplicas,
   });
-  let following: ReadonlySet<Address> = new Set();
-  let shownEntries: readonly EntryPeer[] = [];
+  let followed: ReadonlySet<Address> = new Set();
+  let lastEntries: readonly EntryPeer[] = [];
   /** Whom others replace, to see when that changes. */
-  let replacedBefore = '';
+  let lastReplaced = '';
 
-  const update: Roster['update'] = (address, change) => {
+  const update: MemberTable['update'] = (address, change) => {
     const member = members.get(address) ?? createMember(address, now());
     members.set(address, change(member));
   };
 
-  const updateAll: Roster['updateAll'] = change => {
+  const updateAll: MemberTable['updateAll'] = change => {
     for (const member of members.values()) {
       members.set(member.address, change(member));
     }
   };
 
-  const list = (hosts: readonly HostInfo[]) => {
+  const setHosts = (hosts: readonly HostInfo[]) => {
     const others = hosts.filter(host => host.address !== options.address);
     const listed = new Set(others.map(host => host.address));
     updateAll(member => ({
@@ -81,17 +81,18 @@
       listedLeaving: listed.has(member.address) && member.listedLeaving,
     }));
     for (const host of others) {
-      update(host.address, member => withListing(member, host));
+      update(host.address, member => withHostInfo(member, host));
     }
   };
 
-  const state = (member: Member): MemberState => stateOf(member, now(), timing);
+  const stateOf = (member: Member): MemberState =>
+    memberStateOf(member, now(), timing);
 
-  const isLongSuspect = (member: Member) =>
+  const isReplaceable = (member: Member) =>
     member.suspectSince !== undefined &&
     now() - member.suspectSince > timing.replaceAfterMs;
 
-  const choose = (hosts: readonly Member[], limit: number) =>
+  const chooseFrom = (hosts: readonly Member[], limit: number) =>
     chooseSubset({
       node: options.node,
       ownFailureDomain: options.failureDomain,
@@ -100,13 +101,13 @@
     });
 
   /** Whom to follow among these; long suspects are replaced, and kept. */
-  const among = (hosts: readonly Member[], limit: number) => {
-    const wanted = choose(hosts, limit);
-    const sound = hosts.filter(member => !isLongSuspect(member));
+  const chooseWithReplacements = (hosts: readonly Member[], limit: number) => {
+    const wanted = chooseFrom(hosts, limit);
+    const reachable = hosts.filter(member => !isReplaceable(member));
     // When most seem gone it is likelier this process that is cut off:
     // replacing them all would move every entry's subset at once.
-    if (sound.length * 2 <= hosts.length) return wanted;
-    return new Set([...wanted, ...choose(sound, limit)]);
+    if (reachable.length * 2 <= hosts.length) return wanted;
+    return new Set([...wanted, ...chooseFrom(reachable, limit)]);
   };
 
   /** The host list lags: one that still answers is still there. */
@@ -115,7 +116,7 @@
     member.owned.length === 0 &&
     isSilent(member, now(), timing);
 
-  const notice = () => {
+  const updateSilence = () => {
     updateAll(member => {
       const silent = isSilent(member, now(), timing);
       const since = silent ? (member.suspectSince ?? now()) : undefined;
@@ -124,15 +125,15 @@
     });
     const all = [...members.values()];
     const replaced = all
-      .filter(isLongSuspect)
+      .filter(isReplaceable)
       .map(member => member.address)
       .join();
-    const changed = replaced !== replacedBefore || all.some(isGone);
-    replacedBefore = replaced;
+    const changed = replaced !== lastReplaced || all.some(isGone);
+    lastReplaced = replaced;
     return changed;
   };
 
-  const follow = () => {
+  const chooseFollowed = () => {
     for (const member of members.values()) {
       if (isGone(member)) members.delete(member.address);
     }
@@ -141,11 +142,14 @@
       member => isEntry(member) && member.listed,
     );
     const owning = all.filter(member => member.owned.length > 0);
-    following = new Set([
-      ...among(all.filter(isSide), options.followReplicas),
-      ...among(all.filter(isEntry), ENTRY_PEERS),
+    followed = new Set([
+      ...chooseWithReplacements(all.filter(isSide), options.followReplicas),
+      ...chooseWithReplacements(all.filter(isEntry), MAX_FOLLOWED_ENTRIES),
       ...owning.map(member => member.address),
-      ...guardedOf(addressesOf(all.filter(isSide)), addressesOf(listedEntries)),
+      ...assignedSides(
+        addressesOf(all.filter(isSide)),
+        addressesOf(listedEntries),
+      ),
     ]);
   };
 
@@ -154,8 +158,8 @@
     const sides = all.filter(isSide);
     return {
       replicas: sides
-        .filter(member => following.has(member.address))
-        .map(member => toReplica(member, state(member))),
+        .filter(member => followed.has(member.address))
+        .map(member => toReplica(member, stateOf(member))),
       allSides: sides.map(member => member.address),
       entries: entriesOf(all),
     };
@@ -165,19 +169,19 @@
   const entriesOf = (all: readonly Member[]): readonly EntryPeer[] => {
     const entries = all.filter(isEntry).map((member, i) => {
       const peer = toEntryPeer(member, entryState(member));
-      const before = shownEntries[i];
+      const before = lastEntries[i];
       return before !== undefined && isSamePeer(before, peer) ? before : peer;
     });
     const isSame =
-      entries.length === shownEntries.length &&
-      entries.every((peer, i) => peer === shownEntries[i]);
-    if (!isSame) shownEntries = entries;
-    return shownEntries;
+      entries.length === lastEntries.length &&
+      entries.every((peer, i) => peer === lastEntries[i]);
+    if (!isSame) lastEntries = entries;
+    return lastEntries;
   };
 
   /** Of an entry that is not followed, only the host list speaks. */
   const entryState = (member: Member): MemberState => {
-    if (following.has(member.address)) return state(member);
+    if (followed.has(member.address)) return stateOf(member);
     return member.listedLeaving ? 'leaving' : 'live';
   };
 
@@ -185,12 +189,12 @@
     get: address => members.get(address),
     update,
     updateAll,
-    list,
-    notice,
-    follow,
-    following: () => following,
-    state,
-    members: () => [...members.values()],
+    setHosts,
+    updateSilence,
+    chooseFollowed,
+    followed: () => followed,
+    stateOf,
+    all: () => [...members.values()],
     view,
   };
 }
--- a/src/membership/member_updates.ts
+++ b/src/membership/member_updates.ts
@@ -11,9 +11,12 @@
 import {withIncarnation} from './member.js';
 import type {Member} from './member.js';
 
-export type Evidence = Extract<MembershipMessage, {readonly kind: 'evidence'}>;
+export type MemberEvidence = Extract<
+  MembershipMessage,
+  {readonly kind: 'evidence'}
+>;
 
-export function sideAnswered(
+export function withSideReply(
   member: Member,
   res: SideHeartbeatRes,
   sentAt: number,
@@ -21,7 +24,7 @@
 ): Member {
   const known = withIncarnation(member, res.incarnation);
   return {
-    ...heard(known, now),
+    ...withAnswer(known, now),
     node: res.node,
     pool: res.pool,
     failureDomain: res.failureDomain,
@@ -37,14 +40,14 @@
   };
 }
 
-export function entryHeard(
+export function withEntryHeartbeat(
   member: Member,
   peer: EntryHeartbeatReq,
   now: number,
 ): Member {
   const known = withIncarnation(member, peer.incarnation);
   return {
-    ...heard(known, now),
+    ...withAnswer(known, now),
     node: peer.node,
     failureDomain: peer.failureDomain,
     leavingIncarnation: peer.leaving
@@ -59,7 +62,7 @@
  * A refused connection says at once what a timeout only hints at: there is no
  * process behind the address.
  */
-export function unanswered(member: Member, err: OnyxError): Member {
+export function withFailedHeartbeat(member: Member, err: OnyxError): Member {
   return err.code === 'peer-unreachable'
     ? {...member, unreachable: true}
     : member;
@@ -67,7 +70,7 @@
 
 export function withEvidence(
   member: Member,
-  evidence: Evidence,
+  evidence: MemberEvidence,
   now: number,
 ): Member {
   switch (evidence.what) {
@@ -79,12 +82,12 @@
         leavingIncarnation: evidence.incarnation || member.incarnation,
       };
     case 'incarnation':
-      return heard(withIncarnation(member, evidence.incarnation), now);
+      return withAnswer(withIncarnation(member, evidence.incarnation), now);
     case 'answered':
-      return heard(member, now);
+      return withAnswer(member, now);
   }
 }
 
-function heard(member: Member, now: number): Member {
+function withAnswer(member: Member, now: number): Member {
   return {...member, answered: true, unreachable: false, lastAnswerAt: now};
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -29,13 +29,13 @@
 import {isEntry} from './member.js';
 import type {Member} from './member.js';
 import {
-  entryHeard,
-  sideAnswered,
-  unanswered,
+  withEntryHeartbeat,
+  withSideReply,
+  withFailedHeartbeat,
   withEvidence,
 } from './member_updates.js';
-import type {Evidence} from './member_updates.js';
-import {createRoster} from './member_table.js';
+import type {MemberEvidence} from './member_updates.js';
+import {createMemberTable} from './member_table.js';
 import {createStateLog} from './state_log.js';
 import {DEFAULT_MEMBERSHIP_TIMING} from './timing.js';
 import type {MembershipTiming} from './timing.js';
@@ -43,12 +43,12 @@
 /** Pause between looks at who has gone silent. */
 const TICK_MS = 250;
 /** Pause between questions for our own placement's fencing number. */
-const OWN_STATE_MS = 2_000;
+const OWN_STATE_POLL_MS = 2_000;
 /** Longest delay before new load reports are passed on. */
-const TELL_WITHIN_MS = 100;
+const NOTIFY_DELAY_MS = 100;
 /** Whom to follow is chosen anew so often though the host list stays. */
-const REFOLLOW_MS = 30_000;
-const DEFAULT_FOLLOW = 24;
+const RECHOOSE_MS = 30_000;
+const DEFAULT_FOLLOW_REPLICAS = 24;
 
 export interface MembershipOptions {
   readonly transport: Transport;
@@ -77,11 +77,11 @@
 ): void {
   const timing = {...DEFAULT_MEMBERSHIP_TIMING, ...options.timing};
   const {clock} = ctx;
-  const roster = createRoster({
+  const members = createMemberTable({
     node: options.node,
     address: options.address,
     failureDomain: options.failureDomain,
-    followReplicas: options.followReplicas ?? DEFAULT_FOLLOW,
+    followReplicas: options.followReplicas ?? DEFAULT_FOLLOW_REPLICAS,
     timing,
     now: clock.now,
   });
@@ -91,12 +91,12 @@
   let fence: FencingNumber = 0;
   let leaving = false;
   let lastTickAt = clock.now();
-  let listed: readonly HostInfo[] | undefined;
-  let followedAt = 0;
-  let dirty = false;
+  let lastHostList: readonly HostInfo[] | undefined;
+  let chosenAt = 0;
+  let isNotifyPending = false;
   let stopped = false;
 
-  const self = (): EntryHeartbeatReq => ({
+  const ownHeartbeat = (): EntryHeartbeatReq => ({
     node: options.node,
     incarnation: options.incarnation,
     address: options.address,
@@ -111,40 +111,44 @@
     random: ctx.random,
     transport: options.transport,
     timing,
-    isEntry: address => entryAt(roster.get(address)),
-    entryReq: self,
-    sideReq: address => ({
+    isEntry: address => isKnownEntry(members.get(address)),
+    entryRequest: ownHeartbeat,
+    sideRequest: address => ({
       entry: options.node,
       entryIncarnation: options.incarnation,
       entryAddress: options.address,
       configNumber,
       fence,
-      owned: roster.get(address)?.owned ?? [],
+      owned: members.get(address)?.owned ?? [],
     }),
-    onSide: (address, res, sentAt) => {
-      roster.update(address, member =>
+    onSideReply: (address, res, sentAt) => {
+      members.update(address, member =>
         res.caseOf({
-          Left: err => unanswered(member, err),
-          Right: side => sideAnswered(member, side, sentAt, clock.now()),
+          Left: err => withFailedHeartbeat(member, err),
+          Right: side => withSideReply(member, side, sentAt, clock.now()),
         }),
       );
-      res.ifRight(side => sawNumbers(address, side.configNumber, side.fence));
-      changedSoon();
+      res.ifRight(side =>
+        observeNumbers(address, side.configNumber, side.fence),
+      );
+      notifySoon();
     },
-    onEntry: (address, res) => {
-      roster.update(address, member =>
+    onEntryReply: (address, res) => {
+      members.update(address, member =>
         res.caseOf({
-          Left: err => unanswered(member, err),
-          Right: peer => entryHeard(member, peer, clock.now()),
+          Left: err => withFailedHeartbeat(member, err),
+          Right: peer => withEntryHeartbeat(member, peer, clock.now()),
         }),
       );
-      res.ifRight(peer => sawNumbers(address, peer.configNumber, peer.fence));
-      changedSoon();
+      res.ifRight(peer =>
+        observeNumbers(address, peer.configNumber, peer.fence),
+      );
+      notifySoon();
     },
   });
 
   /** Numbers ride on every heartbeat; whoever is behind fetches by them. */
-  const sawNumbers = (
+  const observeNumbers = (
     peer: Address,
     number: ConfigNumber,
     peerFence: FencingNumber,
@@ -158,31 +162,31 @@
     }
   };
 
-  const tell = () => {
-    dirty = false;
-    const view = roster.view();
+  const notifyListeners = () => {
+    isNotifyPending = false;
+    const view = members.view();
     for (const listener of listeners) listener(view);
   };
 
   /** Whom to follow is costly to choose, and changes seldom. */
-  const changed = (refollow: boolean) => {
-    if (roster.notice() || refollow) {
-      roster.follow();
-      heartbeats.follow(roster.following());
+  const update = (rechoose: boolean) => {
+    if (members.updateSilence() || rechoose) {
+      members.chooseFollowed();
+      heartbeats.setPeers(members.followed());
     }
-    stateLog.compare(roster);
-    tell();
+    stateLog.logChanges(members);
+    notifyListeners();
   };
 
   /**
    * Load reports come often: their view is told once for several. Who has
    * gone silent is for the next tick to see.
    */
-  const changedSoon = () => {
-    if (dirty) return;
-    dirty = true;
-    clock.after(TELL_WITHIN_MS, () => {
-      if (dirty && !stopped) tell();
+  const notifySoon = () => {
+    if (isNotifyPending) return;
+    isNotifyPending = true;
+    clock.after(NOTIFY_DELAY_MS, () => {
+      if (isNotifyPending && !stopped) notifyListeners();
     });
   };
 
@@ -194,21 +198,21 @@
     // While the list is out, the last one and the heartbeats stand.
     hosts.ifRight(list => {
       const now = clock.now();
-      const isSame = list === listed;
+      const isSame = list === lastHostList;
       // Going through a thousand hosts for each unchanged list costs more than
       // all that changes.
-      if (isSame && now - followedAt < REFOLLOW_MS) return;
-      listed = list;
-      followedAt = now;
-      roster.list(list);
-      changed(true);
+      if (isSame && now - chosenAt < RECHOOSE_MS) return;
+      lastHostList = list;
+      chosenAt = now;
+      members.setHosts(list);
+      update(true);
     });
   };
 
   const pollForever = () => {
     void pollHosts().finally(() => {
       if (stopped) return;
-      const delayMs = timing.hostListMs * (0.8 + 0.4 * ctx.random.next());
+      const delayMs = timing.hostListPollMs * (0.8 + 0.4 * ctx.random.next());
       stopPolling = clock.after(delayMs, pollForever);
     });
   };
@@ -218,7 +222,7 @@
     const lateMs = now - lastTickAt - TICK_MS;
     lastTickAt = now;
     if (lateMs > timing.pausedAfterMs) onPaused(lateMs);
-    changed(false);
+    update(false);
   };
 
   /**
@@ -229,55 +233,55 @@
   const onPaused = (lateMs: number) => {
     ctx.log(MEMBERSHIP_EVENTS.observerPaused, {lateMs: Math.round(lateMs)});
     const now = clock.now();
-    roster.updateAll(member =>
+    members.updateAll(member =>
       member.suspectSince === undefined
         ? {...member, lastAnswerAt: now, unreachable: false}
         : member,
     );
   };
 
-  const onEvidence = (evidence: Evidence) => {
+  const onEvidence = (evidence: MemberEvidence) => {
     const {address} = evidence;
-    if (roster.get(address) === undefined) return;
-    roster.update(address, member =>
+    if (members.get(address) === undefined) return;
+    members.update(address, member =>
       withEvidence(member, evidence, clock.now()),
     );
     // A heartbeat settles soon whether the evidence still holds.
-    if (evidence.what !== 'answered') heartbeats.soon(address);
-    changed(false);
+    if (evidence.what !== 'answered') heartbeats.sendSoon(address);
+    update(false);
   };
 
-  const own = (address: Address, dispatchId: string) => {
-    roster.update(address, member => ({
+  const addOwned = (address: Address, dispatchId: string) => {
+    members.update(address, member => ({
       ...member,
       owned: [...member.owned, dispatchId],
     }));
-    if (!roster.following().has(address)) changed(true);
+    if (!members.followed().has(address)) update(true);
   };
 
-  const disown = (address: Address, dispatchId: string) => {
-    if (roster.get(address) === undefined) return;
-    roster.update(address, member => ({
+  const removeOwned = (address: Address, dispatchId: string) => {
+    if (members.get(address) === undefined) return;
+    members.update(address, member => ({
       ...member,
       owned: member.owned.filter(one => one !== dispatchId),
     }));
   };
 
   const onEntryHeartbeat = (peer: EntryHeartbeatReq) => {
-    const known = roster.get(peer.address);
+    const known = members.get(peer.address);
     if (known !== undefined && isEntry(known)) {
-      roster.update(peer.address, member =>
-        entryHeard(member, peer, clock.now()),
+      members.update(peer.address, member =>
+        withEntryHeartbeat(member, peer, clock.now()),
       );
-      changed(false);
+      update(false);
     }
-    sawNumbers(peer.address, peer.configNumber, peer.fence);
+    observeNumbers(peer.address, peer.configNumber, peer.fence);
   };
 
-  const leave = () => {
+  const announceLeaving = () => {
     leaving = true;
-    for (const address of roster.following()) {
-      if (entryAt(roster.get(address))) heartbeats.soon(address);
+    for (const address of members.followed()) {
+      if (isKnownEntry(members.get(address))) heartbeats.sendSoon(address);
     }
   };
 
@@ -285,29 +289,29 @@
     switch (message.kind) {
       case 'subscribe':
         listeners.add(message.listener);
-        message.listener(roster.view());
+        message.listener(members.view());
         return;
       case 'evidence':
         onEvidence(message);
         return;
       case 'own':
-        own(message.address, message.dispatchId);
+        addOwned(message.address, message.dispatchId);
         return;
       case 'disown':
-        disown(message.address, message.dispatchId);
+        removeOwned(message.address, message.dispatchId);
         return;
       case 'entry-heartbeat':
         onEntryHeartbeat(message.req);
-        message.reply(self());
+        message.reply(ownHeartbeat());
         return;
       case 'leave':
-        leave();
+        announceLeaving();
         return;
     }
   };
 
   /** The config and placement services may have been restarted meanwhile. */
-  const askOwnState = () => {
+  const fetchOwnState = () => {
     ctx.send('config', {kind: 'subscribe', listener: onConfig});
     ctx
       .ask('placement', (reply: (status: PlacementStatus) => void) => ({
@@ -332,14 +336,14 @@
     heartbeats.stop();
   });
   ctx.own(clock.every(TICK_MS, tick));
-  ctx.own(clock.every(OWN_STATE_MS, askOwnState));
+  ctx.own(clock.every(OWN_STATE_POLL_MS, fetchOwnState));
   // In a turn of its own: the services that it asks start after this one, and
   // what is sent to them before is dropped with a warning.
-  ctx.own(clock.after(0, askOwnState));
+  ctx.own(clock.after(0, fetchOwnState));
   pollForever();
   void ctx.mailbox.observe(onMessage);
 }
 
-function entryAt(member: Member | undefined): boolean {
+function isKnownEntry(member: Member | undefined): boolean {
   return member !== undefined && isEntry(member);
 }
--- a/src/membership/state_log.ts
+++ b/src/membership/state_log.ts
@@ -7,18 +7,18 @@
 import {MEMBERSHIP_EVENTS} from '../utils/events.js';
 import {isEntry} from './member.js';
 import type {Member, MemberState} from './member.js';
-import type {Roster} from './member_table.js';
+import type {MemberTable} from './member_table.js';
 
 export interface StateLog {
-  compare(roster: Roster): void;
+  logChanges(roster: MemberTable): void;
 }
 
 export function createStateLog(runtime: Runtime): StateLog {
-  const before = new Map<Address, MemberState>();
-  let following = 0;
-  let warned = false;
+  const lastStates = new Map<Address, MemberState>();
+  let lastFollowedCount = 0;
+  let hasWarned = false;
 
-  const changed = (member: Member, from: MemberState, to: MemberState) => {
+  const logChange = (member: Member, from: MemberState, to: MemberState) => {
     const event = isEntry(member)
       ? MEMBERSHIP_EVENTS.entryState
       : MEMBERSHIP_EVENTS.replicaState;
@@ -35,49 +35,51 @@
     });
   };
 
-  const warnOfMany = (states: readonly MemberState[]) => {
+  const warnIfMostSuspect = (states: readonly MemberState[]) => {
     const suspects = states.filter(state => state === 'suspect').length;
-    const many = states.length > 1 && suspects * 2 > states.length;
-    if (many && !warned) {
+    const areMostSuspect = states.length > 1 && suspects * 2 > states.length;
+    if (areMostSuspect && !hasWarned) {
       runtime.log(MEMBERSHIP_EVENTS.manySuspect, {
         suspects,
         followed: states.length,
       });
     }
-    warned = many;
+    hasWarned = areMostSuspect;
   };
 
   return {
-    compare: roster => {
-      const followed = roster
-        .members()
-        .filter(member => roster.following().has(member.address));
+    logChanges: members => {
+      const followed = members
+        .all()
+        .filter(member => members.followed().has(member.address));
       const seen = new Set<Address>();
       for (const member of followed) {
-        const from = before.get(member.address) ?? 'gone';
-        const to = roster.state(member);
+        const from = lastStates.get(member.address) ?? 'gone';
+        const to = members.stateOf(member);
         seen.add(member.address);
-        if (from !== to) changed(member, from, to);
-        before.set(member.address, to);
+        if (from !== to) logChange(member, from, to);
+        lastStates.set(member.address, to);
       }
-      for (const [address, from] of before) {
+      for (const [address, from] of lastStates) {
         if (seen.has(address)) continue;
-        before.delete(address);
+        lastStates.delete(address);
         runtime.log(MEMBERSHIP_EVENTS.replicaState, {
           peer: address,
           from,
           to: 'gone',
         });
       }
-      if (followed.length !== following) {
-        following = followed.length;
-        runtime.log(MEMBERSHIP_EVENTS.followingChanged, {followed: following});
-        runtime.metrics.gauge('onyxloft_followed_peers', {}, following);
+      if (followed.length !== lastFollowedCount) {
+        lastFollowedCount = followed.length;
+        runtime.log(MEMBERSHIP_EVENTS.followingChanged, {
+          followed: lastFollowedCount,
+        });
+        runtime.metrics.gauge('onyxloft_followed_peers', {}, lastFollowedCount);
       }
-      warnOfMany(
+      warnIfMostSuspect(
         followed
           .filter(member => !isEntry(member) && member.answered)
-          .map(member => roster.state(member)),
+          .map(member => members.stateOf(member)),
       );
     },
   };
--- a/src/membership/subset.ts
+++ b/src/membership/subset.ts
@@ -25,8 +25,8 @@
   const pools = groupBy(options.hosts, host => host.pool);
   for (const hosts of pools.values()) {
     const share = options.limit * (hosts.length / options.hosts.length);
-    const places = Math.ceil(share);
-    for (const address of chooseInPool(options, hosts, places)) {
+    const count = Math.ceil(share);
+    for (const address of chooseInPool(options, hosts, count)) {
       chosen.add(address);
     }
   }
@@ -36,9 +36,9 @@
 function chooseInPool(
   options: SubsetOptions,
   hosts: readonly HostInfo[],
-  places: number,
+  count: number,
 ): readonly Address[] {
-  if (hosts.length <= places) return hosts.map(host => host.address);
+  if (hosts.length <= count) return hosts.map(host => host.address);
   const domains = groupBy(hosts, host => host.failureDomain);
   const ordered = new Map(
     [...domains].map(([domain, members]) => [
@@ -51,39 +51,41 @@
   );
   const chosen: Address[] = [];
   for (const [domain, addresses] of ordered) {
-    chosen.push(...addresses.slice(0, quota(options, domain, domains, places)));
+    chosen.push(
+      ...addresses.slice(0, domainQuota(options, domain, domains, count)),
+    );
   }
-  return fill(options, hosts, chosen, places);
+  return fillRemaining(options, hosts, chosen, count);
 }
 
 /** Places of one failure domain; at least one, so that none is uncovered. */
-function quota(
+function domainQuota(
   options: SubsetOptions,
   domain: FailureDomain,
   domains: ReadonlyMap<FailureDomain, readonly HostInfo[]>,
-  places: number,
+  count: number,
 ): number {
   const hasOwn = domains.has(options.ownFailureDomain);
-  const ownPlaces = hasOwn ? Math.floor(places * OWN_DOMAIN_SHARE) : 0;
-  if (domain === options.ownFailureDomain) return Math.max(1, ownPlaces);
+  const ownCount = hasOwn ? Math.floor(count * OWN_DOMAIN_SHARE) : 0;
+  if (domain === options.ownFailureDomain) return Math.max(1, ownCount);
   const others = domains.size - (hasOwn ? 1 : 0);
-  return Math.max(1, Math.floor((places - ownPlaces) / others));
+  return Math.max(1, Math.floor((count - ownCount) / others));
 }
 
 /** Gives the places that small failure domains left over to any host. */
-function fill(
+function fillRemaining(
   options: SubsetOptions,
   hosts: readonly HostInfo[],
   chosen: readonly Address[],
-  places: number,
+  count: number,
 ): readonly Address[] {
-  if (chosen.length >= places) return chosen;
+  if (chosen.length >= count) return chosen;
   const taken = new Set(chosen);
   const rest = hosts
     .map(host => host.address)
     .filter(address => !taken.has(address));
   const more = rendezvousNames(options.node, rest);
-  return [...chosen, ...more.slice(0, places - chosen.length)];
+  return [...chosen, ...more.slice(0, count - chosen.length)];
 }
 
 function groupBy<T>(
--- a/src/membership/timing.ts
+++ b/src/membership/timing.ts
@@ -2,7 +2,7 @@
 
 export interface MembershipTiming {
   /** Pause between polls of the host list, with a fifth of jitter. @default 2000 */
-  readonly hostListMs: number;
+  readonly hostListPollMs: number;
   /** Pause between heartbeats to one peer, with a tenth of jitter. @default 1000 */
   readonly heartbeatMs: number;
   /** Longest wait for the answer to a heartbeat. @default 1000 */
@@ -16,7 +16,7 @@
 }
 
 export const DEFAULT_MEMBERSHIP_TIMING: MembershipTiming = {
-  hostListMs: 2_000,
+  hostListPollMs: 2_000,
   heartbeatMs: 1_000,
   heartbeatTimeoutMs: 1_000,
   suspectAfterMs: 3_000,
--- a/src/placement/engine_view.ts
+++ b/src/placement/engine_view.ts
@@ -34,7 +34,7 @@
    * knows the placer's number. One that does not may still take an order of
    * the placer before, which had been on its way.
    */
-  readonly isSure: boolean;
+  readonly isReliable: boolean;
   /** An order to it is under way; it gets no second one. */
   readonly busy: boolean;
   /** States by model, then by version. */
@@ -42,13 +42,16 @@
   readonly adapters: ReadonlyMap<ModelId, readonly string[]>;
 }
 
-export interface ViewInput {
+export interface EngineViewInput {
   readonly replicas: readonly Replica[];
   readonly pending: readonly PendingOrder[];
   /** The placer's number. */
   readonly fence: FencingNumber;
   readonly now: number;
-  readonly limits: {readonly freshMs: number; readonly knownMs: number};
+  readonly limits: {
+    readonly maxReliableAgeMs: number;
+    readonly maxReportAgeMs: number;
+  };
 }
 
 /**
@@ -61,42 +64,45 @@
   fence,
   now,
   limits,
-}: ViewInput): readonly EngineView[] {
+}: EngineViewInput): readonly EngineView[] {
   return replicas
     .filter(replica => replica.state === 'live')
-    .filter(replica => now - replica.loadAt <= limits.knownMs)
+    .filter(replica => now - replica.loadAt <= limits.maxReportAgeMs)
     .filter(({load}) => load.capacityTokens > 0)
     .map(replica =>
-      viewOf(
+      engineViewOf(
         replica,
         pending.filter(({address}) => address === replica.address),
-        replica.fence >= fence && now - replica.loadAt <= limits.freshMs,
+        replica.fence >= fence &&
+          now - replica.loadAt <= limits.maxReliableAgeMs,
       ),
     );
 }
 
-function viewOf(
+function engineViewOf(
   replica: Replica,
   pending: readonly PendingOrder[],
-  isSure: boolean,
+  isReliable: boolean,
 ): EngineView {
   const versions = new Map<ModelId, Map<string, VersionState>>();
   const adapters = new Map<ModelId, readonly string[]>();
-  const set = (model: ModelId, version: string, state: VersionState) => {
-    const ofModel = versions.get(model) ?? new Map<string, VersionState>();
-    ofModel.set(version, state);
-    versions.set(model, ofModel);
+  const setState = (model: ModelId, version: string, state: VersionState) => {
+    const modelVersions =
+      versions.get(model) ?? new Map<string, VersionState>();
+    modelVersions.set(version, state);
+    versions.set(model, modelVersions);
   };
   for (const state of replica.models) {
-    set(state.model, state.version, state.ready ? 'ready' : 'loading');
+    setState(state.model, state.version, state.ready ? 'ready' : 'loading');
     if (state.ready)
       adapters.set(`${state.model} ${state.version}`, state.adapters);
   }
   for (const {order} of pending) {
     const {action, model, version} = order;
-    if (action === 'unload') set(model, version, 'absent');
+    if (action === 'unload') setState(model, version, 'absent');
     const known = versions.get(model)?.get(version) ?? 'absent';
-    if (action === 'load' && known === 'absent') set(model, version, 'loading');
+    if (action === 'load' && known === 'absent')
+      setState(model, version, 'loading');
   }
   return {
     address: replica.address,
@@ -104,7 +110,7 @@
     failureDomain: replica.failureDomain,
     load: replica.load,
     role: replica.models[0]?.role ?? 'mixed',
-    isSure,
+    isReliable,
     busy: pending.length > 0,
     versions,
     adapters,
@@ -112,7 +118,7 @@
 }
 
 /** State of one version of a model on an engine. */
-export function stateOf(
+export function versionStateOf(
   engine: EngineView,
   model: ModelId,
   version: string,
@@ -121,7 +127,7 @@
 }
 
 /** Versions of the model in that state on the engine. */
-export function versionsIn(
+export function versionsInState(
   engine: EngineView,
   model: ModelId,
   state: VersionState,
--- a/src/placement/load_budget.ts
+++ b/src/placement/load_budget.ts
@@ -12,9 +12,9 @@
 
 export interface LoadBudget {
   /** Takes one load if it is within the budget. */
-  take(model: Model): boolean;
+  tryTake(model: Model): boolean;
   /** Loads at once that are allowed for weights of this size. */
-  allowed(model: Model): number;
+  maxConcurrent(model: Model): number;
   inFlight(): number;
 }
 
@@ -22,24 +22,24 @@
 export function createLoadBudget(
   engines: readonly EngineView[],
   status: WeightStoreStatus | undefined,
-  limits: Pick<PlannerLimits, 'usefulLoadMs' | 'maxLoads'>,
+  limits: Pick<PlannerLimits, 'targetLoadMs' | 'maxLoads'>,
 ): LoadBudget {
   let inFlight = engines.reduce((sum, engine) => sum + loadsOn(engine), 0);
 
-  const allowed = (model: Model) => {
+  const maxConcurrent = (model: Model) => {
     if (status === undefined) return 1;
-    const usefulBytes = (status.bytesPerSec * limits.usefulLoadMs) / MS_PER_SEC;
-    const atOnce = Math.floor(usefulBytes / model.weightBytes);
-    return Math.max(1, Math.min(limits.maxLoads, atOnce));
+    const targetBytes = (status.bytesPerSec * limits.targetLoadMs) / MS_PER_SEC;
+    const concurrentLoads = Math.floor(targetBytes / model.weightBytes);
+    return Math.max(1, Math.min(limits.maxLoads, concurrentLoads));
   };
 
   return {
-    allowed,
+    maxConcurrent,
     inFlight: () => inFlight,
-    take: model => {
+    tryTake: model => {
       // A queue at the weight store: others load as well.
       if ((status?.queuedTransfers ?? 0) > 0) return false;
-      if (inFlight >= allowed(model)) return false;
+      if (inFlight >= maxConcurrent(model)) return false;
       inFlight += 1;
       return true;
     },
--- a/src/placement/order_tracker.ts
+++ b/src/placement/order_tracker.ts
@@ -10,7 +10,7 @@
 import type {PlannedOrder} from './plan_types.js';
 
 /** Decisions kept for status. */
-const KEPT_DECISIONS = 200;
+const MAX_KEPT_DECISIONS = 200;
 /** Pause before an engine that refused an order gets another one. */
 const REFUSED_PAUSE_MS = 5_000;
 
@@ -23,9 +23,9 @@
   | 'in-effect'
   | 'no-effect';
 
-interface BookedOrder extends PendingOrder {
-  readonly bookedAt: number;
-  readonly lapsesAt: number;
+interface TrackedOrder extends PendingOrder {
+  readonly addedAt: number;
+  readonly expiresAt: number;
   readonly isRefused: boolean;
 }
 
@@ -37,15 +37,18 @@
   readonly tookMs: number;
 }
 
-export interface OrderBook {
+export interface OrderTracker {
   pending(): readonly PendingOrder[];
   decisions(): readonly PlacementDecision[];
-  book(planned: PlannedOrder, order: OrderReq, now: number): void;
-  note(orderId: string, outcome: OrderOutcome, reason?: string): void;
+  add(planned: PlannedOrder, order: OrderReq, now: number): void;
+  setOutcome(orderId: string, outcome: OrderOutcome, reason?: string): void;
   /** It has no effect; the engine gets another order after a pause. */
-  refuse(orderId: string, now: number): void;
+  markRefused(orderId: string, now: number): void;
   /** Compares with the heartbeats; closes what took effect or lapsed. */
-  readBack(replicas: readonly Replica[], now: number): readonly ClosedOrder[];
+  closeSettled(
+    replicas: readonly Replica[],
+    now: number,
+  ): readonly ClosedOrder[];
   /** Forgets what is under way: another placer has taken over. */
   clear(): void;
 }
@@ -54,11 +57,11 @@
  * `holdMs`: how long an order without a visible effect is taken as under way.
  * It must be longer than an order can be on its way.
  */
-export function createOrderBook(holdMs: number): OrderBook {
-  const booked = new Map<string, BookedOrder>();
+export function createOrderTracker(effectTimeoutMs: number): OrderTracker {
+  const tracked = new Map<string, TrackedOrder>();
   let decisions: readonly PlacementDecision[] = [];
 
-  const note = (orderId: string, outcome: OrderOutcome, reason = '') => {
+  const setOutcome = (orderId: string, outcome: OrderOutcome, reason = '') => {
     const text = reason === '' ? outcome : `${outcome}: ${reason}`;
     decisions = decisions.map(decision =>
       decision.orderId === orderId ? {...decision, outcome: text} : decision,
@@ -66,40 +69,41 @@
   };
 
   const close = (
-    {order, address, bookedAt}: BookedOrder,
+    {order, address, addedAt: bookedAt}: TrackedOrder,
     outcome: OrderOutcome,
     now: number,
   ): ClosedOrder => {
-    booked.delete(order.orderId);
-    if (outcome !== 'refused') note(order.orderId, outcome);
+    tracked.delete(order.orderId);
+    if (outcome !== 'refused') setOutcome(order.orderId, outcome);
     return {order, address, outcome, tookMs: now - bookedAt};
   };
 
-  const review = (
-    entry: BookedOrder,
+  const closeIfSettled = (
+    item: TrackedOrder,
     replicas: readonly Replica[],
     now: number,
   ): readonly ClosedOrder[] => {
-    const replica = replicas.find(({address}) => address === entry.address);
+    const replica = replicas.find(({address}) => address === item.address);
     // A report from before the order says nothing of it.
-    const isNews = replica !== undefined && replica.loadAt > entry.bookedAt;
-    if (isNews && isInEffect(replica, entry.order)) {
-      return [close(entry, 'in-effect', now)];
+    const isNewerReport =
+      replica !== undefined && replica.loadAt > item.addedAt;
+    if (isNewerReport && isInEffect(replica, item.order)) {
+      return [close(item, 'in-effect', now)];
     }
-    if (now < entry.lapsesAt) return [];
-    return [close(entry, entry.isRefused ? 'refused' : 'no-effect', now)];
+    if (now < item.expiresAt) return [];
+    return [close(item, item.isRefused ? 'refused' : 'no-effect', now)];
   };
 
   return {
-    pending: () => [...booked.values()],
+    pending: () => [...tracked.values()],
     decisions: () => decisions,
-    book: (planned, order, now) => {
+    add: (planned, order, now) => {
       const {address, reason} = planned;
-      booked.set(order.orderId, {
+      tracked.set(order.orderId, {
         address,
         order,
-        bookedAt: now,
-        lapsesAt: now + holdMs,
+        addedAt: now,
+        expiresAt: now + effectTimeoutMs,
         isRefused: false,
       });
       const {orderId, fence, action, model, version} = order;
@@ -113,18 +117,20 @@
         reason,
         outcome: 'sent',
       };
-      decisions = [...decisions, decision].slice(-KEPT_DECISIONS);
+      decisions = [...decisions, decision].slice(-MAX_KEPT_DECISIONS);
     },
-    note,
-    refuse: (orderId, now) => {
-      const entry = booked.get(orderId);
-      if (entry === undefined) return;
-      const lapsesAt = now + REFUSED_PAUSE_MS;
-      booked.set(orderId, {...entry, lapsesAt, isRefused: true});
+    setOutcome,
+    markRefused: (orderId, now) => {
+      const item = tracked.get(orderId);
+      if (item === undefined) return;
+      const expiresAt = now + REFUSED_PAUSE_MS;
+      tracked.set(orderId, {...item, expiresAt, isRefused: true});
     },
-    readBack: (replicas, now) =>
-      [...booked.values()].flatMap(entry => review(entry, replicas, now)),
-    clear: () => booked.clear(),
+    closeSettled: (replicas, now) =>
+      [...tracked.values()].flatMap(item =>
+        closeIfSettled(item, replicas, now),
+      ),
+    clear: () => tracked.clear(),
   };
 }
 
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -27,21 +27,21 @@
 import type {Lease} from '../stores/lease.js';
 import {PLACEMENT_EVENTS} from '../utils/events.js';
 import {isLeaseCandidate} from './lease_candidates.js';
-import {createOrderBook} from './order_tracker.js';
-import type {OrderBook} from './order_tracker.js';
-import {createRoleMemory} from './plan_roles.js';
+import {createOrderTracker} from './order_tracker.js';
+import type {OrderTracker} from './order_tracker.js';
+import {createRoleHistory} from './plan_roles.js';
 import {DEFAULT_PLANNER_LIMITS} from './plan_types.js';
 import type {
   Plan,
   PlannedOrder,
   PlannerLimits,
-  RoleMemory,
+  RoleHistory,
   UnmetWish,
 } from './plan_types.js';
 import {PLACER_LEASE_KEY} from './placement_lease.js';
 import {planPlacement} from './planner.js';
-import {createSurvey} from './side_poller.js';
-import type {Survey, SurveySelf} from './side_poller.js';
+import {createSidePoller} from './side_poller.js';
+import type {SidePoller, PollerIdentity} from './side_poller.js';
 
 const ORDER_ID_BYTES = 8;
 const LEASE_TTL_MS = 10_000;
@@ -49,7 +49,7 @@
  * How long a new placer waits for all sides to know its number. Heartbeats
  * carry it within seconds; a side that stays cut off must not stop placement.
  */
-const HANDOVER_MS = 10_000;
+const HANDOVER_TIMEOUT_MS = 10_000;
 
 export interface PlacementServiceOptions {
   readonly node: NodeId;
@@ -68,13 +68,13 @@
   /** @default 5000 */
   readonly orderTimeoutMs?: number;
   /** An order without a visible effect is under way so long. @default 30000 */
-  readonly orderHoldMs?: number;
+  readonly orderEffectTimeoutMs?: number;
   readonly limits?: Partial<PlannerLimits>;
   /**
    * Named to sides that this entry does not follow, which the placer asks as
    * well. @default only followed sides are placed on
    */
-  readonly survey?: Pick<SurveySelf, 'address' | 'incarnation'>;
+  readonly pollerIdentity?: Pick<PollerIdentity, 'address' | 'incarnation'>;
 }
 
 /** Makes the service. */
@@ -89,20 +89,20 @@
 
 class PlacementTask {
   private readonly lease: Lease;
-  private readonly book: OrderBook;
-  private readonly survey: Survey;
+  private readonly orders: OrderTracker;
+  private readonly sidePoller: SidePoller;
   private readonly limits: PlannerLimits;
   private config: NumberedDeclarations | undefined;
   private view: MembershipView | undefined;
-  private roles: RoleMemory;
+  private roleHistory: RoleHistory;
   /** Highest fencing number heard of, from any side or entry. */
-  private fenceSeen: FencingNumber = 0;
+  private highestFence: FencingNumber = 0;
   /** Number under which this process is the placer; 0 when it is not. */
   private placerFence: FencingNumber = 0;
   /** When this process became the placer. */
-  private placerSince = 0;
-  private unmet: ReadonlySet<string> = new Set();
-  private planning = false;
+  private placerStartedAt = 0;
+  private unmetWishes: ReadonlySet<string> = new Set();
+  private isPlanning = false;
 
   constructor(
     private readonly ctx: ServiceContext<'placement'>,
@@ -116,25 +116,25 @@
       marginMs: options.leaseMarginMs ?? 2_000,
       holder: options.node,
       runtime: ctx,
-      fenceFloor: () => this.fenceSeen,
+      fenceFloor: () => this.highestFence,
       isCandidate: () => isLeaseCandidate(options.node, this.view),
     });
-    this.book = createOrderBook(options.orderHoldMs ?? 30_000);
+    this.orders = createOrderTracker(options.orderEffectTimeoutMs ?? 30_000);
     this.limits = {...DEFAULT_PLANNER_LIMITS, ...options.limits};
-    this.roles = createRoleMemory(ctx.clock.now());
-    this.survey = createSurvey({
+    this.roleHistory = createRoleHistory(ctx.clock.now());
+    this.sidePoller = createSidePoller({
       self: {
         address: '',
         incarnation: '',
-        ...options.survey,
+        ...options.pollerIdentity,
         node: options.node,
       },
       clock: ctx.clock,
       transport: options.transport,
       fence: () => this.placerFence,
       configNumber: () => this.config?.number ?? 0,
-      sides: () => this.unfollowed(),
-      onCrash: cause => ctx.fail(cause),
+      sides: () => this.unfollowedSides(),
+      onError: cause => ctx.fail(cause),
     });
   }
 
@@ -142,7 +142,7 @@
     const {ctx, options} = this;
     this.lease.run(ctx);
     this.subscribe();
-    ctx.own(() => this.survey.stop());
+    ctx.own(() => this.sidePoller.stop());
     ctx.own(ctx.clock.every(options.tickMs ?? 1_000, () => this.tick()));
     void ctx.mailbox.observe(message => this.handle(message));
   }
@@ -152,7 +152,7 @@
     followMembership(this.ctx, view => {
       this.view = view;
       const fences = [...view.replicas, ...view.entries].map(p => p.fence);
-      this.noteFence(Math.max(0, ...fences));
+      this.observeFence(Math.max(0, ...fences));
     });
     followConfig(this.ctx, config => {
       this.config = config;
@@ -160,7 +160,7 @@
   }
 
   private handle(message: PlacementMessage): void {
-    if (message.kind === 'fence-seen') return this.noteFence(message.fence);
+    if (message.kind === 'fence-seen') return this.observeFence(message.fence);
     message.reply(this.status());
   }
 
@@ -168,30 +168,31 @@
     return {
       placer: this.isPlacer(),
       holder: this.lease.holder(),
-      fence: Math.max(this.lease.fence(), this.fenceSeen),
-      decisions: this.book.decisions(),
+      fence: Math.max(this.lease.fence(), this.highestFence),
+      decisions: this.orders.decisions(),
     };
   }
 
   /** Sides that no heartbeat of this entry goes to. */
-  private unfollowed(): readonly Address[] {
+  private unfollowedSides(): readonly Address[] {
     const {view} = this;
-    if (view === undefined || this.options.survey === undefined) return [];
+    if (view === undefined || this.options.pollerIdentity === undefined)
+      return [];
     const followed = new Set(view.replicas.map(({address}) => address));
     return view.allSides.filter(address => !followed.has(address));
   }
 
-  private replicas(view: MembershipView): readonly Replica[] {
+  private allReplicas(view: MembershipView): readonly Replica[] {
     const followed = new Set(view.replicas.map(({address}) => address));
-    const others = this.survey.replicas();
+    const others = this.sidePoller.replicas();
     return [
       ...view.replicas,
       ...others.filter(({address}) => !followed.has(address)),
     ];
   }
 
-  private noteFence(fence: FencingNumber): void {
-    this.fenceSeen = Math.max(this.fenceSeen, fence);
+  private observeFence(fence: FencingNumber): void {
+    this.highestFence = Math.max(this.highestFence, fence);
   }
 
   /**
@@ -200,22 +201,22 @@
    * seen anywhere says the same before the store does.
    */
   private isPlacer(): boolean {
-    return this.lease.valid() && this.lease.fence() >= this.fenceSeen;
+    return this.lease.valid() && this.lease.fence() >= this.highestFence;
   }
 
   private tick(): void {
-    this.noteRole();
-    if (this.placerFence === 0 || this.planning) return;
-    this.planning = true;
-    this.plan()
+    this.updatePlacerRole();
+    if (this.placerFence === 0 || this.isPlanning) return;
+    this.isPlanning = true;
+    this.runPlan()
       .catch(cause => this.ctx.fail(cause))
       .finally(() => {
-        this.planning = false;
+        this.isPlanning = false;
       });
   }
 
   /** Starts anew with each lease: earlier orders are another placer's. */
-  private noteRole(): void {
+  private updatePlacerRole(): void {
     const fence = this.isPlacer() ? this.lease.fence() : 0;
     if (fence === this.placerFence) return;
     const before = this.placerFence;
@@ -224,40 +225,40 @@
     if (before !== 0) {
       this.ctx.log(PLACEMENT_EVENTS.placerStopped, {
         fence: before,
-        seen: this.fenceSeen,
+        seen: this.highestFence,
       });
     }
-    if (fence === 0) return this.survey.stop();
-    this.book.clear();
-    this.placerSince = this.ctx.clock.now();
-    this.roles = createRoleMemory(this.placerSince);
-    this.survey.start();
+    if (fence === 0) return this.sidePoller.stop();
+    this.orders.clear();
+    this.placerStartedAt = this.ctx.clock.now();
+    this.roleHistory = createRoleHistory(this.placerStartedAt);
+    this.sidePoller.start();
     this.ctx.log(PLACEMENT_EVENTS.placerStarted, {fence});
   }
 
-  private async plan(): Promise<void> {
-    const status = await this.askWeightStore();
+  private async runPlan(): Promise<void> {
+    const status = await this.fetchWeightStoreStatus();
     const {config, view, placerFence: fence} = this;
     // Number 0 declares no models: planned by it, all would be unloaded.
     if (config === undefined || config.number === 0) return;
     if (view === undefined || fence === 0) return;
     const now = this.ctx.clock.now();
-    const replicas = this.replicas(view);
-    if (!this.isHandedOver(replicas, now)) return;
-    this.readBack(replicas, now);
+    const replicas = this.allReplicas(view);
+    if (!this.isHandoverComplete(replicas, now)) return;
+    this.closeSettledOrders(replicas, now);
     const plan = planPlacement({
       now,
       fence,
       declarations: config.declarations,
       replicas,
-      pending: this.book.pending(),
+      pending: this.orders.pending(),
       weightStore: status,
       limits: this.limits,
-      roles: this.roles,
+      roles: this.roleHistory,
     });
-    this.roles = plan.roles;
-    this.noteUnmet(plan);
-    for (const planned of plan.orders) this.send(planned, fence);
+    this.roleHistory = plan.roles;
+    this.reportUnmetWishes(plan);
+    for (const planned of plan.orders) this.sendOrder(planned, fence);
   }
 
   /**
@@ -266,22 +267,29 @@
    * believing or still on its way, could take effect after it at a side that
    * this one has not ordered yet: two placers' plans would mix.
    */
-  private isHandedOver(replicas: readonly Replica[], now: number): boolean {
-    if (now - this.placerSince >= HANDOVER_MS) return true;
-    if (!this.survey.isComplete()) return false;
+  private isHandoverComplete(
+    replicas: readonly Replica[],
+    now: number,
+  ): boolean {
+    if (now - this.placerStartedAt >= HANDOVER_TIMEOUT_MS) return true;
+    if (!this.sidePoller.isFirstPassComplete()) return false;
     return replicas
       .filter(({state, load}) => state === 'live' && load.capacityTokens > 0)
       .every(({fence}) => fence >= this.placerFence);
   }
 
-  private async askWeightStore(): Promise<WeightStoreStatus | undefined> {
+  private async fetchWeightStoreStatus(): Promise<
+    WeightStoreStatus | undefined
+  > {
     const answer = await this.options.weightStore?.();
     return answer?.toMaybe().extract();
   }
 
-  private readBack(replicas: readonly Replica[], now: number): void {
-    this.survey.watch(this.book.pending().map(({address}) => address));
-    for (const closed of this.book.readBack(replicas, now)) {
+  private closeSettledOrders(replicas: readonly Replica[], now: number): void {
+    this.sidePoller.pollPending(
+      this.orders.pending().map(({address}) => address),
+    );
+    for (const closed of this.orders.closeSettled(replicas, now)) {
       const {order, address, outcome, tookMs} = closed;
       this.ctx.metrics.count('onyxloft_placement_orders_total', {
         action: order.action,
@@ -299,21 +307,21 @@
     }
   }
 
-  private noteUnmet({unmet}: Plan): void {
+  private reportUnmetWishes({unmet}: Plan): void {
     const keyOf = ({pool, model}: UnmetWish) => `${pool}/${model}`;
     for (const wish of unmet) {
-      if (this.unmet.has(keyOf(wish))) continue;
+      if (this.unmetWishes.has(keyOf(wish))) continue;
       this.ctx.log(PLACEMENT_EVENTS.wishUnmet, {...wish});
     }
     const keys = new Set(unmet.map(keyOf));
-    for (const wish of this.unmet) {
+    for (const wish of this.unmetWishes) {
       if (!keys.has(wish)) this.ctx.log(PLACEMENT_EVENTS.wishMet, {wish});
     }
     this.ctx.metrics.gauge('onyxloft_placement_unmet', {}, unmet.length);
-    this.unmet = keys;
+    this.unmetWishes = keys;
   }
 
-  private send(planned: PlannedOrder, fence: FencingNumber): void {
+  private sendOrder(planned: PlannedOrder, fence: FencingNumber): void {
     const {address, action, model, version, adapter, role, reason} = planned;
     const orderId = this.ctx.random.hex(ORDER_ID_BYTES);
     const order: OrderReq = {
@@ -329,7 +337,7 @@
       this.ctx.log(PLACEMENT_EVENTS.notSent, {orderId, address, action, fence});
       return;
     }
-    this.book.book(planned, order, this.ctx.clock.now());
+    this.orders.add(planned, order, this.ctx.clock.now());
     this.ctx.log(PLACEMENT_EVENTS.decided, {
       ...order,
       address,
@@ -341,36 +349,40 @@
       .then(answer =>
         answer.caseOf({
           Left: err =>
-            this.noteAnswer(order, 'unanswered', `${err.code}: ${err.message}`),
-          Right: res => this.takeAnswer(order, res),
+            this.recordAnswer(
+              order,
+              'unanswered',
+              `${err.code}: ${err.message}`,
+            ),
+          Right: res => this.handleAnswer(order, res),
         }),
       )
       .catch(cause => this.ctx.fail(cause));
   }
 
-  private takeAnswer(order: OrderReq, res: OrderRes): void {
-    this.noteFence(res.fence);
+  private handleAnswer(order: OrderReq, res: OrderRes): void {
+    this.observeFence(res.fence);
     if (res.state === 'refused') {
-      this.noteAnswer(order, 'refused', res.reason);
-      this.book.refuse(order.orderId, this.ctx.clock.now());
+      this.recordAnswer(order, 'refused', res.reason);
+      this.orders.markRefused(order.orderId, this.ctx.clock.now());
     } else {
-      this.noteAnswer(order, 'accepted', res.reason);
+      this.recordAnswer(order, 'accepted', res.reason);
     }
   }
 
-  private noteAnswer(
+  private recordAnswer(
     order: OrderReq,
     outcome: 'accepted' | 'refused' | 'unanswered',
     reason: string,
   ): void {
-    this.book.note(order.orderId, outcome, reason);
+    this.orders.setOutcome(order.orderId, outcome, reason);
     this.ctx.log(PLACEMENT_EVENTS.orderAnswered, {
       orderId: order.orderId,
       action: order.action,
       outcome,
       reason,
       fence: order.fence,
-      seen: this.fenceSeen,
+      seen: this.highestFence,
     });
   }
 }
--- a/src/placement/plan_roles.ts
+++ b/src/placement/plan_roles.ts
@@ -13,7 +13,7 @@
   PlannedOrder,
   PlannerLimits,
   PoolMix,
-  RoleMemory,
+  RoleHistory,
 } from './plan_types.js';
 
 /** Pools smaller than this keep all engines mixed. */
@@ -26,27 +26,27 @@
   readonly engines: readonly EngineView[];
   readonly policy: PolicyWeights;
   readonly limits: PlannerLimits;
-  readonly memory: RoleMemory;
+  readonly history: RoleHistory;
 }
 
 export interface RolePlan {
   readonly orders: readonly PlannedOrder[];
-  readonly memory: RoleMemory;
+  readonly history: RoleHistory;
 }
 
 /** Starts without knowledge of earlier changes. */
-export function createRoleMemory(now: number): RoleMemory {
+export function createRoleHistory(now: number): RoleHistory {
   return {mixes: new Map(), changedAt: new Map(), startedAt: now};
 }
 
 /** One change of role at most for each pool. */
 export function planRoles(input: RolePlanInput): RolePlan {
   const mixes = new Map<PoolId, PoolMix>();
-  const changedAt = new Map(input.memory.changedAt);
+  const changedAt = new Map(input.history.changedAt);
   const orders: PlannedOrder[] = [];
   for (const [pool, engines] of byPool(input.engines)) {
-    const mix = nextMix(input, engines, input.memory.mixes.get(pool));
-    const order = nextChange(input, pool, engines, mix);
+    const mix = updateMix(input, engines, input.history.mixes.get(pool));
+    const order = planRoleChange(input, pool, engines, mix);
     if (order !== undefined) {
       orders.push(order);
       changedAt.set(order.address, input.now);
@@ -54,8 +54,8 @@
     const lastChangeAt = order === undefined ? mix.lastChangeAt : input.now;
     mixes.set(pool, {...mix, lastChangeAt});
   }
-  const {startedAt} = input.memory;
-  return {orders, memory: {mixes, changedAt, startedAt}};
+  const {startedAt} = input.history;
+  return {orders, history: {mixes, changedAt, startedAt}};
 }
 
 function byPool(
@@ -70,8 +70,8 @@
   return pools;
 }
 
-function nextMix(
-  {now, limits, memory}: RolePlanInput,
+function updateMix(
+  {now, limits, history}: RolePlanInput,
   engines: readonly EngineView[],
   before: PoolMix | undefined,
 ): PoolMix {
@@ -83,10 +83,11 @@
     ? (before?.longShare ?? 0)
     : Math.max(0, total - short) / total;
   if (before === undefined) {
-    const lastChangeAt = memory.startedAt;
+    const lastChangeAt = history.startedAt;
     return {longShare, backlogTokens, updatedAt: now, lastChangeAt};
   }
-  const weight = 1 - Math.exp(-(now - before.updatedAt) / limits.mixTimeMs);
+  const weight =
+    1 - Math.exp(-(now - before.updatedAt) / limits.mixTimeConstantMs);
   return {
     longShare: before.longShare + weight * (longShare - before.longShare),
     backlogTokens:
@@ -106,7 +107,7 @@
 type RoleCounts = Readonly<Record<'long' | 'short', number>>;
 
 /** Wished engines of each role, unrounded. The rest stays mixed. */
-function wishedCounts(
+function targetCounts(
   {policy, limits}: RolePlanInput,
   engines: number,
   mix: PoolMix,
@@ -118,28 +119,28 @@
   return {long, short: (engines - long) / 2};
 }
 
-function nextChange(
+function planRoleChange(
   input: RolePlanInput,
   pool: PoolId,
   engines: readonly EngineView[],
   mix: PoolMix,
 ): PlannedOrder | undefined {
-  const {now, limits, memory} = input;
+  const {now, limits, history} = input;
   if (now - mix.lastChangeAt < limits.roleIntervalMs) return undefined;
-  const wished = wishedCounts(input, engines.length, mix);
-  const have: RoleCounts = {
+  const target = targetCounts(input, engines.length, mix);
+  const current: RoleCounts = {
     long: engines.filter(({role}) => role === 'long').length,
     short: engines.filter(({role}) => role === 'short').length,
   };
-  const change = pickChange(wished, have, limits.roleHysteresis);
+  const change = pickChange(target, current, limits.roleHysteresis);
   if (change === undefined) return undefined;
-  const dwelt = engines.filter(
+  const changeable = engines.filter(
     ({address, busy}) =>
       !busy &&
-      now - (memory.changedAt.get(address) ?? memory.startedAt) >=
+      now - (history.changedAt.get(address) ?? history.startedAt) >=
         limits.roleDwellMs,
   );
-  const [engine] = dwelt
+  const [engine] = changeable
     .filter(({role}) => role === change.from)
     .sort(byBacklog);
   if (engine === undefined) return undefined;
@@ -147,14 +148,14 @@
     action: 'set-role',
     address: engine.address,
     role: change.to,
-    reason: `${change.from} to ${change.to}: ${have.long} long and ${have.short} short engines, ${wished.long.toFixed(1)} and ${wished.short.toFixed(1)} wished`,
+    reason: `${change.from} to ${change.to}: ${current.long} long and ${current.short} short engines, ${target.long.toFixed(1)} and ${target.short.toFixed(1)} wished`,
     figures: {
       pool,
       role: change.to,
       longShare: Number(mix.longShare.toFixed(3)),
       backlogTokens: Math.round(mix.backlogTokens),
       engines: engines.length,
-      candidates: dwelt.length,
+      candidates: changeable.length,
     },
   });
 }
@@ -165,16 +166,16 @@
 }
 
 function pickChange(
-  wished: RoleCounts,
-  have: RoleCounts,
+  target: RoleCounts,
+  current: RoleCounts,
   hysteresis: number,
 ): RoleChange | undefined {
   for (const role of ['long', 'short'] as const) {
-    if (have[role] - wished[role] > hysteresis)
+    if (current[role] - target[role] > hysteresis)
       return {from: role, to: 'mixed'};
   }
   for (const role of ['long', 'short'] as const) {
-    if (wished[role] - have[role] > hysteresis)
+    if (target[role] - current[role] > hysteresis)
       return {from: 'mixed', to: role};
   }
   return undefined;
--- a/src/placement/plan_types.ts
+++ b/src/placement/plan_types.ts
@@ -10,14 +10,14 @@
 /** Bounds of the planner; all times in milliseconds. */
 export interface PlannerLimits {
   /** A report no older is relied on to take a version away. @default 10000 */
-  readonly freshMs: number;
+  readonly maxReliableAgeMs: number;
   /**
    * An engine counts while its report is no older: two passes of the survey
    * over all sides and some delay. @default 70000
    */
-  readonly knownMs: number;
+  readonly maxReportAgeMs: number;
   /** A load should end within this; sets how many run at once. @default 180000 */
-  readonly usefulLoadMs: number;
+  readonly targetLoadMs: number;
   /** Most loads at once, whatever the weight store's rate. @default 4 */
   readonly maxLoads: number;
   /** An engine keeps its role at least so long. @default 120000 */
@@ -25,7 +25,7 @@
   /** Pause between two role changes in one pool. @default 15000 */
   readonly roleIntervalMs: number;
   /** Time constant over which the mix of work is averaged. @default 60000 */
-  readonly mixTimeMs: number;
+  readonly mixTimeConstantMs: number;
   /**
    * Engines by which the wished number must be off before one is changed; over
    * a half, else one flips to and fro at the rounding. @default 0.75
@@ -36,13 +36,13 @@
 }
 
 export const DEFAULT_PLANNER_LIMITS: PlannerLimits = {
-  freshMs: 10_000,
-  knownMs: 70_000,
-  usefulLoadMs: 180_000,
+  maxReliableAgeMs: 10_000,
+  maxReportAgeMs: 70_000,
+  targetLoadMs: 180_000,
   maxLoads: 4,
   roleDwellMs: 120_000,
   roleIntervalMs: 15_000,
-  mixTimeMs: 60_000,
+  mixTimeConstantMs: 60_000,
   roleHysteresis: 0.75,
   minBacklogTokens: 2_000,
 };
@@ -58,7 +58,7 @@
 }
 
 /** What role changes are damped by; carried from plan to plan. */
-export interface RoleMemory {
+export interface RoleHistory {
   readonly mixes: ReadonlyMap<PoolId, PoolMix>;
   /** When an engine's role was last changed. */
   readonly changedAt: ReadonlyMap<Address, number>;
@@ -76,7 +76,7 @@
   /** Undefined while the weight store gives no answer. */
   readonly weightStore: WeightStoreStatus | undefined;
   readonly limits: PlannerLimits;
-  readonly roles: RoleMemory;
+  readonly roles: RoleHistory;
 }
 
 /** An order that the planner asks for, with why. */
@@ -99,14 +99,14 @@
 export interface Plan {
   readonly orders: readonly PlannedOrder[];
   readonly unmet: readonly UnmetWish[];
-  readonly roles: RoleMemory;
+  readonly roles: RoleHistory;
 }
 
 /** An order with the fields that its action does not use left empty. */
 export function plannedOrder(
-  given: Pick<PlannedOrder, 'action' | 'address' | 'reason' | 'figures'> &
+  fields: Pick<PlannedOrder, 'action' | 'address' | 'reason' | 'figures'> &
     Partial<PlannedOrder>,
 ): PlannedOrder {
   const role: EngineRole = 'mixed';
-  return {model: '', version: '', adapter: '', role, ...given};
+  return {model: '', version: '', adapter: '', role, ...fields};
 }
--- a/src/placement/plan_versions.ts
+++ b/src/placement/plan_versions.ts
@@ -6,7 +6,7 @@
  */
 import type {Model, PlacementWish} from '../types/config.js';
 import type {FailureDomain} from '../types/ids.js';
-import {stateOf, versionsIn} from './engine_view.js';
+import {versionStateOf, versionsInState} from './engine_view.js';
 import type {EngineView} from './engine_view.js';
 import type {LoadBudget} from './load_budget.js';
 import {plannedOrder} from './plan_types.js';
@@ -28,62 +28,64 @@
   const chosen: EngineView[] = [];
   const orders: PlannedOrder[] = [];
   for (;;) {
-    const next = nextToLoad(wished, chosen);
-    if (next === undefined || !budget.take(wished.model)) return orders;
+    const next = chooseNextLoad(wished, chosen);
+    if (next === undefined || !budget.tryTake(wished.model)) return orders;
     chosen.push(next.engine);
     orders.push(loadOrder(wished, next, budget));
   }
 }
 
-interface NextLoad {
+interface ChosenLoad {
   readonly engine: EngineView;
   readonly reason: string;
   readonly candidates: number;
 }
 
-function nextToLoad(
+function chooseNextLoad(
   wished: WishedModel,
   chosen: readonly EngineView[],
-): NextLoad | undefined {
+): ChosenLoad | undefined {
   const {engines, model} = wished;
   const holding = engines.filter(
-    engine => holds(engine, model) || chosen.includes(engine),
+    engine => hasVersion(engine, model) || chosen.includes(engine),
   );
   const candidates = engines.filter(
     engine => !holding.includes(engine) && !engine.busy,
   );
-  const short = shortDomains(wished, holding);
-  const inShort = candidates.filter(({failureDomain}) =>
-    short.has(failureDomain),
+  const underserved = underservedDomains(wished, holding);
+  const inUnderserved = candidates.filter(({failureDomain}) =>
+    underserved.has(failureDomain),
   );
-  const isUnder = holding.length < targetCount(wished);
-  const pool = inShort.length > 0 ? inShort : isUnder ? candidates : [];
-  const [engine] = [...pool].sort(byPreference(wished, holding));
+  const isBelowTarget = holding.length < targetCount(wished);
+  const eligible =
+    inUnderserved.length > 0 ? inUnderserved : isBelowTarget ? candidates : [];
+  const [engine] = [...eligible].sort(byPreference(wished, holding));
   if (engine === undefined) return undefined;
-  const reason = reasonToLoad(wished, engine, inShort.length > 0);
-  return {engine, reason, candidates: pool.length};
+  const reason = reasonToLoad(wished, engine, inUnderserved.length > 0);
+  return {engine, reason, candidates: eligible.length};
 }
 
-function holds(engine: EngineView, model: Model): boolean {
-  return stateOf(engine, model.id, model.version) !== 'absent';
+function hasVersion(engine: EngineView, model: Model): boolean {
+  return versionStateOf(engine, model.id, model.version) !== 'absent';
 }
 
 /** Engines that should hold the version: a roll keeps the capacity there was. */
 function targetCount({wish, model, engines}: WishedModel): number {
   const serving = engines.filter(
     engine =>
-      holds(engine, model) || versionsIn(engine, model.id, 'ready').length > 0,
+      hasVersion(engine, model) ||
+      versionsInState(engine, model.id, 'ready').length > 0,
   );
   return Math.min(engines.length, Math.max(wish.minReplicas, serving.length));
 }
 
 /** Failure domains with fewer engines in `holding` than wished. */
-function shortDomains(
+function underservedDomains(
   {wish, engines}: WishedModel,
   holding: readonly EngineView[],
 ): ReadonlySet<FailureDomain> {
-  const all = countDomains(engines);
-  const held = countDomains(holding);
+  const all = countByDomain(engines);
+  const held = countByDomain(holding);
   return new Set(
     [...all]
       .filter(([domain, count]) => {
@@ -94,7 +96,7 @@
   );
 }
 
-function countDomains(
+function countByDomain(
   engines: readonly EngineView[],
 ): ReadonlyMap<FailureDomain, number> {
   const counts = new Map<FailureDomain, number>();
@@ -112,9 +114,9 @@
 function byPreference(wished: WishedModel, holding: readonly EngineView[]) {
   const {model, engines} = wished;
   const serving = engines.filter(
-    engine => versionsIn(engine, model.id, 'ready').length > 0,
+    engine => versionsInState(engine, model.id, 'ready').length > 0,
   );
-  const held = countDomains(holding);
+  const held = countByDomain(holding);
   const rank = (engine: EngineView): readonly number[] => {
     const isServing = serving.includes(engine);
     const isOnly = isServing && serving.length === 1;
@@ -126,25 +128,26 @@
   };
   return (a: EngineView, b: EngineView) => {
     const [ranksA, ranksB] = [rank(a), rank(b)];
-    const at = ranksA.findIndex((value, n) => value !== ranksB[n]);
-    if (at === -1) return a.address < b.address ? -1 : 1;
-    return (ranksA[at] ?? 0) - (ranksB[at] ?? 0);
+    const index = ranksA.findIndex((value, n) => value !== ranksB[n]);
+    if (index === -1) return a.address < b.address ? -1 : 1;
+    return (ranksA[index] ?? 0) - (ranksB[index] ?? 0);
   };
 }
 
 function reasonToLoad(
   {model}: WishedModel,
   engine: EngineView,
-  isDomainShort: boolean,
+  isDomainUnderserved: boolean,
 ): string {
-  if (isDomainShort) return `failure domain ${engine.failureDomain} is short`;
-  const old = versionsIn(engine, model.id, 'ready');
+  if (isDomainUnderserved)
+    return `failure domain ${engine.failureDomain} is short`;
+  const old = versionsInState(engine, model.id, 'ready');
   return old.length > 0 ? `rolls from ${old.join(', ')}` : 'too few replicas';
 }
 
 function loadOrder(
   wished: WishedModel,
-  {engine, reason, candidates}: NextLoad,
+  {engine, reason, candidates}: ChosenLoad,
   budget: LoadBudget,
 ): PlannedOrder {
   const {wish, model, engines} = wished;
@@ -156,23 +159,23 @@
     reason,
     figures: {
       pool: wish.pool,
-      ready: countIn(engines, model, 'ready'),
-      loading: countIn(engines, model, 'loading'),
+      ready: countInState(engines, model, 'ready'),
+      loading: countInState(engines, model, 'loading'),
       target: targetCount(wished),
       candidates,
       loadsAtOnce: budget.inFlight(),
-      loadsAllowed: budget.allowed(model),
+      loadsAllowed: budget.maxConcurrent(model),
     },
   });
 }
 
-function countIn(
+function countInState(
   engines: readonly EngineView[],
   model: Model,
   state: 'ready' | 'loading',
 ): number {
   return engines.filter(
-    engine => stateOf(engine, model.id, model.version) === state,
+    engine => versionStateOf(engine, model.id, model.version) === state,
   ).length;
 }
 
@@ -180,23 +183,24 @@
 export function planUnload(wished: WishedModel): readonly PlannedOrder[] {
   const {engines, model} = wished;
   const ready = engines.filter(
-    engine => stateOf(engine, model.id, model.version) === 'ready',
+    engine => versionStateOf(engine, model.id, model.version) === 'ready',
   );
   // Others may have died since, or be changed by an older placer.
-  const sure = engines.filter(({isSure}) => isSure);
-  const readyAndSure = ready.filter(({isSure}) => isSure);
+  const reliable = engines.filter(({isReliable: isSure}) => isSure);
+  const reliableReady = ready.filter(({isReliable: isSure}) => isSure);
   // The wish as declared, not as the engines at hand could meet it: with most
   // of a pool out of sight one engine would else be enough.
   const wanted = Math.max(wished.wish.minReplicas, targetCount(wished));
   const isMet =
-    readyAndSure.length >= wanted &&
-    shortDomains(wished, readyAndSure).size === 0;
+    reliableReady.length >= wanted &&
+    underservedDomains(wished, reliableReady).size === 0;
   for (const engine of ready.filter(({busy}) => !busy)) {
-    for (const version of versionsIn(engine, model.id, 'ready')) {
+    for (const version of versionsInState(engine, model.id, 'ready')) {
       if (version === model.version) continue;
-      const left = sure.filter(
+      const left = reliable.filter(
         other =>
-          other !== engine && stateOf(other, model.id, version) === 'ready',
+          other !== engine &&
+          versionStateOf(other, model.id, version) === 'ready',
       ).length;
       // The last ready replica of a version in use: without it, callers would
       // depend on a new version that has not proved itself where it is wished.
@@ -228,7 +232,7 @@
 /** The wish when fewer are ready than it asks for. */
 export function unmetWish(wished: WishedModel): readonly UnmetWish[] {
   const {wish, model, engines} = wished;
-  const ready = countIn(engines, model, 'ready');
+  const ready = countInState(engines, model, 'ready');
   if (ready >= wish.minReplicas) return [];
   return [
     {
--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -4,7 +4,12 @@
  * so that a placement decision can be replayed from its figures.
  */
 import type {Declarations, Model} from '../types/config.js';
-import {adaptersOf, stateOf, versionsIn, viewEngines} from './engine_view.js';
+import {
+  adaptersOf,
+  versionStateOf,
+  versionsInState,
+  viewEngines,
+} from './engine_view.js';
 import type {EngineView} from './engine_view.js';
 import {createLoadBudget} from './load_budget.js';
 import {planRoles} from './plan_roles.js';
@@ -19,23 +24,23 @@
   const engines = viewEngines(input);
   const wishes = wishedModels(declarations, engines);
   const budget = createLoadBudget(engines, input.weightStore, limits);
-  const orders = firstForEach([
+  const orders = firstPerEngine([
     ...wishes.flatMap(wished => planLoads(wished, budget)),
     ...wishes.flatMap(planAdapters),
     ...wishes.flatMap(planUnload),
-    ...planRemoved(declarations, engines),
+    ...planRemovedModels(declarations, engines),
   ]);
   const roles = planRoles({
     now: input.now,
     engines: markBusy(engines, orders),
     policy: declarations.policy,
     limits,
-    memory: input.roles,
+    history: input.roles,
   });
   return {
     orders: [...orders, ...roles.orders],
     unmet: wishes.flatMap(unmetWish),
-    roles: roles.memory,
+    roles: roles.history,
   };
 }
 
@@ -65,7 +70,9 @@
 function planAdapters({model, engines}: WishedModel): readonly PlannedOrder[] {
   return engines
     .filter(({busy}) => !busy)
-    .filter(engine => stateOf(engine, model.id, model.version) === 'ready')
+    .filter(
+      engine => versionStateOf(engine, model.id, model.version) === 'ready',
+    )
     .flatMap(engine => {
       const ready = adaptersOf(engine, model.id, model.version);
       const [adapter] = model.adapters.filter(name => !ready.includes(name));
@@ -85,14 +92,14 @@
 }
 
 /** Models that are no longer declared, one engine at a time. */
-function planRemoved(
+function planRemovedModels(
   {models}: Declarations,
   engines: readonly EngineView[],
 ): readonly PlannedOrder[] {
   const declared = new Set(models.map(({id}: Model) => id));
   for (const engine of engines.filter(({busy}) => !busy)) {
     for (const model of engine.versions.keys()) {
-      const [version] = versionsIn(engine, model, 'ready');
+      const [version] = versionsInState(engine, model, 'ready');
       if (declared.has(model) || version === undefined) continue;
       return [
         plannedOrder({
@@ -110,7 +117,7 @@
 }
 
 /** An engine's second order waits until the first was read back. */
-function firstForEach(
+function firstPerEngine(
   orders: readonly PlannedOrder[],
 ): readonly PlannedOrder[] {
   const taken = new Set<string>();
--- a/src/placement/side_poller.ts
+++ b/src/placement/side_poller.ts
@@ -18,54 +18,58 @@
 import type {Transport} from '../types/transport.js';
 
 /** Pause between two questions, so that the rate does not grow. */
-const GAP_MS = 50;
-const SHORTEST_PERIOD_MS = 2_000;
-const LONGEST_PERIOD_MS = 30_000;
+const POLL_GAP_MS = 50;
+const MIN_PASS_MS = 2_000;
+const MAX_PASS_MS = 30_000;
 /** The first pass carries the new number to all sides: it is quicker. */
-const FIRST_PASS_MS = 5_000;
-const TIMEOUT_MS = 1_000;
+const MAX_FIRST_PASS_MS = 5_000;
+const POLL_TIMEOUT_MS = 1_000;
 /** Pause between questions to a side with an order under way. */
-const WATCH_MS = 2_000;
+const PENDING_POLL_MS = 2_000;
 
-export interface SurveySelf {
+export interface PollerIdentity {
   readonly node: NodeId;
   readonly incarnation: Incarnation;
   /** Where this entry listens for peers. */
   readonly address: Address;
 }
 
-export interface SurveyOptions {
-  readonly self: SurveySelf;
+export interface SidePollerOptions {
+  readonly self: PollerIdentity;
   readonly clock: Clock;
   readonly transport: Transport;
   readonly fence: () => FencingNumber;
   readonly configNumber: () => ConfigNumber;
   /** Sides to be asked: those that heartbeats do not go to. */
   readonly sides: () => readonly Address[];
-  readonly onCrash: (cause: unknown) => void;
+  readonly onError: (cause: unknown) => void;
 }
 
-export interface Survey {
+export interface SidePoller {
   /** Forgets what is known and begins the first pass. */
   start(): void;
   stop(): void;
   /** Asks these more often: their orders' effects are waited for. */
-  watch(addresses: readonly Address[]): void;
+  pollPending(addresses: readonly Address[]): void;
   /** Whether each side was asked since the start. */
-  isComplete(): boolean;
+  isFirstPassComplete(): boolean;
   replicas(): readonly Replica[];
 }
 
 /** Makes a survey that is not started. */
-export function createSurvey(options: SurveyOptions): Survey {
+export function createSidePoller(options: SidePollerOptions): SidePoller {
   const {clock, transport, self} = options;
   const known = new Map<Address, Replica>();
-  const askedAt = new Map<Address, number>();
+  const polledAt = new Map<Address, number>();
   let cancelNext: Cancel = () => undefined;
   /** Answers to the questions of an earlier start are dropped. */
-  let round = 0;
+  let generation = 0;
 
-  const take = (address: Address, res: SideHeartbeatRes, sentAt: number) => {
+  const handleReply = (
+    address: Address,
+    res: SideHeartbeatRes,
+    sentAt: number,
+  ) => {
     known.set(address, {
       ...res,
       host: '',
@@ -76,15 +80,15 @@
     });
   };
 
-  const lose = (address: Address) => {
+  const markSuspect = (address: Address) => {
     const before = known.get(address);
     if (before !== undefined) known.set(address, {...before, state: 'suspect'});
   };
 
-  const ask = async (address: Address) => {
-    const started = round;
+  const poll = async (address: Address) => {
+    const startedGeneration = generation;
     const sentAt = clock.now();
-    askedAt.set(address, sentAt);
+    polledAt.set(address, sentAt);
     const req = {
       entry: self.node,
       entryIncarnation: self.incarnation,
@@ -93,79 +97,91 @@
       fence: options.fence(),
       owned: [],
     };
-    const res = await transport.call(address, 'sideHeartbeat', req, TIMEOUT_MS);
-    if (started !== round) return;
+    const res = await transport.call(
+      address,
+      'sideHeartbeat',
+      req,
+      POLL_TIMEOUT_MS,
+    );
+    if (startedGeneration !== generation) return;
     res.caseOf({
-      Left: () => lose(address),
-      Right: side => take(address, side, sentAt),
+      Left: () => markSuspect(address),
+      Right: side => handleReply(address, side, sentAt),
     });
   };
 
-  const askSafely = (address: Address) => {
-    ask(address).catch(options.onCrash);
+  const pollSafely = (address: Address) => {
+    poll(address).catch(options.onError);
   };
 
-  const forget = (sides: readonly Address[]) => {
+  const removeAbsent = (sides: readonly Address[]) => {
     const present = new Set(sides);
-    for (const address of askedAt.keys()) {
+    for (const address of polledAt.keys()) {
       if (present.has(address)) continue;
-      askedAt.delete(address);
+      polledAt.delete(address);
       known.delete(address);
     }
   };
 
   /** The one whose last question lies longest back. */
-  const oldest = (sides: readonly Address[]): Address | undefined => {
+  const leastRecentlyPolled = (
+    sides: readonly Address[],
+  ): Address | undefined => {
     let best: Address | undefined;
     for (const address of sides) {
-      const at = askedAt.get(address) ?? -Infinity;
-      if (best === undefined || at < (askedAt.get(best) ?? -Infinity)) {
+      const at = polledAt.get(address) ?? -Infinity;
+      if (best === undefined || at < (polledAt.get(best) ?? -Infinity)) {
         best = address;
       }
     }
     return best;
   };
 
-  const isComplete = () => options.sides().every(side => askedAt.has(side));
+  const isFirstPassComplete = () =>
+    options.sides().every(side => polledAt.has(side));
 
-  const gapMs = (count: number) => {
-    if (count === 0) return SHORTEST_PERIOD_MS;
-    const usual = Math.min(
-      LONGEST_PERIOD_MS,
-      Math.max(SHORTEST_PERIOD_MS, count * GAP_MS),
+  const nextDelayMs = (count: number) => {
+    if (count === 0) return MIN_PASS_MS;
+    const passMs = Math.min(
+      MAX_PASS_MS,
+      Math.max(MIN_PASS_MS, count * POLL_GAP_MS),
+    );
+    return (
+      (isFirstPassComplete() ? passMs : Math.min(passMs, MAX_FIRST_PASS_MS)) /
+      count
     );
-    return (isComplete() ? usual : Math.min(usual, FIRST_PASS_MS)) / count;
   };
 
-  const next = () => {
+  const pollNext = () => {
     const sides = options.sides();
-    forget(sides);
-    const address = oldest(sides);
-    if (address !== undefined) askSafely(address);
-    cancelNext = clock.after(gapMs(sides.length), next);
+    removeAbsent(sides);
+    const address = leastRecentlyPolled(sides);
+    if (address !== undefined) pollSafely(address);
+    cancelNext = clock.after(nextDelayMs(sides.length), pollNext);
   };
 
   const stop = () => {
-    round += 1;
+    generation += 1;
     cancelNext();
     known.clear();
-    askedAt.clear();
+    polledAt.clear();
   };
 
   return {
     start: () => {
       stop();
-      next();
+      pollNext();
     },
     stop,
-    watch: addresses => {
+    pollPending: addresses => {
       const sides = new Set(options.sides());
       for (const address of addresses) {
-        const sinceMs = clock.now() - (askedAt.get(address) ?? 0);
-        if (sides.has(address) && sinceMs >= WATCH_MS) askSafely(address);
+        const sinceMs = clock.now() - (polledAt.get(address) ?? 0);
+        if (sides.has(address) && sinceMs >= PENDING_POLL_MS)
+          pollSafely(address);
       }
     },
-    isComplete,
+    isFirstPassComplete,
     replicas: () => [...known.values()],
   };
 }
--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -107,7 +107,7 @@
       timing: {
         heartbeatMs: timing.heartbeatMs,
         suspectAfterMs: timing.suspectAfterMs,
-        hostListMs: timing.hostListPollMs,
+        hostListPollMs: timing.hostListPollMs,
       },
       followReplicas: parts.limits.followReplicas,
     }),
@@ -131,7 +131,7 @@
       store,
       transport,
       weightStore: parts.weightStore,
-      survey: parts,
+      pollerIdentity: parts,
     }),
   );
   await kernel.start(
--- a/test/limit_grants.test.ts
+++ b/test/limit_grants.test.ts
@@ -1,14 +1,14 @@
 import {describe, expect, it} from 'vitest';
 import {createHomeLedger} from '../src/limits/home_ledger.js';
 import type {HomeLimits} from '../src/limits/home_ledger.js';
-import {allowanceOf, createShare} from '../src/limits/entry_share.js';
+import {allowanceOf, createEntryShare} from '../src/limits/entry_share.js';
 import {createTestRuntime} from './support/test_runtime.js';
 
 const TTL_MS = 2_000;
 const LIMITS: HomeLimits = {
   maxRunning: 10,
   tokensPerSec: 1_000,
-  part: 1,
+  reachableShare: 1,
   isPresent: () => true,
 };
 
@@ -64,7 +64,7 @@
 
   it('grants its part while it does not reach all entries', () => {
     const {ask} = createLedger();
-    expect(ask('a', 10, 0, 0, {...LIMITS, part: 0.5})).toBe(5);
+    expect(ask('a', 10, 0, 0, {...LIMITS, reachableShare: 0.5})).toBe(5);
   });
 
   it('lets grants live longer when many entries ask', () => {
@@ -92,37 +92,37 @@
   const grant = {places: 2, tokens: 100, ttlMs: TTL_MS, home: true};
 
   it('lapses its time to live after it was asked for', () => {
-    const share = createShare(TTL_MS);
-    share.enter(grant, 1_000);
-    expect(share.take(10, 2_999)).toBe('none');
-    expect(share.take(10, 3_000)).toBe('places');
-    share.enter({...grant, tokens: 0}, 2_500);
-    expect(share.take(10, 3_000)).toBe('tokens');
+    const share = createEntryShare(TTL_MS);
+    share.addGrant(grant, 1_000);
+    expect(share.tryTake(10, 2_999)).toBe('none');
+    expect(share.tryTake(10, 3_000)).toBe('places');
+    share.addGrant({...grant, tokens: 0}, 2_500);
+    expect(share.tryTake(10, 3_000)).toBe('tokens');
   });
 
   it('stands on a small allowance without the home', () => {
-    expect(allowanceOf(64, 4_000, 4)).toEqual({places: 4, tokensPerSec: 250});
-    expect(allowanceOf(2, 4_000, 4).places).toBe(1);
-    const share = createShare(TTL_MS);
-    share.fallBack({places: 1, tokensPerSec: 250}, 0);
-    expect(share.take(1_000, 0)).toBe('none');
-    expect(share.take(1, 0)).toBe('places');
+    expect(allowanceOf(64, 4_000, 4)).toEqual({slots: 4, tokensPerSec: 250});
+    expect(allowanceOf(2, 4_000, 4).slots).toBe(1);
+    const share = createEntryShare(TTL_MS);
+    share.setAllowance({slots: 1, tokensPerSec: 250}, 0);
+    expect(share.tryTake(1_000, 0)).toBe('none');
+    expect(share.tryTake(1, 0)).toBe('places');
     share.release();
     // 750 in debt: over 0 again after three seconds and a little.
-    expect(share.take(1, 3_000)).toBe('tokens');
-    expect(share.take(1, 3_010)).toBe('none');
+    expect(share.tryTake(1, 3_000)).toBe('tokens');
+    expect(share.tryTake(1, 3_010)).toBe('none');
   });
 
   it('asks for what waits, a quarter more, and what two periods used', () => {
-    const share = createShare(TTL_MS);
-    expect(share.wants(4, 400, 0)).toEqual({places: 5, tokens: 400});
-    share.enter({...grant, places: 9, tokens: 1_000}, 0);
+    const share = createEntryShare(TTL_MS);
+    expect(share.demand(4, 400, 0)).toEqual({slots: 5, tokens: 400});
+    share.addGrant({...grant, places: 9, tokens: 1_000}, 0);
     for (const now of [0, 1]) {
-      share.take(300, now);
+      share.tryTake(300, now);
       share.release();
-      share.endPeriod(now);
+      share.endRenewalPeriod(now);
     }
-    expect(share.wants(0, 0, 2)).toEqual({places: 2, tokens: 0});
-    expect(share.wants(0, 0, TTL_MS)).toEqual({places: 2, tokens: 300});
+    expect(share.demand(0, 0, 2)).toEqual({slots: 2, tokens: 0});
+    expect(share.demand(0, 0, TTL_MS)).toEqual({slots: 2, tokens: 300});
   });
 });
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {ORGANISATION, createLimitsFleet} from './support/limits_fleet.js';
-import type {Entry} from './support/limits_fleet.js';
+import type {LimitsEntry} from './support/limits_fleet.js';
 
 const MAX_RUNNING = 64;
 const TTL_MS = 2_000;
@@ -77,7 +77,7 @@
     }
     const unseen = await fleet.peakOver(5_000);
     for (const [index, own] of halves.entries()) {
-      const other = new Set<Entry>(halves[1 - index]);
+      const other = new Set<LimitsEntry>(halves[1 - index]);
       for (const entry of own) {
         fleet.show(entry, peer => (other.has(peer) ? 'suspect' : 'live'));
       }
@@ -106,7 +106,7 @@
     fleet.startLoad(busy, {...LOAD, perSec: 200});
     fleet.startLoad(calm, {...LOAD, perSec: 20});
     await fleet.clock.runFor(30_000);
-    const admitted = (entry: Entry): number =>
+    const admitted = (entry: LimitsEntry): number =>
       entry.admitted / (entry.admitted + entry.refusals.length);
     expect(admitted(calm)).toBeGreaterThanOrEqual(admitted(busy));
     expect(busy.admitted).toBeGreaterThan(2 * calm.admitted);
--- a/test/placement_placers.test.ts
+++ b/test/placement_placers.test.ts
@@ -4,7 +4,7 @@
 import type {
   FakePlacer,
   FencedBy,
-  FleetOptions,
+  PlacementFleetOptions,
   PlacementFleet,
 } from './support/placement_fleet.js';
 
@@ -15,7 +15,7 @@
 
 afterEach(() => fleet.stop());
 
-async function start(options: FleetOptions, placers = 1) {
+async function start(options: PlacementFleetOptions, placers = 1) {
   fleet = await createPlacementFleet(options);
   for (let n = 0; n < placers; n++) await fleet.addPlacer();
 }
@@ -69,7 +69,7 @@
     await start({sides: 6, bytesPerSec: 240e6});
     fleet.declare(1, declareModel('1', {minReplicas: 6}));
     await fleet.runFor(700_000);
-    expect(fleet.mostLoads()).toBe(2);
+    expect(fleet.maxConcurrentLoads()).toBe(2);
     expect(readyWith('1')).toBe(6);
   });
 
@@ -159,7 +159,7 @@
       // It has heard of the higher number by that, and sends nothing more.
       await fleet.runFor(10_000);
       expect(refusalsOf(first)).toBe(refused);
-      first.isBlind = false;
+      first.isMembershipFrozen = false;
       await fleet.runFor(180_000);
       expectFenced();
       expect([readyWith('1'), readyWith('2')]).toEqual([0, 2]);
@@ -171,14 +171,14 @@
     // engines would be changed by two plans in turn.
     it('a new placer waits until all sides know its number', async () => {
       const first = await placerWithoutLease(by);
-      fleet.sides[3].isDeaf = true;
+      fleet.sides[3].missesHeartbeats = true;
       const second = await fleet.addPlacer({leaseCreateAfterMs: 0});
       const all = declareModel('2', {minReplicas: 4});
       second.declare({number: 2, declarations: all});
       await fleet.runFor(3_500);
       first.declare({number: 2, declarations: all});
       await fleet.runFor(1_500);
-      fleet.sides[3].isDeaf = false;
+      fleet.sides[3].missesHeartbeats = false;
       await fleet.runFor(180_000);
       expect(fleet.effects.filter(({order}) => order.fence === 1)).toHaveLength(
         3,
@@ -200,7 +200,7 @@
   await fleet.runFor(60_000);
   const lease = fleet.core.peek('lease/placer').unsafeCoerce();
   void fleet.core.remove('lease/placer', lease.version, 'lease');
-  placer.isBlind = true;
+  placer.isMembershipFrozen = true;
   return placer;
 }
 
--- a/test/placement_planner.test.ts
+++ b/test/placement_planner.test.ts
@@ -1,13 +1,13 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {createRoleMemory} from '../src/placement/plan_roles.js';
+import {createRoleHistory} from '../src/placement/plan_roles.js';
 import {DEFAULT_PLANNER_LIMITS} from '../src/placement/plan_types.js';
 import type {Plan, PlanInput} from '../src/placement/plan_types.js';
 import {planPlacement} from '../src/placement/planner.js';
 import type {ModelState} from '../src/types/peer_messages.js';
 import type {Replica} from '../src/types/services.js';
 import {
-  IDLE,
+  IDLE_LOAD,
   declareModel,
   readyModel,
   replicaOf,
@@ -21,10 +21,10 @@
       {
         address: `127.0.0.1:${8000 + n}`,
         models: states,
-        load: IDLE,
+        load: IDLE_LOAD,
         failureDomain: DOMAINS[n % DOMAINS.length],
         fence: 1,
-        isDeaf: false,
+        missesHeartbeats: false,
       },
       0,
     ),
@@ -40,7 +40,7 @@
     pending: [],
     weightStore: {bytesPerSec: 1e12, activeTransfers: 0, queuedTransfers: 0},
     limits: DEFAULT_PLANNER_LIMITS,
-    roles: createRoleMemory(0),
+    roles: createRoleHistory(0),
     ...given,
   });
 }
@@ -185,7 +185,7 @@
     shortShareAt: (second: number) => number,
   ): number {
     const backlog = 50_000;
-    let roles = createRoleMemory(0);
+    let roles = createRoleHistory(0);
     let replicas = SIX;
     let changes = 0;
     for (let second = 0; second < seconds; second++) {
@@ -194,7 +194,7 @@
       replicas = replicas.map(replica => ({
         ...replica,
         loadAt: now,
-        load: {...IDLE, prefillBacklogTokens: backlog, shortBacklogTokens},
+        load: {...IDLE_LOAD, prefillBacklogTokens: backlog, shortBacklogTokens},
       }));
       const made = plan({now, declarations, replicas, roles});
       roles = made.roles;
--- a/test/support/limits_fleet.ts
+++ b/test/support/limits_fleet.ts
@@ -20,7 +20,7 @@
 
 export const ORGANISATION = 'prairie';
 
-export interface FleetOptions {
+export interface LimitsFleetOptions {
   readonly entries: number;
   readonly maxRunning: number;
   readonly tokensPerSec?: number;
@@ -28,14 +28,14 @@
 }
 
 /** A load of requests on one entry. */
-export interface Load {
+export interface RequestLoad {
   /** Arrivals a second, evenly spread in chance. */
   readonly perSec: number;
   readonly holdMs: number;
   readonly tokens: number;
 }
 
-export interface Entry {
+export interface LimitsEntry {
   readonly address: string;
   readonly node: string;
   readonly clock: PausableClock;
@@ -44,11 +44,11 @@
   admitted: number;
   tokens: number;
   readonly refusals: OnyxError[];
-  view: (view: MembershipView) => void;
+  setMembership: (view: MembershipView) => void;
   isUp: boolean;
 }
 
-function declarations(options: FleetOptions): Declarations {
+function declarations(options: LimitsFleetOptions): Declarations {
   const {maxRunning, tokensPerSec = 1e9} = options;
   const organisation = {
     id: ORGANISATION,
@@ -61,20 +61,20 @@
   return {organisations: [organisation]} as unknown as Declarations;
 }
 
-export async function createLimitsFleet(options: FleetOptions) {
+export async function createLimitsFleet(options: LimitsFleetOptions) {
   const shared = createVirtualClock();
   const random = createSeededRandom(options.seed ?? 1);
   const network = createMemoryNetwork(shared, random);
-  const entries: Entry[] = [];
+  const entries: LimitsEntry[] = [];
   const runtime = createRecordingRuntime({clock: shared, random});
 
-  const startEntry = async (index: number): Promise<Entry> => {
+  const startEntry = async (index: number): Promise<LimitsEntry> => {
     const address = `10.0.0.${index + 1}:7300`;
     const clock = createPausableClock(shared);
     const kernel = createKernel({...runtime.runtime, clock});
     const transport = network.transport(address);
     const node = `entry-${index}`;
-    const entry: Entry = {
+    const entry: LimitsEntry = {
       address,
       node,
       clock,
@@ -83,7 +83,7 @@
       admitted: 0,
       tokens: 0,
       refusals: [],
-      view: () => undefined,
+      setMembership: () => undefined,
       isUp: true,
     };
     await kernel.start({
@@ -99,7 +99,8 @@
       name: 'membership',
       start: ctx => {
         void ctx.mailbox.observe(message => {
-          if (message.kind === 'subscribe') entry.view = message.listener;
+          if (message.kind === 'subscribe')
+            entry.setMembership = message.listener;
         });
       },
     });
@@ -121,9 +122,9 @@
   await shared.settle();
 
   /** Tells an entry in which state it sees the others. */
-  const show = (
-    to: Entry,
-    stateOf: (entry: Entry) => EntryPeer['state'],
+  const setPeerStates = (
+    to: LimitsEntry,
+    stateOf: (entry: LimitsEntry) => EntryPeer['state'],
   ): void => {
     const peers = entries
       .filter(entry => entry !== to)
@@ -136,9 +137,9 @@
         configNumber: 1,
         fence: 0,
       }));
-    to.view({replicas: [], allSides: [], entries: peers});
+    to.setMembership({replicas: [], allSides: [], entries: peers});
   };
-  for (const entry of entries) show(entry, () => 'live');
+  for (const entry of entries) setPeerStates(entry, () => 'live');
   await shared.runFor(10_000);
 
   let peak = 0;
@@ -146,7 +147,7 @@
   const running = (): number =>
     entries.reduce((sum, entry) => sum + (entry.isUp ? entry.running : 0), 0);
 
-  const request = (entry: Entry, load: Load): void => {
+  const request = (entry: LimitsEntry, load: RequestLoad): void => {
     const asked = entry.kernel.ask(
       'limits',
       (reply: (outcome: Either<OnyxError, void>) => void) => ({
@@ -183,7 +184,7 @@
   };
 
   /** Requests come to the entry until the returned function is called. */
-  const startLoad = (entry: Entry, load: Load): (() => void) => {
+  const startLoad = (entry: LimitsEntry, load: RequestLoad): (() => void) => {
     let ended = false;
     const next = (): void => {
       const gapMs = (-Math.log(1 - random.next()) * 1_000) / load.perSec;
@@ -206,14 +207,14 @@
     return peak;
   };
 
-  const kill = (entry: Entry): void => {
+  const kill = (entry: LimitsEntry): void => {
     entry.isUp = false;
     entry.clock.stop();
     network.faults.down(entry.address);
   };
 
   /** The organisation's home among these entries. */
-  const homeAmong = (among: readonly Entry[]): Entry => {
+  const homeOf = (among: readonly LimitsEntry[]): LimitsEntry => {
     const nodes = among.map(entry => ({id: entry.node, entry}));
     const best = rendezvousFirst(`limits ${ORGANISATION}`, nodes);
     if (best === undefined) throw new Error('there are no entries');
@@ -225,13 +226,13 @@
     faults: network.faults,
     runtime,
     clock: shared,
-    show,
+    show: setPeerStates,
     request,
     startLoad,
     peakOver,
     running,
     kill,
-    homeAmong,
+    homeAmong: homeOf,
     asks: () => network.callCount('grant'),
     stop: async () => {
       isStopped = true;
--- a/test/support/placement_fleet.ts
+++ b/test/support/placement_fleet.ts
@@ -72,7 +72,7 @@
   };
 }
 
-export const IDLE: SideLoad = {
+export const IDLE_LOAD: SideLoad = {
   capacityTokens: 400_000,
   freeTokens: 400_000,
   running: 0,
@@ -100,7 +100,7 @@
   readonly failureDomain: string;
   fence: number;
   /** While true no heartbeat reaches it; orders do. */
-  isDeaf: boolean;
+  missesHeartbeats: boolean;
 }
 
 export interface FakePlacer {
@@ -110,7 +110,7 @@
   readonly kernel: Kernel;
   readonly recording: RecordingRuntime;
   /** While true it sends no heartbeats and its view stands still. */
-  isBlind: boolean;
+  isMembershipFrozen: boolean;
   declare(config: NumberedDeclarations): void;
   status(): Promise<PlacementStatus>;
 }
@@ -124,7 +124,7 @@
   readonly placers: readonly FakePlacer[];
   readonly effects: readonly Effect[];
   /** Most engines that loaded at once. */
-  mostLoads(): number;
+  maxConcurrentLoads(): number;
   addPlacer(options?: Partial<PlacementServiceOptions>): Promise<FakePlacer>;
   declare(number: number, declarations: Declarations): void;
   /** Runs on and calls `check` each 100 ms. */
@@ -132,7 +132,7 @@
   stop(): Promise<void>;
 }
 
-export interface FleetOptions {
+export interface PlacementFleetOptions {
   readonly sides: number;
   readonly fencedBy?: FencedBy;
   readonly models?: readonly string[];
@@ -146,7 +146,7 @@
 
 /** Starts sides without placers. */
 export async function createPlacementFleet(
-  options: FleetOptions,
+  options: PlacementFleetOptions,
 ): Promise<PlacementFleet> {
   const clock = createVirtualClock();
   const random = createSeededRandom(7);
@@ -160,9 +160,9 @@
   const effects: Effect[] = [];
   const placers: FakePlacer[] = [];
   let loading = 0;
-  let mostLoads = 0;
+  let maxConcurrentLoads = 0;
 
-  const carryOut = (side: FakeSide, order: OrderReq): void => {
+  const executeOrder = (side: FakeSide, order: OrderReq): void => {
     effects.push({at: clock.now(), address: side.address, order});
     const {model, version} = order;
     const others = side.models.filter(state => state.version !== version);
@@ -174,7 +174,7 @@
       const state = {...readyModel(version), ready: false};
       side.models = [...others, state];
       loading += 1;
-      mostLoads = Math.max(mostLoads, loading);
+      maxConcurrentLoads = Math.max(maxConcurrentLoads, loading);
       const transfer = weights.start({model, version, bytes: WEIGHT_BYTES});
       void weights.whenOver(transfer?.id ?? '').then(() => {
         loading -= 1;
@@ -193,7 +193,7 @@
       return {state: 'refused', reason, fence: side.fence};
     }
     side.fence = Math.max(side.fence, order.fence);
-    carryOut(side, order);
+    executeOrder(side, order);
     const state = order.action === 'load' ? 'started' : 'done';
     return {state, reason: '', fence: side.fence};
   };
@@ -204,10 +204,10 @@
       const side: FakeSide = {
         address: `127.0.0.1:${8000 + n}`,
         models: (options.models ?? []).map(readyModel),
-        load: IDLE,
+        load: IDLE_LOAD,
         failureDomain: domains[n % domains.length],
         fence: 0,
-        isDeaf: false,
+        missesHeartbeats: false,
       };
       await net.transport(side.address).listen(side.address, {
         order: order => Promise.resolve(onOrder(side, order)),
@@ -241,17 +241,19 @@
     const recording = createRecordingRuntime({clock, random});
     const kernel = createKernel({...recording.runtime, clock: host});
     const store = storeOnHost(createMemoryObjectStore({core, clock}), host);
-    let tellConfig = (_config: NumberedDeclarations) => {};
+    let publishConfig = (_config: NumberedDeclarations) => {};
     const config: ServiceSpec<'config'> = {
       name: 'config',
       start: ctx => {
         void ctx.mailbox.observe(message => {
-          if (message.kind === 'subscribe') tellConfig = message.listener;
+          if (message.kind === 'subscribe') publishConfig = message.listener;
         });
       },
     };
     await kernel.start(config);
-    await kernel.start(membershipOf(sides, () => placer.isBlind));
+    await kernel.start(
+      createMembership(sides, () => placer.isMembershipFrozen),
+    );
     await kernel.start(
       createPlacementService({
         node: name,
@@ -267,8 +269,8 @@
       host,
       kernel,
       recording,
-      isBlind: false,
-      declare: next => tellConfig(next),
+      isMembershipFrozen: false,
+      declare: next => publishConfig(next),
       status: () => kernel.ask('placement', reply => ({kind: 'status', reply})),
     };
     placers.push(placer);
@@ -284,7 +286,7 @@
     sides,
     placers,
     effects,
-    mostLoads: () => mostLoads,
+    maxConcurrentLoads: () => maxConcurrentLoads,
     addPlacer,
     declare: (number, declarations) => {
       for (const placer of placers) placer.declare({number, declarations});
@@ -307,32 +309,34 @@
 }
 
 /** Tells the view each heartbeat period, as the heartbeats would. */
-function membershipOf(
+function createMembership(
   sides: readonly FakeSide[],
-  isBlind: () => boolean,
+  isFrozen: () => boolean,
 ): ServiceSpec<'membership'> {
   return {
     name: 'membership',
     start: ctx => {
       const listeners = new Set<(view: MembershipView) => void>();
-      const look = () => ({
+      const currentView = () => ({
         replicas: sides.map(side => replicaOf(side, ctx.clock.now())),
         allSides: [],
         entries: [],
       });
-      const beat = (fence: number) => {
-        if (isBlind()) return;
+      const sendHeartbeats = (fence: number) => {
+        if (isFrozen()) return;
         // Heartbeats carry the number that this entry knows to the sides.
-        for (const side of sides.filter(({isDeaf}) => !isDeaf)) {
+        for (const side of sides.filter(
+          ({missesHeartbeats: isDeaf}) => !isDeaf,
+        )) {
           side.fence = Math.max(side.fence, fence);
         }
-        const view = look();
+        const view = currentView();
         for (const listener of listeners) listener(view);
       };
       void ctx.mailbox.observe(message => {
         if (message.kind !== 'subscribe') return;
         listeners.add(message.listener);
-        message.listener(look());
+        message.listener(currentView());
       });
       ctx.own(
         ctx.clock.every(
@@ -343,7 +347,7 @@
                 kind: 'status',
                 reply,
               }))
-              .then(({fence}) => beat(fence)),
+              .then(({fence}) => sendHeartbeats(fence)),
         ),
       );
     },
