--- a/src/limits/home_ledger.ts
+++ b/src/limits/home_ledger.ts
@@ -88,9 +88,7 @@
 }
 
 function withoutExpired(record: EntryRecord, now: number): EntryRecord {
-  const grants = record.grants.filter(
-    ({expiresAt: lapsesAt}) => lapsesAt > now,
-  );
+  const grants = record.grants.filter(({expiresAt}) => expiresAt > now);
   return {...record, grants};
 }
 
@@ -99,7 +97,7 @@
   grants: readonly SlotGrant[],
   next: SlotGrant,
 ): readonly SlotGrant[] {
-  const larger = grants.filter(({slots: places}) => places > next.slots);
+  const larger = grants.filter(({slots}) => slots > next.slots);
   return [...larger, next];
 }
 
--- a/src/membership/assigned_sides.ts
+++ b/src/membership/assigned_sides.ts
@@ -1,24 +1,37 @@
 /**
- * Which sides an entry follows so that no side is followed by nobody. Subsets
- * are drawn by each entry alone: with few entries for many sides some side is
- * in none of them. It would take no work, and get no new configuration while
- * the store is out. So each side has two entries, by rendezvous hashing, that
- * follow it whatever their subsets are.
+ * Assigns every side to two entries, which follow it whatever their subsets
+ * are. Each entry chooses its subset on its own, so with few entries and many
+ * sides some side may be in no subset. Such a side would get no work, and no
+ * new configuration while the store is unavailable. Rendezvous hashing makes
+ * all entries agree on the assignment.
  */
 import type {Address} from '../types/ids.js';
 import {rendezvousNames} from '../utils/rendezvous.js';
 
-/** Entries of each side; one may be gone and still be listed. */
+/**
+ * Entries assigned to each side. With two, the side still has a follower when
+ * one of them has died and the host list still shows it.
+ */
 const FOLLOWERS_PER_SIDE = 2;
-/** With a side in this many subsets on average, none is in no subset. */
+/**
+ * Mean number of subsets per side from which nothing is assigned: with so many
+ * subsets no side is left out of all of them.
+ */
 const ENOUGH_MEAN_FOLLOWERS = 12;
 
+/** What the assignment depends on, apart from the sides and entries. */
 export interface AssignedSidesOptions {
+  /** Address of this entry. */
   readonly self: Address;
+  /** Replicas that each entry chooses for its own subset. */
   readonly followReplicas: number;
 }
 
-/** Gives the sides that this entry guards; keeps the last outcome. */
+/**
+ * Returns a function that gives the sides assigned to this entry. The function
+ * caches the last result, and recomputes it when a side or an entry has come or
+ * gone.
+ */
 export function createAssignedSides({
   self,
   followReplicas,
--- a/src/membership/follow_membership.ts
+++ b/src/membership/follow_membership.ts
@@ -1,14 +1,16 @@
-/** Keeps a service of an entry told of the membership. */
+/** Delivers membership views to another service of the same entry. */
 import type {ServiceContext, ServiceName} from '../types/kernel.js';
 import type {MembershipView} from '../types/services.js';
 
+/** How often a service subscribes again. */
 const RESUBSCRIBE_INTERVAL_MS = 5_000;
 
 /**
- * Subscribes, and again each few seconds. A membership that failed and was
- * restarted has lost its subscribers: without this the service would go on
- * with the last view for good, and `/readyz` with it. A listener that is still
- * known is kept once only.
+ * Subscribes at once and then periodically. A membership service that failed
+ * and was restarted has lost its subscribers; without the repetition the other
+ * service would use its last view forever, and `/readyz` would report that
+ * view. The membership service keeps a listener that it already knows only
+ * once.
  */
 export function followMembership<N extends ServiceName>(
   ctx: ServiceContext<N>,
--- a/src/membership/heartbeats.ts
+++ b/src/membership/heartbeats.ts
@@ -1,6 +1,7 @@
 /**
- * Sends heartbeats to each followed peer on a timer of its own, one in flight
- * per peer, so that a slow peer delays no other and answers come in order.
+ * Sends heartbeats to each followed peer on a separate timer, with at most one
+ * in flight for each peer. A slow peer therefore delays no other peer, and the
+ * replies of one peer arrive in order.
  */
 import type {Either} from 'purify-ts';
 import type {OnyxError} from '../types/errors.js';
@@ -15,22 +16,34 @@
 import type {Transport} from '../types/transport.js';
 import type {MembershipTiming} from './timing.js';
 
-/** First heartbeats to new peers spread over this long. */
+/**
+ * The first heartbeat to a new peer is sent after a random delay up to this, so
+ * that heartbeats to many new peers are not sent in one burst.
+ */
 const FIRST_HEARTBEAT_SPREAD_MS = 100;
 
+/** What to send to a peer, and who receives the reply. */
 export interface HeartbeatOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly transport: Transport;
   readonly timing: MembershipTiming;
+  /** True when the peer is an entry, false when it is a side. */
   readonly isEntry: (address: Address) => boolean;
+  /** Builds the request to a side. */
   readonly sideRequest: (address: Address) => SideHeartbeatReq;
+  /** Builds the request to another entry. */
   readonly entryRequest: () => EntryHeartbeatReq;
+  /**
+   * Receives the reply of a side or the error. `sentAt` is the time of the
+   * request on this process's clock, in milliseconds.
+   */
   readonly onSideReply: (
     address: Address,
     res: Either<OnyxError, SideHeartbeatRes>,
     sentAt: number,
   ) => void;
+  /** Receives the reply of an entry or the error. */
   readonly onEntryReply: (
     address: Address,
     res: Either<OnyxError, EntryHeartbeatRes>,
@@ -38,18 +51,25 @@
   ) => void;
 }
 
+/** Heartbeats to a set of peers. */
 export interface Heartbeats {
-  /** Sends to these from now on, and to no others. */
+  /** Sends heartbeats to these peers from now on, and to no others. */
   setPeers(addresses: ReadonlySet<Address>): void;
-  /** Brings the next heartbeat to this peer forward. */
+  /**
+   * Sends the next heartbeat to this peer at once, or as soon as the one in
+   * flight has ended.
+   */
   sendSoon(address: Address): void;
+  /** Stops all heartbeats, and drops the replies that are still to come. */
   stop(): void;
 }
 
+/** Creates heartbeats without any peer. */
 export function createHeartbeats(options: HeartbeatOptions): Heartbeats {
   const {clock, timing, transport} = options;
   const timers = new Map<Address, Cancel>();
   const inFlight = new Set<Address>();
+  /** Peers whose next heartbeat follows the one in flight without a pause. */
   const sendAgainSoon = new Set<Address>();
 
   const schedule = (address: Address, delayMs: number) => {
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -1,6 +1,7 @@
 /**
- * What is known of one peer, side or entry, and the state that follows from
- * it. The host list and direct evidence are merged here.
+ * What an entry knows of one peer, a side or another entry, and the state that
+ * it derives. A member combines what the host list shows with what heartbeats
+ * and connections show.
  */
 import type {
   Address,
@@ -18,41 +19,65 @@
 import type {EntryPeer, Replica} from '../types/services.js';
 import type {MembershipTiming} from './timing.js';
 
-/** Pool name under which the host list shows entries. */
+/** Name of the pool under which the host list shows entries. */
 export const ENTRY_POOL: PoolId = 'entry';
 
+/** State of a peer as other services see it. */
 export type MemberState = Replica['state'];
 
+/**
+ * One peer as this entry knows it. Times are in milliseconds on this process's
+ * clock.
+ */
 export interface Member {
   readonly host: HostId;
   readonly address: Address;
   readonly pool: PoolId;
   readonly failureDomain: FailureDomain;
-  /** The newest host list shows it. */
+  /** True when the newest host list contains the peer. */
   readonly listed: boolean;
+  /** True when the newest host list shows the peer as leaving. */
   readonly listedLeaving: boolean;
-  /** Empty until it answered or was named by evidence. */
+  /** Empty until the peer answered. */
   readonly node: NodeId;
+  /** Empty until the peer answered or evidence named its incarnation. */
   readonly incarnation: Incarnation;
-  /** Incarnation that was seen leaving; never taken back for it. */
+  /**
+   * Incarnation that was seen leaving. The peer counts as leaving as long as it
+   * has this incarnation, even if it reports otherwise later.
+   */
   readonly leavingIncarnation: Incarnation | undefined;
-  /** On this process's clock; the time it was first seen counts as one. */
+  /**
+   * Time of the last answer. Before the first answer, the time when the peer
+   * became known; after a pause of this process, the end of the pause.
+   */
   readonly lastAnswerAt: number;
+  /** True once the peer has answered or sent a heartbeat. */
   readonly answered: boolean;
-  /** A connection was refused or an offer unanswered since the last answer. */
+  /**
+   * True when a connection was refused or an offer remained unanswered since
+   * the last answer.
+   */
   readonly unreachable: boolean;
-  /** When it became suspect. */
+  /** Time when the peer became silent; undefined while it is not silent. */
   readonly suspectSince: number | undefined;
+  /**
+   * Load that a side reported last. `EMPTY_LOAD` for an entry, and until the
+   * first report.
+   */
   readonly load: SideLoad;
+  /** Time when `load` was received. */
   readonly loadAt: number;
   readonly models: readonly ModelState[];
   readonly configNumber: ConfigNumber;
   readonly fence: FencingNumber;
+  /** Round-trip time of the last heartbeat to a side. */
   readonly rttMs: number;
-  /** Dispatches there that this entry owns. */
+  /** Dispatches at the peer that this entry owns. */
   readonly owned: readonly DispatchId[];
 }
 
+/** Load of a peer that has reported none. */
 export const EMPTY_LOAD: SideLoad = {
   capacityTokens: 0,
   freeTokens: 0,
@@ -65,7 +90,10 @@
   reportAgeMs: 0,
 };
 
-/** A peer of which only its address is known, as when adopting a run. */
+/**
+ * Creates a member of which only the address is known, as when this entry takes
+ * over a run at a side that it does not follow.
+ */
 export function createMember(address: Address, now: number): Member {
   return {
     host: '',
@@ -91,6 +119,7 @@
   };
 }
 
+/** The member with what the newest host list shows. */
 export function withHostInfo(member: Member, info: HostInfo): Member {
   return {
     ...member,
@@ -102,7 +131,11 @@
   };
 }
 
-/** A new incarnation has nothing of the old one's load, nor its leaving. */
+/**
+ * The member with the incarnation that the peer reported. When the incarnation
+ * is a new one, the peer's process was restarted: the load and the models of
+ * the old process are dropped.
+ */
 export function withIncarnation(
   member: Member,
   incarnation: Incarnation,
@@ -111,11 +144,15 @@
   return {...member, incarnation, load: EMPTY_LOAD, models: []};
 }
 
+/** True when the member is an entry. */
 export function isEntry(member: Member): boolean {
   return member.pool === ENTRY_POOL;
 }
 
-/** Whichever of host list and the peer itself says leaving first wins. */
+/**
+ * True when the host list or the peer itself has reported that it leaves. One
+ * of the two is enough, because either may be late.
+ */
 export function isLeaving(member: Member): boolean {
   const hasReportedLeaving =
     member.leavingIncarnation !== undefined &&
@@ -123,6 +160,7 @@
   return member.listedLeaving || hasReportedLeaving;
 }
 
+/** State of the member at the time `now`. */
 export function memberStateOf(
   member: Member,
   now: number,
@@ -133,7 +171,10 @@
   return 'live';
 }
 
-/** No answer for too long, or a refused connection since the last one. */
+/**
+ * True when the peer has not answered for `suspectAfterMs`, or has been
+ * unreachable since its last answer.
+ */
 export function isSilent(
   member: Member,
   now: number,
@@ -144,6 +185,7 @@
   );
 }
 
+/** The side as the membership view shows it. */
 export function toReplica(member: Member, state: MemberState): Replica {
   const {host, node, address, pool, failureDomain, incarnation} = member;
   const {load, loadAt, models, configNumber, fence, rttMs} = member;
@@ -164,9 +206,11 @@
   };
 }
 
+/** The entry as the membership view shows it. */
 export function toEntryPeer(member: Member, state: MemberState): EntryPeer {
   const {address, failureDomain, incarnation, configNumber, fence} = member;
-  // The node's name comes with its first heartbeat; its host's will do.
+  // The node's name arrives with its first heartbeat. Until then the name of
+  // its host stands in for it.
   const node = member.node === '' ? member.host : member.node;
   return {
     node,
--- a/src/membership/member_table.ts
+++ b/src/membership/member_table.ts
@@ -1,6 +1,7 @@
 /**
- * All peers known to this entry, which of them it follows, and the view that
- * other services get. Pure bookkeeping: no sockets and no timers.
+ * All peers known to this entry, the subset of them that it follows, and the
+ * view that other services get. The table holds state only: it has no sockets
+ * and no timers.
  */
 import type {Address, FailureDomain, NodeId} from '../types/ids.js';
 import type {HostInfo} from '../types/platform.js';
@@ -19,36 +20,54 @@
 import {chooseSubset} from './subset.js';
 import type {MembershipTiming} from './timing.js';
 
-/** Other entries to which heartbeats go, at most. */
+/**
+ * Other entries that this entry chooses to follow. Only coverage of failure
+ * domains, replacements of suspects and owned dispatches add to them.
+ */
 const MAX_FOLLOWED_ENTRIES = 8;
 
+/** This entry, and how it follows others. */
 export interface MemberTableOptions {
   readonly node: NodeId;
+  /** Where this entry listens for peers. */
   readonly address: Address;
   readonly failureDomain: FailureDomain;
+  /** Replicas to follow over all pools. */
   readonly followReplicas: number;
   readonly timing: MembershipTiming;
+  /** Current time on this process's clock, in milliseconds. */
   readonly now: () => number;
 }
 
+/** The known peers. A followed peer gets heartbeats from this entry. */
 export interface MemberTable {
+  /** The member at this address, if it is known. */
   get(address: Address): Member | undefined;
-  /** Changes a member; makes one when the address is new. */
+  /** Changes one member, and creates it when the address is new. */
   update(address: Address, change: (member: Member) => Member): void;
   /** Changes all members. */
   updateAll(change: (member: Member) => Member): void;
-  /** Takes in a newer host list. */
+  /** Applies a newer host list. */
   setHosts(hosts: readonly HostInfo[]): void;
-  /** Notes who has gone silent; true when `follow` should be called. */
+  /**
+   * Records which members have become silent or have answered again. Returns
+   * true when `chooseFollowed` should be called, because a suspect has to be
+   * replaced or a member is gone.
+   */
   updateSilence(): boolean;
-  /** Chooses again whom to follow, and forgets who is gone. */
+  /** Removes members that are gone, and chooses the followed ones again. */
   chooseFollowed(): void;
+  /** Addresses of the followed members. */
   followed(): ReadonlySet<Address>;
+  /** State of the member at present. */
   stateOf(member: Member): MemberState;
+  /** All known members. */
   all(): readonly Member[];
+  /** The view for other services. */
   view(): MembershipView;
 }
 
+/** Creates a table without members. */
 export function createMemberTable(options: MemberTableOptions): MemberTable {
   const {timing, now} = options;
   const members = new Map<Address, Member>();
@@ -57,8 +76,11 @@
     followReplicas: options.followReplicas,
   });
   let followed: ReadonlySet<Address> = new Set();
+  /**
+   * Entries in the last view, which the next view reuses when they are equal.
+   */
   let lastEntries: readonly EntryPeer[] = [];
-  /** Whom others replace, to see when that changes. */
+  /** Addresses of the replaceable members at the last `updateSilence`. */
   let lastReplaced = '';
 
   const update: MemberTable['update'] = (address, change) => {
@@ -88,6 +110,10 @@
   const stateOf = (member: Member): MemberState =>
     memberStateOf(member, now(), timing);
 
+  /**
+   * True when the member has been silent for so long that another one is
+   * followed besides.
+   */
   const isReplaceable = (member: Member) =>
     member.suspectSince !== undefined &&
     now() - member.suspectSince > timing.replaceAfterMs;
@@ -100,17 +126,26 @@
       limit,
     });
 
-  /** Whom to follow among these; long suspects are replaced, and kept. */
+  /**
+   * Chooses which of these members to follow. Members that have been suspect
+   * for too long are replaced by others, and are still followed as well, so
+   * that their return is noticed.
+   */
   const chooseWithReplacements = (hosts: readonly Member[], limit: number) => {
     const wanted = chooseFrom(hosts, limit);
     const reachable = hosts.filter(member => !isReplaceable(member));
-    // When most seem gone it is likelier this process that is cut off:
-    // replacing them all would move every entry's subset at once.
+    // When half of the members or more have been silent for long, it is more
+    // likely that this process is cut off than that all of them failed.
+    // Replacing them would change the subset of every entry at once.
     if (reachable.length * 2 <= hosts.length) return wanted;
     return new Set([...wanted, ...chooseFrom(reachable, limit)]);
   };
 
-  /** The host list lags: one that still answers is still there. */
+  /**
+   * True when the member can be removed. The host list may be out of date, so a
+   * member that it no longer shows stays while it answers. It also stays while
+   * this entry owns dispatches there.
+   */
   const isGone = (member: Member) =>
     !member.listed &&
     member.owned.length === 0 &&
@@ -165,7 +200,10 @@
     };
   };
 
-  /** The same list as before when nothing has changed. */
+  /**
+   * The entries of the view. Returns the same list as before when nothing has
+   * changed, so that subscribers can compare by identity.
+   */
   const entriesOf = (all: readonly Member[]): readonly EntryPeer[] => {
     const entries = all.filter(isEntry).map((member, i) => {
       const peer = toEntryPeer(member, entryState(member));
@@ -179,7 +217,10 @@
     return lastEntries;
   };
 
-  /** Of an entry that is not followed, only the host list speaks. */
+  /**
+   * State of an entry. No heartbeats go to an entry that is not followed, so
+   * only the host list tells its state.
+   */
   const entryState = (member: Member): MemberState => {
     if (followed.has(member.address)) return stateOf(member);
     return member.listedLeaving ? 'leaving' : 'live';
--- a/src/membership/member_updates.ts
+++ b/src/membership/member_updates.ts
@@ -1,6 +1,6 @@
 /**
- * How heartbeat answers and evidence change what is known of a peer. Pure
- * functions from a member to a member.
+ * Applies heartbeats and evidence to what is known of a peer. Every function is
+ * pure: it takes a member and returns the changed member.
  */
 import type {OnyxError} from '../types/errors.js';
 import type {
@@ -11,11 +11,13 @@
 import {withIncarnation} from './member.js';
 import type {Member} from './member.js';
 
+/** What another service of this process saw of a peer outside heartbeats. */
 export type MemberEvidence = Extract<
   MembershipMessage,
   {readonly kind: 'evidence'}
 >;
 
+/** The member after a side has answered a heartbeat. */
 export function withSideReply(
   member: Member,
   res: SideHeartbeatRes,
@@ -40,6 +42,7 @@
   };
 }
 
+/** The member after an entry has sent a heartbeat, or answered one. */
 export function withEntryHeartbeat(
   member: Member,
   peer: EntryHeartbeatReq,
@@ -59,8 +62,9 @@
 }
 
 /**
- * A refused connection says at once what a timeout only hints at: there is no
- * process behind the address.
+ * The member after a heartbeat failed. A refused connection proves that no
+ * process listens at the address, so the peer is unreachable at once. After a
+ * timeout the peer is left as it is until it has been silent for too long.
  */
 export function withFailedHeartbeat(member: Member, err: OnyxError): Member {
   return err.code === 'peer-unreachable'
@@ -68,6 +72,7 @@
     : member;
 }
 
+/** The member after another service has reported evidence. */
 export function withEvidence(
   member: Member,
   evidence: MemberEvidence,
@@ -88,6 +93,7 @@
   }
 }
 
+/** The member after any answer: it is reachable, and its silence ends. */
 function withAnswer(member: Member, now: number): Member {
   return {...member, answered: true, unreachable: false, lastAnswerAt: now};
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,10 +1,11 @@
 /**
- * The service that knows the other processes: polls the host list, follows a
- * bounded subset by heartbeats, and merges both with direct evidence.
+ * The membership service: keeps track of the other processes. It polls the host
+ * list, sends heartbeats to a bounded subset of the hosts, and merges both with
+ * evidence from other services.
  *
- * Bound on false suspicion: a suspect stays a candidate as long as the host
- * list shows it or it answers, so however many heartbeats fail at once the
- * candidates are never fewer than the listed hosts that this entry follows.
+ * False suspicion is bounded: a suspect stays a candidate as long as the host
+ * list shows it or it answers. However many heartbeats fail at once, there are
+ * never fewer candidates than listed hosts that this entry follows.
  */
 import type {
   Address,
@@ -40,16 +41,24 @@
 import {DEFAULT_MEMBERSHIP_TIMING} from './timing.js';
 import type {MembershipTiming} from './timing.js';
 
-/** Pause between looks at who has gone silent. */
+/** How often silent peers are looked for. */
 const TICK_MS = 250;
-/** Pause between questions for our own placement's fencing number. */
+/**
+ * How often the config and placement services of this entry are asked for their
+ * numbers.
+ */
 const OWN_STATE_POLL_MS = 2_000;
-/** Longest delay before new load reports are passed on. */
+/** Load reports within this time are delivered to listeners in one view. */
 const NOTIFY_DELAY_MS = 100;
-/** Whom to follow is chosen anew so often though the host list stays. */
+/**
+ * The followed subset is chosen again after this time even if the host list has
+ * not changed.
+ */
 const RECHOOSE_MS = 30_000;
+/** Replicas that are followed unless the options say otherwise. */
 const DEFAULT_FOLLOW_REPLICAS = 24;
 
+/** This entry, and its access to other processes. */
 export interface MembershipOptions {
   readonly transport: Transport;
   readonly hostList: HostList;
@@ -65,6 +74,7 @@
   readonly followReplicas?: number;
 }
 
+/** Creates the service. */
 export function createMembershipService(
   options: MembershipOptions,
 ): ServiceSpec<'membership'> {
@@ -96,6 +106,7 @@
   let isNotifyPending = false;
   let stopped = false;
 
+  /** The heartbeat of this entry, as a request and as a reply. */
   const ownHeartbeat = (): EntryHeartbeatReq => ({
     node: options.node,
     incarnation: options.incarnation,
@@ -147,7 +158,11 @@
     },
   });
 
-  /** Numbers ride on every heartbeat; whoever is behind fetches by them. */
+  /**
+   * Compares the configuration and fencing numbers that each heartbeat carries
+   * with this entry's own. When a peer's number is higher, the service that
+   * needs it is told, and fetches what is missing.
+   */
   const observeNumbers = (
     peer: Address,
     number: ConfigNumber,
@@ -162,13 +177,17 @@
     }
   };
 
+  /** Delivers the current view to all subscribers. */
   const notifyListeners = () => {
     isNotifyPending = false;
     const view = members.view();
     for (const listener of listeners) listener(view);
   };
 
-  /** Whom to follow is costly to choose, and changes seldom. */
+  /**
+   * Records silent peers and delivers a view. Chooses the followed peers again
+   * only when that is needed, since the choice is expensive and seldom changes.
+   */
   const update = (rechoose: boolean) => {
     if (members.updateSilence() || rechoose) {
       members.chooseFollowed();
@@ -179,8 +198,8 @@
   };
 
   /**
-   * Load reports come often: their view is told once for several. Who has
-   * gone silent is for the next tick to see.
+   * Delivers a view soon, one for several load reports, because reports are
+   * frequent. Silent peers are recorded by the next tick.
    */
   const notifySoon = () => {
     if (isNotifyPending) return;
@@ -190,17 +209,19 @@
     });
   };
 
+  /** Reads the host list once and applies it. */
   const pollHosts = async () => {
     const hosts = await options.hostList();
     hosts.ifLeft(err =>
       ctx.log(MEMBERSHIP_EVENTS.hostListFailed, {cause: err.message}),
     );
-    // While the list is out, the last one and the heartbeats stand.
+    // While the host list is unavailable, the last list and the heartbeats are
+    // used.
     hosts.ifRight(list => {
       const now = clock.now();
       const isSame = list === lastHostList;
-      // Going through a thousand hosts for each unchanged list costs more than
-      // all that changes.
+      // Processing a thousand hosts for each unchanged list would cost more
+      // than all real changes.
       if (isSame && now - chosenAt < RECHOOSE_MS) return;
       lastHostList = list;
       chosenAt = now;
@@ -209,6 +230,7 @@
     });
   };
 
+  /** Polls the host list again and again, with jitter between two polls. */
   const pollForever = () => {
     void pollHosts().finally(() => {
       if (stopped) return;
@@ -226,9 +248,10 @@
   };
 
   /**
-   * This process was paused: the answers that came meanwhile wait unread, and
-   * none was asked for. Counting the pause as the peers' silence would make
-   * the whole pool suspect at once; everyone gets a fresh period instead.
+   * Handles a pause of this process. During the pause it sent no heartbeats and
+   * read no replies. If the pause were counted as silence of the peers, the
+   * whole pool would become suspect at once; instead every peer that was not
+   * suspect gets a new period.
    */
   const onPaused = (lateMs: number) => {
     ctx.log(MEMBERSHIP_EVENTS.observerPaused, {lateMs: Math.round(lateMs)});
@@ -246,11 +269,15 @@
     members.update(address, member =>
       withEvidence(member, evidence, clock.now()),
     );
-    // A heartbeat settles soon whether the evidence still holds.
+    // The next heartbeat shows whether the evidence still holds.
     if (evidence.what !== 'answered') heartbeats.sendSoon(address);
     update(false);
   };
 
+  /**
+   * Records that this entry owns a dispatch at the peer, and follows the peer
+   * for as long.
+   */
   const addOwned = (address: Address, dispatchId: string) => {
     members.update(address, member => ({
       ...member,
@@ -259,6 +286,7 @@
     if (!members.followed().has(address)) update(true);
   };
 
+  /** Records that this entry no longer owns the dispatch. */
   const removeOwned = (address: Address, dispatchId: string) => {
     if (members.get(address) === undefined) return;
     members.update(address, member => ({
@@ -278,6 +306,7 @@
     observeNumbers(peer.address, peer.configNumber, peer.fence);
   };
 
+  /** Tells the followed entries at once that this entry is leaving. */
   const announceLeaving = () => {
     leaving = true;
     for (const address of members.followed()) {
@@ -310,7 +339,10 @@
     }
   };
 
-  /** The config and placement services may have been restarted meanwhile. */
+  /**
+   * Subscribes to the configuration and reads the fencing number. This is
+   * repeated because the config and placement services may have been restarted.
+   */
   const fetchOwnState = () => {
     ctx.send('config', {kind: 'subscribe', listener: onConfig});
     ctx
@@ -337,13 +369,15 @@
   });
   ctx.own(clock.every(TICK_MS, tick));
   ctx.own(clock.every(OWN_STATE_POLL_MS, fetchOwnState));
-  // In a turn of its own: the services that it asks start after this one, and
-  // what is sent to them before is dropped with a warning.
+  // Not before the next turn: the services that it asks start after this one,
+  // and a message that reaches a service before its start is dropped with a
+  // warning.
   ctx.own(clock.after(0, fetchOwnState));
   pollForever();
   void ctx.mailbox.observe(onMessage);
 }
 
+/** True when the member is known and is an entry. */
 function isKnownEntry(member: Member | undefined): boolean {
   return member !== undefined && isEntry(member);
 }
--- a/src/membership/state_log.ts
+++ b/src/membership/state_log.ts
@@ -1,6 +1,7 @@
 /**
- * Logs each change of a peer's state once, and warns when most of the replicas
- * became suspect together: then it is likelier this process that is cut off.
+ * Logs each change of a peer's state once. Also warns when more than half of
+ * the followed replicas are suspect, because then it is more likely that this
+ * process is cut off than that all of them failed.
  */
 import type {Address} from '../types/ids.js';
 import type {Runtime} from '../types/runtime.js';
@@ -9,11 +10,15 @@
 import type {Member, MemberState} from './member.js';
 import type {MemberTable} from './member_table.js';
 
+/** Logs state changes by comparing with the states of the call before. */
 export interface StateLog {
-  logChanges(roster: MemberTable): void;
+  /** Logs what has changed since the last call. */
+  logChanges(members: MemberTable): void;
 }
 
+/** Creates a log that knows of no peer yet. */
 export function createStateLog(runtime: Runtime): StateLog {
+  /** State of each followed peer at the last call. */
   const lastStates = new Map<Address, MemberState>();
   let lastFollowedCount = 0;
   let hasWarned = false;
--- a/src/membership/subset.ts
+++ b/src/membership/subset.ts
@@ -1,25 +1,39 @@
 /**
- * Which hosts an entry follows: a bounded subset, so that control traffic per
- * process does not grow with the fleet. Each pool and failure domain is
- * covered, the own failure domain most; rendezvous hashing over entry and host
- * keeps the subset when other hosts come and go.
+ * Chooses which hosts an entry follows. The subset is bounded, so that control
+ * traffic per process does not grow with the number of hosts. It covers each
+ * pool and failure domain, with the most hosts in the entry's own failure
+ * domain. Rendezvous hashing over entry and host changes the subset little when
+ * other hosts come and go.
  */
 import type {Address, FailureDomain, NodeId} from '../types/ids.js';
 import type {HostInfo} from '../types/platform.js';
 import {rendezvousNames} from '../utils/rendezvous.js';
 
-/** Share of a pool's places for the own failure domain. */
+/**
+ * Share of the hosts followed in a pool that is reserved for the entry's own
+ * failure domain.
+ */
 const OWN_DOMAIN_SHARE = 0.5;
 
+/** What the subset depends on. */
 export interface SubsetOptions {
-  /** Entry that follows. */
+  /** Name of the entry that follows. */
   readonly node: NodeId;
+  /** Failure domain of the entry. */
   readonly ownFailureDomain: FailureDomain;
+  /** Hosts to choose from. */
   readonly hosts: readonly HostInfo[];
-  /** Hosts to follow over all pools; more where coverage needs them. */
+  /**
+   * Hosts to follow over all pools. The subset is larger where rounding or the
+   * coverage of failure domains needs more.
+   */
   readonly limit: number;
 }
 
+/**
+ * Returns the addresses of the hosts to follow. Each pool gets a part of the
+ * limit in proportion to its size.
+ */
 export function chooseSubset(options: SubsetOptions): ReadonlySet<Address> {
   const chosen = new Set<Address>();
   const pools = groupBy(options.hosts, host => host.pool);
@@ -33,6 +47,10 @@
   return chosen;
 }
 
+/**
+ * Chooses `count` hosts of one pool, or more when it has more failure domains
+ * than that.
+ */
 function chooseInPool(
   options: SubsetOptions,
   hosts: readonly HostInfo[],
@@ -58,7 +76,10 @@
   return fillRemaining(options, hosts, chosen, count);
 }
 
-/** Places of one failure domain; at least one, so that none is uncovered. */
+/**
+ * Number of hosts to follow in one failure domain of a pool. At least one, so
+ * that every failure domain is covered.
+ */
 function domainQuota(
   options: SubsetOptions,
   domain: FailureDomain,
@@ -72,7 +93,10 @@
   return Math.max(1, Math.floor((count - ownCount) / others));
 }
 
-/** Gives the places that small failure domains left over to any host. */
+/**
+ * Adds hosts of any failure domain up to `count`. Hosts are missing when a
+ * failure domain is smaller than its quota.
+ */
 function fillRemaining(
   options: SubsetOptions,
   hosts: readonly HostInfo[],
--- a/src/membership/timing.ts
+++ b/src/membership/timing.ts
@@ -1,20 +1,28 @@
-/** Periods and waiting times of the membership, in milliseconds. */
+/** Periods and timeouts of the membership service, in milliseconds. */
 
+/** Timing of host list polls, heartbeats and suspicion. */
 export interface MembershipTiming {
-  /** Pause between polls of the host list, with a fifth of jitter. @default 2000 */
+  /** Pause between polls of the host list, with 20% jitter. @default 2000 */
   readonly hostListPollMs: number;
-  /** Pause between heartbeats to one peer, with a tenth of jitter. @default 1000 */
+  /** Pause between heartbeats to one peer, with 10% jitter. @default 1000 */
   readonly heartbeatMs: number;
-  /** Longest wait for the answer to a heartbeat. @default 1000 */
+  /** Timeout of a heartbeat. @default 1000 */
   readonly heartbeatTimeoutMs: number;
-  /** A peer without an answer for so long is suspect. @default 3000 */
+  /** A peer that has not answered for longer is suspect. @default 3000 */
   readonly suspectAfterMs: number;
-  /** A peer suspect for so long gives its place to another. @default 15000 */
+  /**
+   * When a peer has been suspect for longer, another one is followed as well.
+   * @default 15000
+   */
   readonly replaceAfterMs: number;
-  /** A timer of this process this late means that it was paused. @default 1000 */
+  /**
+   * When a timer of this process is late by more, the process was paused, and
+   * the silence of its peers is not counted. @default 1000
+   */
   readonly pausedAfterMs: number;
 }
 
+/** Timing of a deployment that sets nothing else. */
 export const DEFAULT_MEMBERSHIP_TIMING: MembershipTiming = {
   hostListPollMs: 2_000,
   heartbeatMs: 1_000,
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -272,7 +272,7 @@
     now: number,
   ): boolean {
     if (now - this.placerStartedAt >= HANDOVER_TIMEOUT_MS) return true;
-    if (!this.sidePoller.isFirstPassComplete()) return false;
+    if (!this.sidePoller.hasPolledAll()) return false;
     return replicas
       .filter(({state, load}) => state === 'live' && load.capacityTokens > 0)
       .every(({fence}) => fence >= this.placerFence);
--- a/src/placement/plan_versions.ts
+++ b/src/placement/plan_versions.ts
@@ -186,8 +186,8 @@
     engine => versionStateOf(engine, model.id, model.version) === 'ready',
   );
   // Others may have died since, or be changed by an older placer.
-  const reliable = engines.filter(({isReliable: isSure}) => isSure);
-  const reliableReady = ready.filter(({isReliable: isSure}) => isSure);
+  const reliable = engines.filter(({isReliable}) => isReliable);
+  const reliableReady = ready.filter(({isReliable}) => isReliable);
   // The wish as declared, not as the engines at hand could meet it: with most
   // of a pool out of sight one engine would else be enough.
   const wanted = Math.max(wished.wish.minReplicas, targetCount(wished));
--- a/src/placement/side_poller.ts
+++ b/src/placement/side_poller.ts
@@ -22,7 +22,7 @@
 const MIN_PASS_MS = 2_000;
 const MAX_PASS_MS = 30_000;
 /** The first pass carries the new number to all sides: it is quicker. */
-const MAX_FIRST_PASS_MS = 5_000;
+const FIRST_PASS_MS = 5_000;
 const POLL_TIMEOUT_MS = 1_000;
 /** Pause between questions to a side with an order under way. */
 const PENDING_POLL_MS = 2_000;
@@ -52,7 +52,7 @@
   /** Asks these more often: their orders' effects are waited for. */
   pollPending(addresses: readonly Address[]): void;
   /** Whether each side was asked since the start. */
-  isFirstPassComplete(): boolean;
+  hasPolledAll(): boolean;
   replicas(): readonly Replica[];
 }
 
@@ -137,8 +137,7 @@
     return best;
   };
 
-  const isFirstPassComplete = () =>
-    options.sides().every(side => polledAt.has(side));
+  const hasPolledAll = () => options.sides().every(side => polledAt.has(side));
 
   const nextDelayMs = (count: number) => {
     if (count === 0) return MIN_PASS_MS;
@@ -146,10 +145,7 @@
       MAX_PASS_MS,
       Math.max(MIN_PASS_MS, count * POLL_GAP_MS),
     );
-    return (
-      (isFirstPassComplete() ? passMs : Math.min(passMs, MAX_FIRST_PASS_MS)) /
-      count
-    );
+    return (hasPolledAll() ? passMs : Math.min(passMs, FIRST_PASS_MS)) / count;
   };
 
   const pollNext = () => {
@@ -181,7 +177,7 @@
           pollSafely(address);
       }
     },
-    isFirstPassComplete,
+    hasPolledAll,
     replicas: () => [...known.values()],
   };
 }
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,4 +1,4 @@
-/** Whom an entry follows, and what it takes for a sign of life. */
+/** Tests which hosts an entry follows, and which state it gives them. */
 import {Left, Right} from 'purify-ts';
 import {describe, expect, it} from 'vitest';
 import {createKernel} from '../src/kernel/kernel.js';
@@ -30,8 +30,8 @@
   const {clock, runtime} = recording;
   const network = createMemoryNetwork(clock, recording.random);
   const kernel = createKernel(runtime);
-  const told: unknown[] = [];
-  const beats: SideHeartbeatReq[] = [];
+  const forwarded: unknown[] = [];
+  const heartbeats: SideHeartbeatReq[] = [];
   const sides = hostsOf(count).map(host => ({
     host,
     incarnation: `a-${host.address}`,
@@ -40,19 +40,19 @@
     fence: 1,
   }));
   let list: readonly HostInfo[] | undefined = sides.map(({host}) => host);
-  const listen = (side: (typeof sides)[number]) =>
+  const startSide = (side: (typeof sides)[number]) =>
     network.transport(side.host.address).listen(side.host.address, {
       sideHeartbeat: async req => {
-        beats.push(req);
-        return answerOf(side);
+        heartbeats.push(req);
+        return heartbeatReplyOf(side);
       },
     });
-  for (const side of sides) await listen(side);
+  for (const side of sides) await startSide(side);
   await kernel.start({
     name: 'config',
     start: ctx => {
       void ctx.mailbox.observe(message => {
-        if (message.kind === 'peer-number') told.push(message);
+        if (message.kind === 'peer-number') forwarded.push(message);
       });
     },
   });
@@ -60,7 +60,7 @@
     name: 'placement',
     start: ctx => {
       void ctx.mailbox.observe(message => {
-        if (message.kind === 'fence-seen') told.push(message);
+        if (message.kind === 'fence-seen') forwarded.push(message);
       });
     },
   });
@@ -68,7 +68,7 @@
     createMembershipService({
       transport: network.transport(ENTRY),
       hostList: async () =>
-        list === undefined ? Left(listIsOut()) : Right(list),
+        list === undefined ? Left(hostListError()) : Right(list),
       node: 'entry-1',
       host: 'entry-host-1',
       address: ENTRY,
@@ -87,12 +87,12 @@
   return {
     ...recording,
     faults: network.faults,
-    /** Starts a side's process again after `faults.down`. */
-    restart: (at: number) => listen(sides[at]),
+    /** Starts the process of a side again after `faults.down`. */
+    restart: (at: number) => startSide(sides[at]),
     kernel,
     sides,
-    beats,
-    told,
+    heartbeats,
+    forwarded,
     setList: (next: readonly HostInfo[] | undefined) => {
       list = next;
     },
@@ -112,7 +112,7 @@
   return view.replicas.find(replica => replica.address === address);
 }
 
-function listIsOut(): OnyxError {
+function hostListError(): OnyxError {
   return new OnyxError({
     code: 'store-unavailable',
     step: 'host-list',
@@ -120,7 +120,7 @@
   });
 }
 
-function answerOf(side: {
+function heartbeatReplyOf(side: {
   readonly host: HostInfo;
   readonly incarnation: string;
   readonly leaving: boolean;
@@ -153,9 +153,9 @@
 }
 
 describe('a leaving host', () => {
-  // The host list lags by half a minute. The side says itself that it leaves;
-  // the list still shows it live, and must not bring it back.
-  it('is leaving by its own word while the list shows it live', async () => {
+  // The host list is half a minute behind and still shows the side as live. It
+  // must not make the side live again after the side has reported leaving.
+  it('is leaving by its own report while the list shows it as live', async () => {
     const fleet = await startMembership(3);
     fleet.sides[0].leaving = true;
     await fleet.clock.runFor(1_500);
@@ -165,7 +165,7 @@
     expect(fleet.replica(0)?.state).toBe('leaving');
   });
 
-  it('is leaving by the list while it does not know itself', async () => {
+  it('is leaving by the list while its heartbeats say live', async () => {
     const fleet = await startMembership(3);
     const [first, ...others] = fleet.sides.map(({host}) => host);
     fleet.setList([{...first, state: 'leaving'}, ...others]);
@@ -173,7 +173,7 @@
     expect(fleet.replica(0)?.state).toBe('leaving');
   });
 
-  it('is live again as another incarnation', async () => {
+  it('is live again with another incarnation', async () => {
     const fleet = await startMembership(3);
     fleet.evidence(0, 'leaving');
     await fleet.clock.runFor(100);
@@ -183,7 +183,7 @@
     expect(fleet.replica(0)).toMatchObject({state: 'live', incarnation: 'b'});
   });
 
-  it('that the list lost stays until its heartbeats fail', async () => {
+  it('stays after the list dropped it until its heartbeats fail', async () => {
     const fleet = await startMembership(3);
     const [first, ...others] = fleet.sides.map(({host}) => host);
     fleet.setList(others);
@@ -195,8 +195,8 @@
   });
 });
 
-describe('suspicion', () => {
-  it('comes with a refused connection and goes with an answer', async () => {
+describe('the suspect state', () => {
+  it('begins with a refused connection and ends with an answer', async () => {
     const fleet = await startMembership(3);
     const {address} = fleet.sides[0].host;
     fleet.faults.down(address);
@@ -207,7 +207,7 @@
     expect(fleet.replica(0)?.state).toBe('live');
   });
 
-  it('comes with three seconds of silence', async () => {
+  it('begins after three seconds of silence', async () => {
     const fleet = await startMembership(3);
     fleet.faults.freeze(fleet.sides[0].host.address);
     await fleet.clock.runFor(2_000);
@@ -216,10 +216,9 @@
     expect(fleet.replica(0)?.state).toBe('suspect');
   });
 
-  // This process is stopped for a minute and continued. Every peer was silent
-  // to it for that minute, since it read nothing; were that counted, the whole
-  // pool would be suspect at once.
-  it('does not come from a pause of the observer itself', async () => {
+  // The observer is stopped for a minute and reads no replies. If that were
+  // counted as silence of the peers, the whole pool would be suspect at once.
+  it('does not begin because the observer itself was paused', async () => {
     const fleet = await startMembership(6);
     fleet.clock.advance(60_000);
     await fleet.clock.runFor(1);
@@ -229,10 +228,9 @@
     expect(new Set(fleet.states())).toEqual(new Set(['live']));
   });
 
-  // The entry is cut off from all sides for a minute while the host list shows
-  // them live. All become suspect, none leaves the view: there is never an
-  // empty pool to route to, and all come back with the network.
-  it('of all at once leaves them all in the view', async () => {
+  // The entry is cut off from all sides for a minute. If suspects left the
+  // view, no side would remain to route requests to.
+  it('of all hosts at once leaves them all in the view', async () => {
     const fleet = await startMembership(6);
     for (const {host} of fleet.sides) fleet.faults.cut(ENTRY, host.address);
     await fleet.clock.runFor(60_000);
@@ -243,7 +241,7 @@
     expect(fleet.states()).toEqual(Array(6).fill('live'));
   });
 
-  it('does not come from a host list that is out', async () => {
+  it('does not begin because the host list is unavailable', async () => {
     const fleet = await startMembership(3);
     fleet.setList(undefined);
     await fleet.clock.runFor(60_000);
@@ -252,9 +250,9 @@
 });
 
 describe('heartbeats', () => {
-  it('carry the dispatches owned at the side, followed or not', async () => {
+  it('carry the dispatches owned at a side that is not followed otherwise', async () => {
     const fleet = await startMembership(40);
-    // Alone, an entry would follow all sides.
+    // With fewer entries this one would be assigned all sides.
     const hosts = fleet.sides.map(({host}) => host);
     fleet.setList([...hosts, ...hostsOf(30, 'entry')]);
     await fleet.clock.runFor(2_500);
@@ -262,27 +260,33 @@
     const {address} = fleet.sides[at].host;
     fleet.kernel.send('membership', {kind: 'own', address, dispatchId: 'r.1'});
     await fleet.clock.runFor(1_500);
-    expect(fleet.beats.some(({owned}) => owned.includes('r.1'))).toBe(true);
+    expect(fleet.heartbeats.some(({owned}) => owned.includes('r.1'))).toBe(
+      true,
+    );
     fleet.kernel.send('membership', {
       kind: 'disown',
       address,
       dispatchId: 'r.1',
     });
     await fleet.clock.runFor(100);
-    fleet.beats.length = 0;
+    fleet.heartbeats.length = 0;
     await fleet.clock.runFor(5_000);
-    expect(fleet.beats.some(({owned}) => owned.length > 0)).toBe(false);
+    expect(fleet.heartbeats.some(({owned}) => owned.length > 0)).toBe(false);
   });
 
-  it('pass on newer config numbers and fences', async () => {
+  it('report newer configuration and fencing numbers to their services', async () => {
     const fleet = await startMembership(1);
-    fleet.told.length = 0;
+    fleet.forwarded.length = 0;
     fleet.sides[0].configNumber = 9;
     fleet.sides[0].fence = 4;
     await fleet.clock.runFor(1_200);
     const peer = fleet.sides[0].host.address;
-    expect(fleet.told).toContainEqual({kind: 'peer-number', peer, number: 9});
-    expect(fleet.told).toContainEqual({kind: 'fence-seen', fence: 4});
+    expect(fleet.forwarded).toContainEqual({
+      kind: 'peer-number',
+      peer,
+      number: 9,
+    });
+    expect(fleet.forwarded).toContainEqual({kind: 'fence-seen', fence: 4});
   });
 });
 
@@ -290,7 +294,7 @@
   const subset = (hosts: readonly HostInfo[], node = 'entry-1') =>
     chooseSubset({node, ownFailureDomain: 'hall-north', hosts, limit: 24});
 
-  it('covers each pool and failure domain, the own one most', () => {
+  it('covers each pool and failure domain, and its own domain most', () => {
     const hosts = [...hostsOf(600), ...hostsOf(3, 'station-app')];
     const chosen = subset(hosts);
     const followed = hosts.filter(host => chosen.has(host.address));
@@ -305,7 +309,7 @@
     }
   });
 
-  it('moves by few hosts when a tenth of the fleet is replaced', () => {
+  it('changes little when a tenth of the hosts is replaced', () => {
     const before = subset(hostsOf(600));
     const hosts = hostsOf(600).map((host, at) =>
       at % 10 === 0 ? {...host, address: `new-${at}:7301`} : host,
--- a/test/membership_fleet.test.ts
+++ b/test/membership_fleet.test.ts
@@ -1,4 +1,7 @@
-/** Whole parts of a fleet fail under load: real services, virtual time. */
+/**
+ * Tests failures of whole parts of a fleet under load, with real services in
+ * virtual time.
+ */
 import {describe, expect, it} from 'vitest';
 import {
   allReplaced,
@@ -20,12 +23,9 @@
 }
 
 describe('a fleet under load', () => {
-  // All hosts of a failure domain die in one moment, with runs in progress.
-  // Callers of the dead entry lose their connection; all others get a whole
-  // answer or a failure in time. The two entries left see it by refused
-  // connections, long before the host list does; when the hosts are back, work
-  // goes to them again.
-  it('goes on without a failure domain, and uses it when it is back', async () => {
+  // All hosts of a failure domain die at once, with runs in progress. Refused
+  // connections show this to the other entries long before the host list does.
+  it('continues without a failure domain, and uses it when it is back', async () => {
     const {figures, outcome} = await domainLost(1);
     expectNothingLost(outcome);
     expect(figures.detectMs).toBeLessThanOrEqual(1_500);
@@ -36,11 +36,9 @@
     expect(outcome.failed).toBeLessThanOrEqual(5);
   });
 
-  // Nothing passes between one failure domain and the others for minutes, and
-  // nobody refuses a connection: silence is all there is to see. Each part
-  // serves its own callers. After the cut all see each other again, and runs
-  // whose owner was on the other side hold no memory.
-  it('serves on both sides of a cut, and joins again', async () => {
+  // For minutes, frames between one failure domain and the others are dropped
+  // and no connection is refused, so silence is the only sign of the cut.
+  it('serves callers in both parts of a cut network, and reunites after it', async () => {
     const {figures, outcome} = await regionCut(1);
     expectNothingLost(outcome);
     expect(figures.detectMs).toBeLessThan(5_000);
@@ -50,10 +48,9 @@
     expect(outcome.failed / outcome.asked).toBeLessThan(0.01);
   });
 
-  // Each host is drained, taken away and replaced by another at its address,
-  // one after another, sides first and then entries. No caller notices: a
-  // drain cuts nothing, and no work goes to a host that is leaving.
-  it('loses nothing when all its hosts are replaced in turn', async () => {
+  // Each host is drained and replaced by another at its address. A drain must
+  // cut off no request, and a host that is leaving must get no new work.
+  it('loses nothing when all its hosts are replaced one after another', async () => {
     const {figures, outcome} = await allReplaced(1);
     expectNothingLost(outcome);
     expect(outcome).toMatchObject({failed: 0, cut: 0});
@@ -62,10 +59,9 @@
     expect(figures.returnMostMs).toBeLessThan(5_000);
   });
 
-  // An entry stands still for 20 s: on waking, its own clock says that nobody
-  // answered for that long. Later it is cut off from everyone. Taking either
-  // for the death of the pool would leave it without a place to send work.
-  it('has no empty pool at an observer that was paused or cut off', async () => {
+  // An entry is paused for 20 s, and later cut off from all peers. If it took
+  // either for a failure of the peers, it could send requests to no side.
+  it('has no empty pool at an entry that was paused or cut off', async () => {
     const {figures, outcome} = await observerPaused(1);
     expectNothingLost(outcome);
     expect(figures.falseSuspicions).toBe(0);
@@ -74,10 +70,9 @@
     expect(figures.returnMs).toBeLessThan(5_000);
   });
 
-  // The host list shows everything 30 s late, then nothing new at all. A side
-  // that dies and one that leaves are seen all the same, by their connections
-  // and their own word; a host that comes is used once the list shows it.
-  it('sees death and leaving through a host list that lags', async () => {
+  // The host list is 30 s behind and then frozen. Refused connections and the
+  // heartbeats of a leaving side must show both changes without the list.
+  it('detects dead and leaving sides while the host list is out of date', async () => {
     const {figures, outcome} = await hostListStale(1);
     expectNothingLost(outcome);
     expect(figures.detectMs).toBeLessThanOrEqual(1_500);
@@ -88,9 +83,9 @@
 });
 
 describe('the followed subsets', () => {
-  // Ten entries follow 24 of 90 sides each. Some side is in no subset: it
-  // would get no work, and no new configuration while the store is out.
-  it('leave no side that nobody follows', async () => {
+  // Ten entries choose 24 of 90 sides each, which leaves out some side. It would
+  // get no work, and no new configuration while the store is unavailable.
+  it('leave no side without a follower', async () => {
     const fleet = createMemoryFleet({
       seed: 100,
       entries: 10,
@@ -113,7 +108,7 @@
     [100, 40],
     [600, 370],
   ])(
-    'of %i replicas and %i entries move by the host that goes and no more',
+    'of %i replicas and %i entries change only by the host that leaves',
     (replicas, entries) => {
       const moved = subsetMoves(replicas, entries);
       expect(moved.movedByLeave).toBe(moved.leastByLeave);
