--- a/src/limits/admission.ts
+++ b/src/limits/admission.ts
@@ -1,6 +1,7 @@
 /**
- * Admission of one organisation's requests at an entry: from the entry's share
- * while that lasts, after an ask to the home when it does not.
+ * Admits the requests of one organisation at an entry. A request is admitted
+ * from the entry's share while that suffices; otherwise the entry first asks
+ * the organisation's home for more.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -14,45 +15,71 @@
 import {MIN_TTL_MS} from './home_ledger.js';
 import {allowanceOf, createEntryShare} from './entry_share.js';
 
-/** After a refusal or a lost ask the next waits this part of a lifetime. */
+/**
+ * After a refusal or a failed ask, the next ask waits for the grant's time to
+ * live divided by this. An earlier ask would most likely get the same answer,
+ * and add load on the home.
+ */
 const ASK_PAUSE_DIVISOR = 4;
-/** On a change of home, entries report within this, not all at once. */
+/**
+ * After a change of home, each entry reports its use to the new home after a
+ * random delay up to this, so that the reports do not arrive all at once.
+ */
 const REPORT_SPREAD_MS = 100;
+/** Longest `retryAfterMs` in a refusal. */
 const MAX_RETRY_AFTER_MS = 10_000;
 
-/** Left: over the limit, with a time to come back. */
+/**
+ * Receives the outcome. Left: the organisation is over its limit, with the time
+ * after which the caller may try again.
+ */
 export type AcquireReply = (outcome: Either<OnyxError, void>) => void;
 
-/** One organisation at this entry, and the way to its home. */
+/** The organisation, this entry, and the access to the organisation's home. */
 export interface AdmissionOptions {
+  /** The organisation whose requests are admitted. */
   readonly id: OrganisationId;
+  /** Name of this entry. */
   readonly node: NodeId;
   readonly ctx: ServiceContext<'limits'>;
+  /**
+   * The organisation's configuration; undefined when it is no longer declared.
+   */
   readonly organisation: () => Organisation | undefined;
+  /** The entries known at present. */
   readonly entries: () => EntrySet;
-  /** Left: why there is no grant. */
+  /** Sends a request for a grant to the home. Left: why there is no grant. */
   readonly askHome: (
     home: Home,
     req: GrantReq,
   ) => Promise<Either<string, GrantRes>>;
 }
 
-/** Admits one organisation's requests under what its home granted. */
+/** Admits the requests of one organisation within what its home granted. */
 export interface Admission {
+  /**
+   * Admits a request of so many tokens or refuses it, at once or after an ask.
+   */
   acquire(tokens: number, reply: AcquireReply): void;
+  /** Returns the slot of a request that has ended. */
   release(): void;
-  /** Renews when it is time; false when there is nothing left to keep. */
+  /**
+   * Renews the grant when that is due. Returns false when the admission holds
+   * no grant, has no running request and was not used lately, so that it can be
+   * dropped.
+   */
   renew(): boolean;
-  /** Looks whether the home is another one now. */
+  /** Changes to the present home when the entries have changed. */
   checkHome(): void;
 }
 
+/** A request that waits for an ask to the home. */
 interface Waiter {
   readonly tokens: number;
   readonly reply: AcquireReply;
 }
 
-/** Starts without a grant: the first request asks for one. */
+/** Creates an admission without a grant. The first request asks for one. */
 export function createAdmission(options: AdmissionOptions): Admission {
   const {id, ctx, entries} = options;
   const {clock, metrics} = ctx;
@@ -61,14 +88,18 @@
   let waiters: readonly Waiter[] = [];
   let isAsking = false;
   let isFallbackActive = false;
+  /** Earliest time of the next ask that is not a renewal. */
   let nextAskAt = 0;
+  /** Time of the next renewal. */
   let renewAt = clock.now() + share.ttlMs() / 2;
 
+  /** Updates the metric of slots in use. */
   const reportUsage = (): void => {
     const labels = {organisation: id};
     metrics.gauge('onyxloft_limit_places_used', labels, share.used());
   };
 
+  /** The error for a request of so many tokens that is refused now. */
   const refusal = (tokens: number): OnyxError => {
     const lack = share.lackFor(tokens, clock.now());
     const pauseMs = share.ttlMs() / ASK_PAUSE_DIVISOR;
@@ -85,6 +116,7 @@
     });
   };
 
+  /** Refuses these requests, and logs once for all of them. */
   const refuse = (refused: readonly Waiter[]): void => {
     if (refused.length === 0) return;
     ctx.log(LIMIT_EVENTS.reached, {
@@ -97,7 +129,10 @@
     for (const {tokens, reply} of refused) reply(Left(refusal(tokens)));
   };
 
-  /** Admits those waiting as far as the share goes; the rest stays. */
+  /**
+   * Admits the waiting requests that the share has room for. The others keep
+   * waiting.
+   */
   const admitWaiters = (): void => {
     waiters = waiters.filter(({tokens, reply}) => {
       const isAdmitted = share.tryTake(tokens, clock.now()) === 'none';
@@ -107,6 +142,10 @@
     reportUsage();
   };
 
+  /**
+   * Allows a small part of the limit while the home gives no grant, so that
+   * requests do not fail altogether.
+   */
   const startFallback = (cause: string): void => {
     const organisation = options.organisation();
     if (organisation === undefined) return;
@@ -125,6 +164,7 @@
     });
   };
 
+  /** Ends the use of the fallback allowance. */
   const endFallback = (): void => {
     share.setAllowance(undefined, clock.now());
     if (!isFallbackActive) return;
@@ -134,6 +174,7 @@
     ctx.log(LIMIT_EVENTS.homeBack, fields);
   };
 
+  /** The ask for what the waiting requests and the expected ones need. */
   const createGrantReq = (): GrantReq => {
     const tokens = waiters.reduce((sum, waiter) => sum + waiter.tokens, 0);
     const demand = share.demand(waiters.length, tokens, clock.now());
@@ -146,7 +187,11 @@
     };
   };
 
-  /** Asks the home for what those waiting at this moment need. */
+  /**
+   * Asks the home for what the requests need that wait at this moment. Those
+   * that the answer does not cover are refused; requests that came meanwhile
+   * are then handled.
+   */
   const requestGrant = async (): Promise<void> => {
     const askedHome = home;
     const askedAt = clock.now();
@@ -166,7 +211,7 @@
     admitWaiters();
     const refused = waiters.filter(waiter => included.has(waiter));
     waiters = waiters.filter(waiter => !included.has(waiter));
-    // Asking again at once would get the same answer, at the home's cost.
+    // Another ask at once would get the same answer, and add load on the home.
     if (outcome.isLeft() || refused.length > 0) {
       nextAskAt = clock.now() + share.ttlMs() / ASK_PAUSE_DIVISOR;
     }
@@ -174,7 +219,10 @@
     if (waiters.length > 0) askOrRefuse();
   };
 
-  /** Gets more for those waiting, or refuses them when it asked just now. */
+  /**
+   * Asks the home for the waiting requests. Refuses those that the share does
+   * not cover when the last ask was too recent.
+   */
   const askOrRefuse = (): void => {
     if (isAsking) return;
     if (clock.now() >= nextAskAt) {
@@ -215,7 +263,8 @@
       ctx.log(LIMIT_EVENTS.homeChanged, fields);
       home = next;
       nextAskAt = 0;
-      // The new home has to learn what is in use before it grants much.
+      // The new home has to learn which slots are in use before it can grant
+      // most of the limit, so the next renewal is brought forward.
       const reportAt = clock.now() + ctx.random.next() * REPORT_SPREAD_MS;
       renewAt = Math.min(renewAt, reportAt);
     },
--- a/src/limits/entry_set.ts
+++ b/src/limits/entry_set.ts
@@ -1,33 +1,42 @@
-/** Which entries there are, as far as limits need to know. */
+/** The entries that limits count with, and the home of each organisation. */
 import type {Address, NodeId, OrganisationId} from '../types/ids.js';
 import type {EntryPeer} from '../types/services.js';
 import {rendezvousFirst} from '../utils/rendezvous.js';
 
-/** This entry. */
+/** Identity of this entry. */
 export interface Self {
   readonly node: NodeId;
   readonly address: Address;
 }
 
-/** An organisation's home. */
+/** The home of an organisation: the entry that grants its limits. */
 export interface Home {
   readonly address: Address;
+  /** True when this entry is the home. */
   readonly isHere: boolean;
 }
 
-/** The entries at one time, and the homes that follow from them. */
+/** The entries known at one time, and the homes that follow from them. */
 export interface EntrySet {
+  /** The home of an organisation. */
   homeOf(organisation: OrganisationId): Home;
-  /** Entries that are not known to be gone, this one included. */
+  /** Number of entries that are not known to be gone, this one included. */
   size(): number;
-  /** Share of those that a home here can reach, over 0 up to 1. */
+  /**
+   * Share of these entries that are not suspect, above 0 and at most 1. A home
+   * on this entry serves only the entries that it reaches.
+   */
   reachableShare(): number;
-  /** False once an entry is known to be gone. */
+  /** False when the entry is known to be gone. */
   isPresent(entry: NodeId): boolean;
-  /** When the entries that can be a home last changed. */
+  /**
+   * Time when the entries that can be a home last changed, in milliseconds on
+   * this process's clock.
+   */
   readonly changedAt: number;
 }
 
+/** An entry that can be a home. */
 interface HomeCandidate {
   readonly id: NodeId;
   readonly address: Address;
@@ -42,6 +51,7 @@
   );
 }
 
+/** Chooses homes by rendezvous hashing, and caches them. */
 class RendezvousEntrySet implements EntrySet {
   private readonly homes = new Map<OrganisationId, Home>();
 
@@ -76,7 +86,10 @@
   }
 }
 
-/** `before` is the view that this one takes the place of. */
+/**
+ * Creates the set that replaces `previous`. It takes over the time of the last
+ * change when the candidates are the same.
+ */
 export function createEntrySet(
   self: Self,
   peers: readonly EntryPeer[],
--- a/src/limits/entry_share.ts
+++ b/src/limits/entry_share.ts
@@ -1,24 +1,26 @@
 /**
- * An entry's share of one organisation's limits: the places and tokens granted
- * to it and not yet lapsed, and what is in use. While the home can't be
- * reached, a small allowance stands in.
+ * An entry's share of one organisation's limits: the slots and tokens that were
+ * granted to it and have not expired, and what is in use. While the home can't
+ * be reached, a small allowance is used instead.
  */
 import type {GrantRes} from '../types/peer_messages.js';
 
-/** An allowance of all entries together is a quarter of the limit. */
+/** The allowances of all entries together are the limit divided by this. */
 const ALLOWANCE_DIVISOR = 4;
-/** Asked for beyond what is needed now, as a share of it. */
+/** Slots asked for beyond those needed now, as a share of these. */
 const HEADROOM = 0.25;
 
-/** What an entry may use without the home. */
+/** What an entry may use while it gets no grant from the home. */
 export interface Allowance {
+  /** Requests that may run at once. */
   readonly slots: number;
+  /** Tokens that may be admitted per second. */
   readonly tokensPerSec: number;
 }
 
 /**
- * Allowance of one of `entries` entries: a quarter of its even share, and one
- * place at least.
+ * Allowance of one of `entries` entries: a quarter of an even share of the
+ * limit, and at least one slot.
  */
 export function allowanceOf(
   maxRunning: number,
@@ -32,42 +34,62 @@
   };
 }
 
+/** Tokens of one grant. */
 interface TokenBatch {
   tokens: number;
+  /** On this process's clock, in milliseconds. */
   readonly expiresAt: number;
 }
 
-/** What an ask to the home should want. */
+/** What an ask to the home should request. */
 export interface Demand {
   readonly slots: number;
   readonly tokens: number;
 }
 
-/** What is lacking for a request; `none` when it was let in. */
+/** What a request lacks; `none` when it can be admitted. */
 export type Lack = 'none' | 'places' | 'tokens';
 
-/** Places and tokens that this entry may give out, with what is in use. */
+/**
+ * Slots and tokens that this entry may use, and what is in use. Times are in
+ * milliseconds on this process's clock.
+ */
 export interface EntryShare {
-  /** Takes a place and the tokens of a request, if there are. */
+  /**
+   * Takes a slot and the tokens of a request if both are available, and returns
+   * what is lacking otherwise.
+   */
   tryTake(tokens: number, now: number): Lack;
   /** What a request of so many tokens lacks now. */
   lackFor(tokens: number, now: number): Lack;
+  /** Returns the slot of a request that has ended. */
   release(): void;
+  /** Slots in use. */
   used(): number;
-  /** Enters a grant that was asked for at `askedAt`. */
+  /** Adds a grant that was asked for at `askedAt`. */
   addGrant(grant: GrantRes, askedAt: number): void;
-  /** Stands in for the home until the next grant; undefined ends it. */
+  /** Sets the allowance to use without the home; undefined ends its use. */
   setAllowance(allowance: Allowance | undefined, now: number): void;
-  /** Needs of `waiting` requests of `waitingTokens`, with headroom. */
+  /**
+   * What `waiting` requests of `waitingTokens` tokens and the expected ones
+   * need, with headroom.
+   */
   demand(waiting: number, waitingTokens: number, now: number): Demand;
-  /** Ends a renewal period; false when nothing was asked for in it. */
+  /**
+   * Ends a renewal period. Returns false when no request came in it, none is
+   * running and the last grant has expired.
+   */
   endRenewalPeriod(now: number): boolean;
   /** Time to live of the last grant, in milliseconds. */
   ttlMs(): number;
 }
 
-/** Starts empty; `firstTtlMs` stands until the first grant. */
+/**
+ * Creates a share without a grant. `firstTtlMs` is used as the time to live
+ * until the first grant.
+ */
 export function createEntryShare(firstTtlMs: number): EntryShare {
+  /** Slots of the last grant, and the time when it expires. */
   let grantedSlots = 0;
   let slotsExpireAt = 0;
   let batches: readonly TokenBatch[] = [];
@@ -75,37 +97,49 @@
   let used = 0;
 
   let allowance: Allowance | undefined;
+  /**
+   * Token balance of the allowance. Negative when a request took more than was
+   * left.
+   */
   let allowanceTokens = 0;
   let allowanceFilledAt = 0;
 
+  /**
+   * Most slots in use at once in this renewal period, and in the one before.
+   */
   let peakUsed = 0;
   let previousPeakUsed = 0;
-  /** Tokens taken in this renewal period and the two before it. */
+  /** Tokens taken in this renewal period, and in the two periods before it. */
   let takenTokens = 0;
   let previousTakenTokens = 0;
   let earlierTakenTokens = 0;
+  /** True when a request came in this renewal period. */
   let hasTried = false;
 
+  /** Slots that may be in use at once. */
   const slotLimit = (now: number): number => {
     const granted = now < slotsExpireAt ? grantedSlots : 0;
     return Math.max(granted, allowance?.slots ?? 0);
   };
 
+  /** Granted tokens that are left and have not expired. */
   const grantedTokens = (now: number): number => {
     batches = batches.filter(batch => batch.expiresAt > now);
     return batches.reduce((sum, batch) => sum + batch.tokens, 0);
   };
 
+  /** Adds the tokens that the allowance has accumulated since the last call. */
   const refillAllowance = (now: number): void => {
     if (allowance === undefined) return;
     const added = ((now - allowanceFilledAt) / 1_000) * allowance.tokensPerSec;
     allowanceFilledAt = now;
-    // A second's worth at most, and at least one, so that it gets over 0.
+    // At most the tokens of one second. At least one token, because with a cap
+    // below that a low rate would hardly ever bring the balance above 0.
     const cap = Math.max(1, allowance.tokensPerSec);
     allowanceTokens = Math.min(cap, allowanceTokens + added);
   };
 
-  /** Uses up the batches that lapse first. */
+  /** Takes tokens from the batches that expire first. */
   const spend = (tokens: number): void => {
     let left = tokens;
     for (const batch of batches) {
@@ -119,11 +153,13 @@
     if (used >= slotLimit(now)) return 'places';
     if (grantedTokens(now) >= tokens) return 'none';
     refillAllowance(now);
-    // As at the home: whole while over 0, then the debt is waited for.
+    // As in the home's ledger, a request is admitted whole while the balance is
+    // above 0. The next one then waits until the debt is paid.
     const isAllowed = allowance !== undefined && allowanceTokens > 0;
     return isAllowed ? 'none' : 'tokens';
   };
 
+  /** Takes the tokens from the grants, or else from the allowance. */
   const takeTokens = (tokens: number, now: number): void => {
     if (grantedTokens(now) >= tokens) spend(tokens);
     else allowanceTokens -= tokens;
@@ -148,7 +184,8 @@
     addGrant: (grant, askedAt) => {
       ttl = grant.ttlMs;
       grantedSlots = grant.places;
-      // Counted from the ask, so that it lapses here before it does there.
+      // Counted from the ask, so that the grant expires here before it does at
+      // the home.
       slotsExpireAt = askedAt + grant.ttlMs;
       if (grant.tokens > 0) {
         const batch = {tokens: grant.tokens, expiresAt: slotsExpireAt};
@@ -165,8 +202,8 @@
     },
     demand: (waiting, waitingTokens, now) => {
       const neededSlots = Math.max(used + waiting, peakUsed, previousPeakUsed);
-      // The lesser of two periods: a single huge prompt foretells no other,
-      // and tokens granted for one would only lapse.
+      // The smaller of two periods. A single very large prompt does not predict
+      // another one, and tokens granted for it would only expire.
       const forecast = Math.min(previousTakenTokens, earlierTakenTokens);
       const lackingTokens = forecast + waitingTokens - grantedTokens(now);
       return {
--- a/src/limits/home_ledger.ts
+++ b/src/limits/home_ledger.ts
@@ -1,12 +1,14 @@
 /**
- * The home's side of organisation limits: a ledger of what it has granted to
- * each entry. The home keeps it in memory only. A home that dies takes the
- * ledger along; the entries' grants lapse, and their next asks tell the new
- * home which places are in use.
+ * The ledger of an organisation's home: what the home has granted to each
+ * entry. It is kept in memory only. When the home fails, the ledger is lost;
+ * the grants of the entries expire, and their next asks tell the new home which
+ * slots are in use.
  *
- * A ledger never grants places so that those it knows of exceed the limit.
- * Over any time T it grants at most `tokensPerSec * (T + BURST)` tokens and
- * one ask, because an ask is granted whole while the balance is over 0.
+ * A slot lets one request of the organisation run; messages call slots
+ * `places`. The ledger never grants slots such that all that it knows of exceed
+ * the limit. Over any time T (in seconds) it grants at most `tokensPerSec * (T
+ * + burstSec())` tokens plus one ask, because an ask is granted whole while the
+ * balance is above 0.
  */
 import type {NodeId} from '../types/ids.js';
 import type {GrantReq, GrantRes} from '../types/peer_messages.js';
@@ -14,85 +16,107 @@
 
 /** Time to live of a grant while few entries ask. */
 export const MIN_TTL_MS = 2_000;
-/** With many entries asking, grants live longer, up to this. */
+/** Longest time to live of a grant, reached when many entries ask. */
 const MAX_TTL_MS = 16_000;
 /**
- * Entries that ask an organisation's home before the time to live grows. The
- * home of a busy organisation then hears some 16 asks a second, however many
- * entries there are, until the longest time to live is reached.
+ * The time to live grows when more entries than this ask the organisation's
+ * home. A home then receives about 16 asks a second for a busy organisation,
+ * however many entries there are, until the longest time to live is reached.
  */
 const ENTRIES_AT_MIN_TTL = 16;
 
-/** An organisation's limits, and how much of them this home may grant. */
+/** The limits of an organisation, and how much of them this home may grant. */
 export interface HomeLimits {
+  /** Requests that may run at once, over all entries. */
   readonly maxRunning: number;
+  /** Tokens that may be admitted per second, over all entries. */
   readonly tokensPerSec: number;
-  /** Share of the entries that this home reaches, over 0 up to 1. */
+  /** Share of the entries that this home reaches, above 0 and at most 1. */
   readonly reachableShare: number;
-  /** False once the entry, and what it ran, is known to be gone. */
+  /**
+   * False when the entry is known to be gone, and the requests it ran with it.
+   */
   readonly isPresent: (entry: NodeId) => boolean;
 }
 
-/** Places that an entry may be using until they lapse. */
+/** Slots that an entry may use until the grant expires. */
 interface SlotGrant {
+  /**
+   * Slots that were granted, or that the entry reported as in use if those are
+   * more.
+   */
   readonly slots: number;
+  /** On the home's clock, in milliseconds. */
   readonly expiresAt: number;
 }
 
+/** What the home knows of one entry. */
 interface EntryRecord {
+  /** Slots that the entry asked for last. */
   readonly wantedSlots: number;
-  /** Places in use, as it last told. */
+  /** Slots that the entry last reported as in use. */
   readonly usedSlots: number;
   /**
-   * Newest last, places falling. A smaller grant does not end a larger one
-   * before its time: its answer may be lost, or the ask may have been an old
-   * one that came late, and the entry goes by the larger one until it lapses.
+   * Newest last, with fewer slots in each. A smaller grant does not end a
+   * larger one that has not expired: its answer may be lost, or the ask may
+   * have been an old one that arrived late, and then the entry uses the larger
+   * grant until that expires.
    */
   readonly grants: readonly SlotGrant[];
 }
 
-/** An organisation's grants, kept at its home entry. */
+/** The grants of one organisation, kept at its home. */
 export interface HomeLedger {
-  /** Answers an ask; times are on the home's clock. */
+  /** Answers an ask. Times are on the home's clock, in milliseconds. */
   grant(req: GrantReq, limits: HomeLimits, now: number): GrantRes;
-  /** True when nothing is granted that has not lapsed and nothing in use. */
+  /** True when no grant is left that has not expired, and no slot is in use. */
   isIdle(now: number, isPresent: HomeLimits['isPresent']): boolean;
 }
 
-/** Start of a ledger. */
+/** How a ledger starts. */
 export interface HomeLedgerOptions {
   readonly invariant: Invariant;
+  /** Time of creation. */
   readonly now: number;
   /**
-   * Tokens to begin with, in seconds of the rate. 0 for a home that has just
-   * taken over, since the one before may have granted all there was.
+   * Initial token balance, in seconds at the rate. 0 for a home that has just
+   * taken over, because the previous home may have granted everything.
    */
   readonly initialSec: number;
 }
 
+/** Slots of the largest grant that has not expired. */
 function grantedTo(record: EntryRecord): number {
   return record.grants[0]?.slots ?? 0;
 }
 
 /**
- * An entry that was cut off goes on with the requests it had when its grant
- * lapsed. Forgotten here, their places would be granted a second time.
+ * Slots that the entry may be using. An entry that was cut off keeps running
+ * the requests it had when its grant expired; if their slots were not counted,
+ * they would be granted a second time.
  */
 function grantedOrUsedBy(record: EntryRecord): number {
   return Math.max(grantedTo(record), record.usedSlots);
 }
 
-/** An entry that is cut off gets nothing here, whatever it wanted. */
+/**
+ * Slots that the entry wants. An entry that is cut off gets nothing from this
+ * home, so its last request is not counted.
+ */
 function wantedBy(record: EntryRecord): number {
   return record.grants.length > 0 ? record.wantedSlots : 0;
 }
 
+/** The record without expired grants. */
 function withoutExpired(record: EntryRecord, now: number): EntryRecord {
   const grants = record.grants.filter(({expiresAt}) => expiresAt > now);
   return {...record, grants};
 }
 
-/** Holdings with a new one, without those that it outlasts and covers. */
+/**
+ * Adds a grant, and removes those that are not larger, because the new grant
+ * covers them.
+ */
 function withGrant(
   grants: readonly SlotGrant[],
   next: SlotGrant,
@@ -101,21 +125,25 @@
   return [...larger, next];
 }
 
-/** Places of one entry when all that is wanted exceeds the limit. */
+/**
+ * Slots for one entry, in proportion to what it wants when all entries together
+ * want more than the limit.
+ */
 function fairShare(wanted: number, allWanted: number, limit: number): number {
   if (allWanted <= limit) return wanted;
-  // Rounded up: what is free bounds the sum, and rounding down would leave
-  // up to a place for each entry unused.
+  // Rounded up. Rounding down would leave up to one slot for each entry unused,
+  // and the sum is bounded by the free slots anyway.
   return Math.ceil((limit * wanted) / allWanted);
 }
 
-/** Opens a ledger that knows of no grant. */
+/** Creates a ledger without grants. */
 export function createHomeLedger(options: HomeLedgerOptions): HomeLedger {
   const {invariant} = options;
   const entries = new Map<NodeId, EntryRecord>();
   let balance: number | undefined;
   let filledAt = options.now;
 
+  /** Removes expired grants, and entries of which nothing is left to count. */
   const removeExpired = (
     now: number,
     isPresent: HomeLimits['isPresent'],
@@ -128,14 +156,21 @@
     }
   };
 
+  /** Time to live of a grant when so many entries ask. */
   const ttlMs = (askers: number): number => {
     const ttlFactor = askers / ENTRIES_AT_MIN_TTL;
     return Math.min(MAX_TTL_MS, MIN_TTL_MS * Math.max(1, ttlFactor));
   };
 
-  /** Tokens that gather while nobody asks: those of a renewal period. */
+  /**
+   * Tokens that accumulate while no entry asks, in seconds at the rate: those
+   * of one renewal period, which is half of the time to live.
+   */
   const burstSec = (): number => ttlMs(entries.size) / 2_000;
 
+  /**
+   * The token balance after adding what has accumulated since the last refill.
+   */
   const refill = (tokensPerSec: number, now: number): number => {
     const before = balance ?? 1 + tokensPerSec * options.initialSec;
     const gathered = ((now - filledAt) / 1_000) * tokensPerSec;
@@ -143,13 +178,16 @@
     return Math.min(before + gathered, Math.max(1, tokensPerSec * burstSec()));
   };
 
+  /** Sum of a value over all entries. */
   const sumOf = (value: (record: EntryRecord) => number): number => {
     let sum = 0;
     for (const record of entries.values()) sum += value(record);
     return sum;
   };
 
-  /** Places that nobody holds, within this home's part of the limit. */
+  /**
+   * Slots that no entry may be using, within this home's share of the limit.
+   */
   const freeSlots = ({maxRunning, reachableShare}: HomeLimits): number => {
     const ownLimit = Math.max(1, Math.floor(maxRunning * reachableShare));
     const free = Math.min(
@@ -159,16 +197,19 @@
     return Math.max(0, free);
   };
 
+  /** Slots to grant for this ask. */
   const grantSlots = (req: GrantReq, limits: HomeLimits): number => {
     const allWanted = sumOf(wantedBy) + req.wantPlaces;
     const limit = limits.maxRunning * limits.reachableShare;
     const share = fairShare(req.wantPlaces, allWanted, limit);
-    // Fewer than are in use makes the entry wait until enough have ended. As
-    // many as are in use would let it fill each one that ends, and a limit
-    // once exceeded would stay so for as long as the load lasts.
+    // This may be less than the entry has in use; the entry then admits nothing
+    // until enough of its requests have ended. If it were granted as many as it
+    // uses, it would replace each request that ends, and an excess over the
+    // limit would last as long as the load.
     return Math.min(share, freeSlots(limits));
   };
 
+  /** Checks the invariant that a new grant keeps the limit. */
   const checkLimit = (req: GrantReq, slots: number, limit: number): void => {
     const {organisation, entry} = req;
     const others = sumOf(grantedOrUsedBy);
@@ -177,6 +218,10 @@
     invariant(fits, 'limit-grants-within-limit', fields);
   };
 
+  /**
+   * Grants all of the tokens while the balance is above 0. The balance may
+   * become negative.
+   */
   const grantTokens = (want: number): number => {
     if (balance === undefined || balance <= 0) return 0;
     balance -= want;
--- a/src/limits/limits.ts
+++ b/src/limits/limits.ts
@@ -1,20 +1,22 @@
 /**
- * Organisation limits over all entries, without anything central. Each
- * organisation has a home: the entry that rendezvous hashing gives among the
- * live ones. The home hands out short grants of places and tokens to entries
- * that ask, in proportion to what they want; an entry admits from its grant
- * and asks again when it runs short and at half its time to live.
+ * Enforces organisation limits over all entries without a central service. Each
+ * organisation has a home: the entry that rendezvous hashing chooses among the
+ * live ones. The home gives short grants of slots and tokens to the entries
+ * that ask, in proportion to what they want. An entry admits requests from its
+ * grant, and asks again when the grant does not suffice and at half of its time
+ * to live. A slot lets one request run; messages call slots `places`.
  *
- * Bound. At any time the places in use are at most `maxRunning`, plus those
- * granted by homes other than the present one that have not lapsed or are
- * still in use (at most `maxRunning` for each change of home), plus the
- * allowances of the entries that reach no home: `max(1, floor(maxRunning /
- * (4 * entries)))` each. A home that can't reach an entry goes on counting the
- * places that the entry last said were in use until the entry is known to be
- * gone. Entries that it can't reach and that are not known to be gone may be
- * served by another home, so it grants only its part of the limit; two halves
- * of a entries that are cut off from each other grant the limit between them,
- * not twice.
+ * Bound. At any time the slots in use are at most `maxRunning`, plus those
+ * granted by earlier homes that have not expired or are still in use (at most
+ * `maxRunning` for each change of home), plus the allowances of the entries
+ * that reach no home: `max(1, floor(maxRunning / (4 * entries)))` each.
+ *
+ * A home that can't reach an entry continues to count the slots that the entry
+ * last reported as in use, until the entry is known to be gone. Entries that
+ * the home can't reach and that are not known to be gone may be served by
+ * another home, so the home grants only its share of the limit. Two halves of a
+ * fleet that are cut off from each other therefore grant the limit between
+ * them, not twice.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -34,12 +36,12 @@
 import {MIN_TTL_MS, createHomeLedger} from './home_ledger.js';
 import type {HomeLedger} from './home_ledger.js';
 
-/** Longest wait for a home's answer. */
+/** Timeout of an ask to a home. After it the entry uses its allowance. */
 const ASK_TIMEOUT_MS = 300;
-/** How often the need for renewals is looked at. */
+/** How often grants are checked for renewal. */
 const TICK_MS = 50;
 
-/** This entry, and the way to the others. */
+/** This entry, and its access to the others. */
 export interface LimitsOptions {
   readonly node: NodeId;
   /** Where this entry listens for peers. */
@@ -47,7 +49,7 @@
   readonly transport: Transport;
 }
 
-/** Made anew with each start of the service. */
+/** State of the service, created at each start. */
 interface State {
   readonly ctx: ServiceContext<'limits'>;
   readonly options: LimitsOptions;
@@ -57,6 +59,11 @@
   entries: EntrySet;
 }
 
+/**
+ * The ledger of an organisation whose home is this entry. A new ledger starts
+ * with tokens only when the entries have not changed lately, because otherwise
+ * a previous home may have granted them already.
+ */
 function ledgerOf(state: State, id: OrganisationId): HomeLedger {
   const known = state.ledgers.get(id);
   if (known !== undefined) return known;
@@ -71,7 +78,10 @@
   return ledger;
 }
 
-/** Answers an ask, as the home or as one that is not. */
+/**
+ * Answers an ask of an entry. The answer has `home` false when this entry is
+ * not the home of the organisation.
+ */
 function answerGrantReq(state: State, req: GrantReq): GrantRes {
   const {entries, organisations} = state;
   const organisation = organisations.get(req.organisation);
@@ -88,6 +98,7 @@
   return ledger.grant(req, limits, state.ctx.clock.now());
 }
 
+/** Asks the home, which may be this entry. */
 async function askHome(
   state: State,
   home: Home,
@@ -104,6 +115,7 @@
     );
 }
 
+/** The admission of an organisation, created on first use. */
 function admissionOf(state: State, id: OrganisationId): Admission {
   const known = state.admissions.get(id);
   if (known !== undefined) return known;
@@ -119,6 +131,7 @@
   return admission;
 }
 
+/** Handles a message to the service. */
 function handle(state: State, message: LimitsMessage): void {
   switch (message.kind) {
     case 'acquire': {
@@ -145,6 +158,9 @@
   }
 }
 
+/**
+ * Renews grants, and drops admissions and ledgers that are no longer needed.
+ */
 function tick(state: State): void {
   for (const [id, admission] of state.admissions) {
     if (!admission.renew()) state.admissions.delete(id);
@@ -158,7 +174,9 @@
   }
 }
 
-/** The service that admits requests by their organisation's limits. */
+/**
+ * Creates the service that admits requests within their organisation's limits.
+ */
 export function createLimitsService(
   options: LimitsOptions,
 ): ServiceSpec<'limits'> {
@@ -182,7 +200,7 @@
       });
       let known: readonly EntryPeer[] | undefined;
       followMembership(ctx, ({entries}) => {
-        // Views come many times a second, and the entries seldom change.
+        // Views arrive many times a second, but the entries change seldom.
         if (entries === known) return;
         known = entries;
         const now = ctx.clock.now();
--- a/src/limits/retry_budget.ts
+++ b/src/limits/retry_budget.ts
@@ -1,22 +1,25 @@
 /**
- * Bounds retries to a share of first attempts. When half the engines go, every
- * request would otherwise be tried several times on what is left, and the
- * extra load would take that down as well.
+ * Limits retries to a share of first attempts. Without the limit, a failure of
+ * half the engines would make every request be tried several times on the
+ * remaining ones, and the additional load would make those fail as well.
  */
 
-/** Retries that may be made at once after a quiet time. */
+/** Retries that may be made at once after a time without retries. */
 const DEFAULT_BURST = 10;
 
+/** A token bucket of retries. */
 export interface RetryBudget {
-  /** A first attempt was made: adds `ratio` of a retry. */
+  /** Records a first attempt, which adds `ratio` of a retry. */
   onFirstAttempt(ratio: number): void;
-  /** Takes one retry; false when the budget is used up. */
+  /** Takes one retry. Returns false when none is left. */
   take(): boolean;
-  /** Retries that may be made at once. */
+  /** Retries that may be made at once now. */
   left(): number;
 }
 
-/** A full token bucket of `burst()` retries, which may change with time. */
+/**
+ * Creates a full bucket of `burst()` retries. The size may change over time.
+ */
 export function createRetryBudget(burst = () => DEFAULT_BURST): RetryBudget {
   let tokens = burst();
   return {
--- a/test/limit_grants.test.ts
+++ b/test/limit_grants.test.ts
@@ -32,10 +32,9 @@
 }
 
 describe('a home', () => {
-  // An entry holds eight places. An old ask of it comes late and wants one, or
-  // the answer to a new one is lost; the entry goes by its eight until they
-  // lapse. Were they given to another entry before, both would use them.
-  it('counts a larger grant until it lapses, whatever is asked since', () => {
+  // An old ask may arrive late, or a new answer be lost; the entry then uses its
+  // larger grant. If its slots were granted to another, both would use them.
+  it('counts a larger grant until it expires, whatever is asked later', () => {
     const {ask} = createLedger();
     expect(ask('a', 8, 0, 0)).toBe(8);
     expect(ask('a', 1, 0, 1_000)).toBe(1);
@@ -43,7 +42,7 @@
     expect(ask('b', 9, 2, TTL_MS + 1)).toBe(9);
   });
 
-  it('counts what a cut-off entry has in use until it is gone', () => {
+  it('counts what a cut-off entry has in use until the entry is gone', () => {
     const {ask} = createLedger();
     expect(ask('a', 8, 8, 0)).toBe(8);
     const later = 10 * TTL_MS;
@@ -52,22 +51,21 @@
     expect(ask('b', 10, 2, later + 1, gone)).toBe(10);
   });
 
-  // Two homes have let in more than the limit. An entry is granted fewer
-  // places than it uses; were it granted as many, it would fill each one that
-  // ends, and the excess would last as long as the load.
-  it('grants less than is in use when that is too much', () => {
+  // Two homes have granted more than the limit. If an entry were granted as many
+  // slots as it uses, it would refill each, and the excess would never end.
+  it('grants fewer slots than are in use when those exceed the limit', () => {
     const {ask} = createLedger();
     expect(ask('a', 9, 9, 0)).toBe(9);
     expect(ask('b', 9, 6, 0)).toBe(1);
     expect(ask('a', 9, 8, 1)).toBe(4);
   });
 
-  it('grants its part while it does not reach all entries', () => {
+  it('grants a part of the limit while it does not reach all entries', () => {
     const {ask} = createLedger();
     expect(ask('a', 10, 0, 0, {...LIMITS, reachableShare: 0.5})).toBe(5);
   });
 
-  it('lets grants live longer when many entries ask', () => {
+  it('gives grants a longer time to live when many entries ask', () => {
     const {ledger} = createLedger();
     const ttlOf = (entry: number): number =>
       ledger.grant(
@@ -91,7 +89,7 @@
 describe('a share', () => {
   const grant = {places: 2, tokens: 100, ttlMs: TTL_MS, home: true};
 
-  it('lapses its time to live after it was asked for', () => {
+  it('expires its time to live after it was asked for', () => {
     const share = createEntryShare(TTL_MS);
     share.addGrant(grant, 1_000);
     expect(share.tryTake(10, 2_999)).toBe('none');
@@ -100,7 +98,7 @@
     expect(share.tryTake(10, 3_000)).toBe('tokens');
   });
 
-  it('stands on a small allowance without the home', () => {
+  it('uses a small allowance without the home', () => {
     expect(allowanceOf(64, 4_000, 4)).toEqual({slots: 4, tokensPerSec: 250});
     expect(allowanceOf(2, 4_000, 4).slots).toBe(1);
     const share = createEntryShare(TTL_MS);
@@ -108,12 +106,12 @@
     expect(share.tryTake(1_000, 0)).toBe('none');
     expect(share.tryTake(1, 0)).toBe('places');
     share.release();
-    // 750 in debt: over 0 again after three seconds and a little.
+    // The balance is -750, and above 0 again after just over three seconds.
     expect(share.tryTake(1, 3_000)).toBe('tokens');
     expect(share.tryTake(1, 3_010)).toBe('none');
   });
 
-  it('asks for what waits, a quarter more, and what two periods used', () => {
+  it('asks for what is waiting, a quarter more, and what two periods used', () => {
     const share = createEntryShare(TTL_MS);
     expect(share.demand(4, 400, 0)).toEqual({slots: 5, tokens: 400});
     share.addGrant({...grant, places: 9, tokens: 1_000}, 0);
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -4,13 +4,15 @@
 
 const MAX_RUNNING = 64;
 const TTL_MS = 2_000;
-/** Requests a second over all entries: some four times what fits. */
+/**
+ * Requests per second over all entries, about four times what the limit admits.
+ */
 const ALL_PER_SEC = 250;
 const LOAD = {perSec: 60, holdMs: 1_000, tokens: 10};
-/** Requests last at most one and a half times `holdMs`. */
+/** Longest running time of a request: one and a half times `holdMs`. */
 const LONGEST_MS = 1_500;
 
-function allowancePlaces(entries: number): number {
+function allowanceSlots(entries: number): number {
   return Math.max(1, Math.floor(MAX_RUNNING / (4 * entries)));
 }
 
@@ -25,7 +27,7 @@
     return fleet;
   };
 
-  it('fill the limit and keep it while homes stay', async () => {
+  it('use the whole limit and never exceed it while homes stay the same', async () => {
     const fleet = await createLoaded(1);
     const peak = await fleet.peakOver(20_000);
     expect(peak).toBeLessThanOrEqual(MAX_RUNNING);
@@ -38,11 +40,9 @@
     await fleet.stop();
   });
 
-  // The home dies. Entries admit from grants that have not lapsed, then from
-  // their allowances, until their views name a new home. It knows nothing of
-  // the old grants and may grant the whole limit on top of them; once those
-  // have lapsed and their requests have ended, the limit holds again.
-  it('exceed the limit by no more than old grants when the home dies', async () => {
+  // The new home does not know the grants of the dead one, and may grant the
+  // whole limit again until these have expired and their requests have ended.
+  it('are exceeded by old grants at most when the home dies', async () => {
     const fleet = await createLoaded(2);
     const home = fleet.homeAmong(fleet.entries);
     const left = fleet.entries.filter(entry => entry !== home);
@@ -53,7 +53,7 @@
     }
     const moved = await fleet.peakOver(TTL_MS + LONGEST_MS);
     const settled = await fleet.peakOver(10_000);
-    const allowances = left.length * allowancePlaces(entryCount);
+    const allowances = left.length * allowanceSlots(entryCount);
     expect(unseen).toBeLessThanOrEqual(MAX_RUNNING + allowances);
     expect(moved).toBeLessThanOrEqual(2 * MAX_RUNNING + allowances);
     expect(settled).toBeLessThanOrEqual(MAX_RUNNING);
@@ -61,13 +61,10 @@
     await fleet.stop();
   });
 
-  // The fleet falls into two halves. At first the half without the home lives
-  // on allowances; then each half suspects the other and has a home of its
-  // own. Each home counts the suspects as served elsewhere and grants only its
-  // part, so that the two together keep the limit; without that they would
-  // grant it twice for as long as the cut lasts.
-  it('are kept by two halves that are cut off from each other', async () => {
-    // Long requests, which outlive the grants that let them in.
+  // Each half suspects the other and has its own home. If each home granted the
+  // whole limit, it would be granted twice for as long as the cut lasts.
+  it('are kept by two halves of the fleet that are cut off from each other', async () => {
+    // Requests that run longer than the grants they were admitted from.
     const holdMs = 4_000;
     const fleet = await createLoaded(3, holdMs);
     const half = fleet.entries.length / 2;
@@ -88,7 +85,7 @@
     for (const entry of fleet.entries) fleet.show(entry, () => 'live');
     const healed = await fleet.peakOver(TTL_MS + 2 * holdMs);
     const settled = await fleet.peakOver(10_000);
-    const allowances = half * allowancePlaces(entryCount);
+    const allowances = half * allowanceSlots(entryCount);
     expect(unseen).toBeLessThanOrEqual(MAX_RUNNING + allowances);
     expect(moved).toBeLessThanOrEqual(2 * MAX_RUNNING + allowances);
     expect(parted).toBeLessThanOrEqual(MAX_RUNNING);
@@ -100,7 +97,7 @@
 });
 
 describe('an entry', () => {
-  it('gets places in proportion to what it wants', async () => {
+  it('is granted slots in proportion to what it wants', async () => {
     const fleet = await createLimitsFleet({entries: 2, maxRunning: 60});
     const [busy, calm] = fleet.entries;
     fleet.startLoad(busy, {...LOAD, perSec: 200});
@@ -113,7 +110,7 @@
     await fleet.stop();
   });
 
-  it('keeps an unused grant no longer than its time to live', async () => {
+  it('gives up an unused grant after its time to live', async () => {
     const fleet = await createLimitsFleet({entries: 2, maxRunning: 4});
     const [first, second] = fleet.entries;
     const load = {holdMs: 100, tokens: 1, perSec: 0};
@@ -126,7 +123,7 @@
     await fleet.stop();
   });
 
-  it('is not in the way of an organisation that is unknown', async () => {
+  it('refuses a request of an organisation that is not configured', async () => {
     const fleet = await createLimitsFleet({entries: 2, maxRunning: 4});
     const outcome = await fleet.entries[0].kernel.ask(
       'limits',
@@ -143,23 +140,23 @@
 });
 
 describe('lost and late asks', () => {
-  // Answers are lost and asks arrive again, long after. The entries go by what
-  // they were last told, and the home has to count no less than that.
-  it('leave the limit whole but for allowances', async () => {
+  // Answers are lost and asks arrive twice. Each entry uses the last grant that
+  // reached it, so the home must count no less than that grant.
+  it('let no more run than the limit and the allowances', async () => {
     const options = {entries: 4, maxRunning: MAX_RUNNING, seed: 4};
     const fleet = await createLimitsFleet(options);
     fleet.faults.setDrops(0.2);
     fleet.faults.setDuplicates(0.3, {minMs: 100, maxMs: 1_900});
     for (const entry of fleet.entries) fleet.startLoad(entry, LOAD);
     const peak = await fleet.peakOver(60_000);
-    const allowances = 4 * allowancePlaces(4);
+    const allowances = 4 * allowanceSlots(4);
     expect(peak).toBeLessThanOrEqual(MAX_RUNNING + allowances);
     await fleet.stop();
   });
 });
 
 describe('tokens', () => {
-  it('flow at the rate, with a second of burst and one ask over', async () => {
+  it('are granted at the rate, plus a burst of a second and one ask', async () => {
     const tokensPerSec = 100_000;
     const options = {entries: 4, maxRunning: 1_000, tokensPerSec};
     const fleet = await createLimitsFleet(options);
@@ -173,7 +170,7 @@
     await fleet.stop();
   });
 
-  it('let in a prompt of more than a second of them, and then wait', async () => {
+  it('admit a prompt larger than the tokens of a second, then none for a while', async () => {
     const options = {entries: 2, maxRunning: 10, tokensPerSec: 100_000};
     const fleet = await createLimitsFleet(options);
     const [entry] = fleet.entries;
--- a/test/support/limits_fleet.ts
+++ b/test/support/limits_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Entries with the limits service on virtual time, under a load of requests,
- * with membership views that the test sets.
+ * Entries with the limits service in virtual time, under a load of requests.
+ * The test sets which entries each of them sees in its membership views.
  */
 import type {Either} from 'purify-ts';
 import {createLimitsService} from '../../src/limits/limits.js';
@@ -20,6 +20,7 @@
 
 export const ORGANISATION = 'prairie';
 
+/** Size of the fleet, and the limits of the organisation. */
 export interface LimitsFleetOptions {
   readonly entries: number;
   readonly maxRunning: number;
@@ -27,14 +28,20 @@
   readonly seed?: number;
 }
 
-/** A load of requests on one entry. */
+/** Requests that arrive at one entry. */
 export interface RequestLoad {
-  /** Arrivals a second, evenly spread in chance. */
+  /** Mean arrivals per second, at random times. */
   readonly perSec: number;
+  /**
+   * Mean running time of a request. Each takes a random time from half of it to
+   * one and a half times it.
+   */
   readonly holdMs: number;
+  /** Tokens of each request. */
   readonly tokens: number;
 }
 
+/** An entry, with counts of what it admitted and refused. */
 export interface LimitsEntry {
   readonly address: string;
   readonly node: string;
@@ -57,10 +64,11 @@
     maxRunning,
     tokensPerSec,
   };
-  // The service reads nothing else of them.
+  // The limits service reads no other field of the declarations.
   return {organisations: [organisation]} as unknown as Declarations;
 }
 
+/** Starts the entries. All see each other as live. */
 export async function createLimitsFleet(options: LimitsFleetOptions) {
   const shared = createVirtualClock();
   const random = createSeededRandom(options.seed ?? 1);
@@ -121,7 +129,7 @@
   }
   await shared.settle();
 
-  /** Tells an entry in which state it sees the others. */
+  /** Sends an entry a membership view that shows the others in these states. */
   const setPeerStates = (
     to: LimitsEntry,
     stateOf: (entry: LimitsEntry) => EntryPeer['state'],
@@ -147,6 +155,7 @@
   const running = (): number =>
     entries.reduce((sum, entry) => sum + (entry.isUp ? entry.running : 0), 0);
 
+  /** Sends one request of this load to the entry. */
   const request = (entry: LimitsEntry, load: RequestLoad): void => {
     const asked = entry.kernel.ask(
       'limits',
@@ -157,7 +166,8 @@
         reply,
       }),
     );
-    // A service that ends, as with the fleet, answers by a rejection.
+    // A service that ends while it owes an answer, as when the fleet stops,
+    // rejects the promise.
     const answered = asked.catch((err: unknown) => {
       if (!isStopped) throw err;
       return undefined;
@@ -183,7 +193,7 @@
     });
   };
 
-  /** Requests come to the entry until the returned function is called. */
+  /** Sends requests to the entry until the returned function is called. */
   const startLoad = (entry: LimitsEntry, load: RequestLoad): (() => void) => {
     let ended = false;
     const next = (): void => {
@@ -200,13 +210,17 @@
     };
   };
 
-  /** Most requests running at once over all entries in the next `ms`. */
+  /**
+   * Most requests that ran at once over all entries in the next `ms`
+   * milliseconds.
+   */
   const peakOver = async (ms: number): Promise<number> => {
     peak = running();
     await shared.runFor(ms);
     return peak;
   };
 
+  /** Stops the entry's clock and network, as when its host fails. */
   const kill = (entry: LimitsEntry): void => {
     entry.isUp = false;
     entry.clock.stop();
