--- a/src/limits/entry_share.ts
+++ b/src/limits/entry_share.ts
@@ -133,8 +133,8 @@
     if (allowance === undefined) return;
     const added = ((now - allowanceFilledAt) / 1_000) * allowance.tokensPerSec;
     allowanceFilledAt = now;
-    // At most the tokens of one second. At least one token, because with a cap
-    // below that a low rate would hardly ever bring the balance above 0.
+    // At most the tokens of one second. At least one token, so that the balance
+    // can rise above 0 at a low rate too.
     const cap = Math.max(1, allowance.tokensPerSec);
     allowanceTokens = Math.min(cap, allowanceTokens + added);
   };
--- a/src/placement/engine_view.ts
+++ b/src/placement/engine_view.ts
@@ -1,8 +1,8 @@
 /**
- * What the planner goes by: each engine as its heartbeats show it, with the
- * orders that are under way laid over. An order to unload counts as carried
- * out at once and one to load as not yet ready, so that what is not known is
- * always taken for the worse.
+ * The planner's view of the engines: each engine as its heartbeats show it,
+ * with the effects of pending orders applied. A pending unload counts as done
+ * and a pending load as not ready, so that the planner assumes the less
+ * favourable outcome of every order.
  */
 import type {
   Address,
@@ -15,14 +15,17 @@
 import type {OrderReq} from '../types/peer_messages.js';
 import type {Replica} from '../types/services.js';
 
-/** An order whose effect has not been read back. */
+/** An order whose effect has not shown in a heartbeat yet. */
 export interface PendingOrder {
+  /** Address of the engine's side. */
   readonly address: Address;
   readonly order: OrderReq;
 }
 
+/** State of one version of a model on an engine. */
 export type VersionState = 'absent' | 'loading' | 'ready';
 
+/** One engine as the planner sees it. */
 export interface EngineView {
   readonly address: Address;
   readonly pool: PoolId;
@@ -30,24 +33,33 @@
   readonly load: SideLoad;
   readonly role: EngineRole;
   /**
-   * What its side reported may be relied on: the report is fresh, and the side
-   * knows the placer's number. One that does not may still take an order of
-   * the placer before, which had been on its way.
+   * True when the report can be relied on: it is recent, and the side knows the
+   * placer's fencing number. A side that does not know the number may still
+   * accept an order of the previous placer that is on its way.
    */
   readonly isReliable: boolean;
-  /** An order to it is under way; it gets no second one. */
+  /**
+   * True when an order to the engine is pending or planned. It gets no second
+   * order until the effect of the first has shown.
+   */
   readonly busy: boolean;
   /** States by model, then by version. */
   readonly versions: ReadonlyMap<ModelId, ReadonlyMap<string, VersionState>>;
+  /**
+   * Adapters that are ready, by model and version with a blank between them.
+   */
   readonly adapters: ReadonlyMap<ModelId, readonly string[]>;
 }
 
+/** What the view is made from. */
 export interface EngineViewInput {
   readonly replicas: readonly Replica[];
   readonly pending: readonly PendingOrder[];
-  /** The placer's number. */
+  /** Fencing number of the placer. */
   readonly fence: FencingNumber;
+  /** Time of the plan, in milliseconds. */
   readonly now: number;
+  /** See `PlannerLimits`. */
   readonly limits: {
     readonly maxReliableAgeMs: number;
     readonly maxReportAgeMs: number;
@@ -55,8 +67,8 @@
 }
 
 /**
- * Engines that may be counted on: live, with a report of late. Plain services
- * have no models and no memory, and are left out.
+ * Engines that can be used: live, with a report that is not too old. Plain
+ * services are left out, since they have no models and no memory.
  */
 export function viewEngines({
   replicas,
@@ -126,7 +138,7 @@
   return engine.versions.get(model)?.get(version) ?? 'absent';
 }
 
-/** Versions of the model in that state on the engine. */
+/** Versions of the model that are in this state on the engine. */
 export function versionsInState(
   engine: EngineView,
   model: ModelId,
@@ -137,7 +149,7 @@
     .map(([version]) => version);
 }
 
-/** Adapters ready on the engine for one version of a model. */
+/** Adapters that are ready on the engine for one version of a model. */
 export function adaptersOf(
   engine: EngineView,
   model: ModelId,
--- a/src/placement/lease_candidates.ts
+++ b/src/placement/lease_candidates.ts
@@ -1,18 +1,26 @@
 /**
- * Which entries look at the placer's lease often. With each of some hundreds
- * looking twice in its duration the store would bear most of its load for
- * nothing; the first few in rendezvous order are enough, and when they are
- * gone the next ones come forward. The choice costs time, never correctness.
+ * Chooses which entries check the placer's lease often. If each of several
+ * hundred entries checked it twice in its duration, this would be most of the
+ * store's load. The first few in rendezvous order are enough; when they fail,
+ * the next ones take their place. A wrong choice delays a new placer, but never
+ * leads to two.
  */
 import type {NodeId} from '../types/ids.js';
 import type {MembershipView} from '../types/services.js';
 import {rendezvousNames} from '../utils/rendezvous.js';
 
-/** Candidates at a time; two may fail together without a gap. */
+/**
+ * Number of candidates. With three, two may fail at once and one still checks
+ * the lease.
+ */
 const CANDIDATES = 3;
+/** Key of the rendezvous hashing that orders the entries. */
 const RENDEZVOUS_KEY = 'placer';
 
-/** True when `self` is among the first; also before anything is known. */
+/**
+ * True when `self` is among the candidates. Also true while no other entry is
+ * known.
+ */
 export function isLeaseCandidate(
   self: NodeId,
   view: Pick<MembershipView, 'entries'> | undefined,
--- a/src/placement/load_budget.ts
+++ b/src/placement/load_budget.ts
@@ -1,7 +1,8 @@
 /**
- * How many loads may run at once. The weight store shares one rate among its
- * transfers: each further one makes all slower, until none ends in useful
- * time. So there are as many as let each end within the limit, one at least.
+ * Limits how many model loads run at once. The weight store divides one
+ * transfer rate among all loads, so each further load slows the others down,
+ * until none ends in useful time. The limit lets each load end within the
+ * target time, and allows at least one.
  */
 import type {Model} from '../types/config.js';
 import type {WeightStoreStatus} from '../types/platform.js';
@@ -10,15 +11,20 @@
 
 const MS_PER_SEC = 1_000;
 
+/** Loads that may be started in one plan. */
 export interface LoadBudget {
-  /** Takes one load if it is within the budget. */
+  /** Takes one load. Returns false when no further load may start. */
   tryTake(model: Model): boolean;
-  /** Loads at once that are allowed for weights of this size. */
+  /** Loads of this model's weights that may run at once. */
   maxConcurrent(model: Model): number;
+  /** Loads that are running, ordered or taken from this budget. */
   inFlight(): number;
 }
 
-/** `status` undefined: the weight store's rate is not known, one at a time. */
+/**
+ * Creates the budget of one plan. When the weight store's status is undefined,
+ * its rate is unknown, and loads run one at a time.
+ */
 export function createLoadBudget(
   engines: readonly EngineView[],
   status: WeightStoreStatus | undefined,
@@ -37,7 +43,8 @@
     maxConcurrent,
     inFlight: () => inFlight,
     tryTake: model => {
-      // A queue at the weight store: others load as well.
+      // Transfers are queued at the weight store, so other processes are
+      // loading too.
       if ((status?.queuedTransfers ?? 0) > 0) return false;
       if (inFlight >= maxConcurrent(model)) return false;
       inFlight += 1;
@@ -46,6 +53,7 @@
   };
 }
 
+/** Versions that the engine is loading. */
 function loadsOn(engine: EngineView): number {
   return [...engine.versions.values()]
     .flatMap(versions => [...versions.values()])
--- a/src/placement/order_tracker.ts
+++ b/src/placement/order_tracker.ts
@@ -1,7 +1,8 @@
 /**
- * Orders under way and what became of earlier ones. An order is done when a
- * heartbeat shows its effect, whatever its answer said: an answer may be lost
- * after the effect, and an engine may take an order and not carry it out.
+ * Tracks pending orders, and the outcomes of earlier ones. An order is done
+ * when a heartbeat shows its effect, whatever the side answered: an answer may
+ * be lost after the effect, and an engine may accept an order and not carry it
+ * out.
  */
 import type {Address} from '../types/ids.js';
 import type {OrderReq} from '../types/peer_messages.js';
@@ -9,11 +10,12 @@
 import type {PendingOrder} from './engine_view.js';
 import type {PlannedOrder} from './plan_types.js';
 
-/** Decisions kept for status. */
+/** Decisions kept for the status API. Older ones are dropped. */
 const MAX_KEPT_DECISIONS = 200;
 /** Pause before an engine that refused an order gets another one. */
 const REFUSED_PAUSE_MS = 5_000;
 
+/** What became of an order, as shown in logs and in the status API. */
 export type OrderOutcome =
   | 'sent'
   | 'not-sent'
@@ -23,39 +25,61 @@
   | 'in-effect'
   | 'no-effect';
 
+/** A pending order. Times are in milliseconds on this process's clock. */
 interface TrackedOrder extends PendingOrder {
   readonly addedAt: number;
+  /** When the order is given up if no effect has shown. */
   readonly expiresAt: number;
+  /**
+   * True when the side refused the order. It stays pending until `expiresAt`,
+   * so that the engine gets no other order before.
+   */
   readonly isRefused: boolean;
 }
 
-/** An order that was under way and is no longer. */
+/** An order that is no longer pending. */
 export interface ClosedOrder {
   readonly order: OrderReq;
   readonly address: Address;
   readonly outcome: OrderOutcome;
+  /** Time from adding the order to closing it. */
   readonly tookMs: number;
 }
 
+/** Pending orders and recent decisions. */
 export interface OrderTracker {
+  /** Orders whose effect has not shown yet. */
   pending(): readonly PendingOrder[];
+  /** Recent decisions with their outcomes, oldest first. */
   decisions(): readonly PlacementDecision[];
+  /** Adds an order that is about to be sent. */
   add(planned: PlannedOrder, order: OrderReq, now: number): void;
+  /** Sets the outcome of a decision. */
   setOutcome(orderId: string, outcome: OrderOutcome, reason?: string): void;
-  /** It has no effect; the engine gets another order after a pause. */
+  /**
+   * Marks an order as refused. It has no effect, and the engine gets another
+   * order after a pause.
+   */
   markRefused(orderId: string, now: number): void;
-  /** Compares with the heartbeats; closes what took effect or lapsed. */
+  /**
+   * Compares pending orders with the heartbeats. Closes and returns those that
+   * took effect or expired.
+   */
   closeSettled(
     replicas: readonly Replica[],
     now: number,
   ): readonly ClosedOrder[];
-  /** Forgets what is under way: another placer has taken over. */
+  /**
+   * Drops all pending orders, because they were sent under an earlier lease.
+   */
   clear(): void;
 }
 
 /**
- * `holdMs`: how long an order without a visible effect is taken as under way.
- * It must be longer than an order can be on its way.
+ * Creates a tracker without orders. `effectTimeoutMs` is how long an order
+ * without a visible effect stays pending. It must be longer than an order can
+ * take to arrive, because otherwise a late order could take effect after the
+ * next one.
  */
 export function createOrderTracker(effectTimeoutMs: number): OrderTracker {
   const tracked = new Map<string, TrackedOrder>();
@@ -68,23 +92,25 @@
     );
   };
 
+  /** Removes the order and records its outcome. */
   const close = (
-    {order, address, addedAt: bookedAt}: TrackedOrder,
+    {order, address, addedAt}: TrackedOrder,
     outcome: OrderOutcome,
     now: number,
   ): ClosedOrder => {
     tracked.delete(order.orderId);
     if (outcome !== 'refused') setOutcome(order.orderId, outcome);
-    return {order, address, outcome, tookMs: now - bookedAt};
+    return {order, address, outcome, tookMs: now - addedAt};
   };
 
+  /** Closes the order if it took effect or expired. */
   const closeIfSettled = (
     item: TrackedOrder,
     replicas: readonly Replica[],
     now: number,
   ): readonly ClosedOrder[] => {
     const replica = replicas.find(({address}) => address === item.address);
-    // A report from before the order says nothing of it.
+    // A report from before the order does not show its effect.
     const isNewerReport =
       replica !== undefined && replica.loadAt > item.addedAt;
     if (isNewerReport && isInEffect(replica, item.order)) {
@@ -134,7 +160,7 @@
   };
 }
 
-/** True when the report shows what the order asked for. */
+/** True when the report shows the effect of the order. */
 function isInEffect(replica: Replica, order: OrderReq): boolean {
   const state = replica.models.find(
     ({model, version}) => model === order.model && version === order.version,
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -1,9 +1,9 @@
 /**
- * The service `placement` of each entry. The one that holds the lease is the
- * placer: it plans once a second and sends orders to sides under its fencing
- * number. It may be wrong about holding the lease, when it was paused or cut
- * off; the sides, which refuse numbers lower than the highest they have seen,
- * make that harmless.
+ * The placement service, which runs on each entry. The entry that holds the
+ * lease is the placer: it plans once a second, and sends orders to sides under
+ * its fencing number. An entry that was paused or cut off may wrongly believe
+ * that it holds the lease. Its orders do no harm, because sides refuse fencing
+ * numbers lower than the highest they have seen.
  */
 import type {NumberedDeclarations} from '../types/config.js';
 import type {Address, FencingNumber, NodeId} from '../types/ids.js';
@@ -43,41 +43,57 @@
 import {createSidePoller} from './side_poller.js';
 import type {SidePoller, PollerIdentity} from './side_poller.js';
 
+/** Random bytes in an order's id. */
 const ORDER_ID_BYTES = 8;
+/** Duration of the lease unless the options say otherwise. */
 const LEASE_TTL_MS = 10_000;
 /**
- * How long a new placer waits for all sides to know its number. Heartbeats
- * carry it within seconds; a side that stays cut off must not stop placement.
+ * How long a new placer waits until all sides know its fencing number.
+ * Heartbeats deliver the number within seconds. After this time the placer goes
+ * on without the missing sides, because a side that stays cut off must not stop
+ * placement.
  */
 const HANDOVER_TIMEOUT_MS = 10_000;
 
+/**
+ * This entry, and its access to the platform and the sides. Times are in
+ * milliseconds.
+ */
 export interface PlacementServiceOptions {
+  /** Name of this entry, as written in the lease. */
   readonly node: NodeId;
+  /** Holds the lease. */
   readonly store: ObjectStore;
   readonly transport: Transport;
-  /** Asked before loads; without it, loads run one at a time. */
+  /**
+   * Asked for its status before each plan. Without it, loads run one at a time.
+   */
   readonly weightStore?: WeightStore;
-  /** @default 10000 */
+  /** Duration of the lease. @default 10000 */
   readonly leaseTtlMs?: number;
-  /** A missing lease is made after so long. @default 10000 */
+  /** A missing lease is created after this time. @default 10000 */
   readonly leaseCreateAfterMs?: number;
-  /** @default 2000 */
+  /** The placer stops this long before its lease ends. @default 2000 */
   readonly leaseMarginMs?: number;
   /** Time between two plans. @default 1000 */
   readonly tickMs?: number;
-  /** @default 5000 */
+  /** Timeout of an order's answer. @default 5000 */
   readonly orderTimeoutMs?: number;
-  /** An order without a visible effect is under way so long. @default 30000 */
+  /**
+   * An order without a visible effect stays pending for this time. @default
+   * 30000
+   */
   readonly orderEffectTimeoutMs?: number;
+  /** Bounds of the planner that differ from the defaults. */
   readonly limits?: Partial<PlannerLimits>;
   /**
-   * Named to sides that this entry does not follow, which the placer asks as
-   * well. @default only followed sides are placed on
+   * Introduces this entry to the sides that it does not follow, which the
+   * placer polls as well. @default models are placed only on followed sides
    */
   readonly pollerIdentity?: Pick<PollerIdentity, 'address' | 'incarnation'>;
 }
 
-/** Makes the service. */
+/** Creates the service. */
 export function createPlacementService(
   options: PlacementServiceOptions,
 ): ServiceSpec<'placement'> {
@@ -87,6 +103,7 @@
   };
 }
 
+/** One start of the service. */
 class PlacementTask {
   private readonly lease: Lease;
   private readonly orders: OrderTracker;
@@ -95,13 +112,17 @@
   private config: NumberedDeclarations | undefined;
   private view: MembershipView | undefined;
   private roleHistory: RoleHistory;
-  /** Highest fencing number heard of, from any side or entry. */
+  /** Highest fencing number received from any side or entry. */
   private highestFence: FencingNumber = 0;
-  /** Number under which this process is the placer; 0 when it is not. */
+  /**
+   * Fencing number under which this process is the placer; 0 when it is not.
+   */
   private placerFence: FencingNumber = 0;
   /** When this process became the placer. */
   private placerStartedAt = 0;
+  /** Wishes that were not met by the last plan, as `pool/model`. */
   private unmetWishes: ReadonlySet<string> = new Set();
+  /** True while a plan is being made. Plans never overlap. */
   private isPlanning = false;
 
   constructor(
@@ -147,7 +168,10 @@
     void ctx.mailbox.observe(message => this.handle(message));
   }
 
-  /** Subscribes again and again: the other services may have restarted. */
+  /**
+   * Subscribes to views and configurations. The subscriptions are repeated,
+   * because the services behind them may be restarted.
+   */
   private subscribe(): void {
     followMembership(this.ctx, view => {
       this.view = view;
@@ -159,6 +183,7 @@
     });
   }
 
+  /** Handles a message to the service. */
   private handle(message: PlacementMessage): void {
     if (message.kind === 'fence-seen') return this.observeFence(message.fence);
     message.reply(this.status());
@@ -173,7 +198,10 @@
     };
   }
 
-  /** Sides that no heartbeat of this entry goes to. */
+  /**
+   * Sides that get no heartbeats from this entry. Empty without a
+   * `pollerIdentity`.
+   */
   private unfollowedSides(): readonly Address[] {
     const {view} = this;
     if (view === undefined || this.options.pollerIdentity === undefined)
@@ -182,6 +210,7 @@
     return view.allSides.filter(address => !followed.has(address));
   }
 
+  /** Followed and polled sides. */
   private allReplicas(view: MembershipView): readonly Replica[] {
     const followed = new Set(view.replicas.map(({address}) => address));
     const others = this.sidePoller.replicas();
@@ -191,19 +220,22 @@
     ];
   }
 
+  /** Records a fencing number that a side or an entry has reported. */
   private observeFence(fence: FencingNumber): void {
     this.highestFence = Math.max(this.highestFence, fence);
   }
 
   /**
-   * Asked before each order, not once for each plan: the process may have been
-   * paused in between, and its lease may be another's now. A higher number
-   * seen anywhere says the same before the store does.
+   * True when this process may act as the placer. This is checked before each
+   * order and not only once for each plan, because the process may have been
+   * paused in between and another entry may hold the lease. A higher fencing
+   * number from any side or entry shows that before the store does.
    */
   private isPlacer(): boolean {
     return this.lease.valid() && this.lease.fence() >= this.highestFence;
   }
 
+  /** Starts a plan if this process is the placer and no plan is being made. */
   private tick(): void {
     this.updatePlacerRole();
     if (this.placerFence === 0 || this.isPlanning) return;
@@ -215,7 +247,10 @@
       });
   }
 
-  /** Starts anew with each lease: earlier orders are another placer's. */
+  /**
+   * Follows changes of the lease. A new lease starts with no pending orders and
+   * no role history, because earlier orders were another placer's.
+   */
   private updatePlacerRole(): void {
     const fence = this.isPlacer() ? this.lease.fence() : 0;
     if (fence === this.placerFence) return;
@@ -236,10 +271,12 @@
     this.ctx.log(PLACEMENT_EVENTS.placerStarted, {fence});
   }
 
+  /** Makes a plan and sends its orders. */
   private async runPlan(): Promise<void> {
     const status = await this.fetchWeightStoreStatus();
     const {config, view, placerFence: fence} = this;
-    // Number 0 declares no models: planned by it, all would be unloaded.
+    // Configuration 0 is the one before the first. It declares no models, so a
+    // plan would unload all of them.
     if (config === undefined || config.number === 0) return;
     if (view === undefined || fence === 0) return;
     const now = this.ctx.clock.now();
@@ -262,10 +299,11 @@
   }
 
   /**
-   * The first order waits until every live side knows the new number, which
-   * goes out with the heartbeats. Else an order of the placer before, still
-   * believing or still on its way, could take effect after it at a side that
-   * this one has not ordered yet: two placers' plans would mix.
+   * True when the first order may be sent. A new placer waits until every live
+   * side knows its fencing number, which the heartbeats deliver. Otherwise a
+   * late order of the previous placer could take effect at a side that this
+   * placer has not sent an order to yet, and the plans of two placers would be
+   * mixed.
    */
   private isHandoverComplete(
     replicas: readonly Replica[],
@@ -278,6 +316,7 @@
       .every(({fence}) => fence >= this.placerFence);
   }
 
+  /** Status of the weight store; undefined when it gives no answer. */
   private async fetchWeightStoreStatus(): Promise<
     WeightStoreStatus | undefined
   > {
@@ -285,6 +324,10 @@
     return answer?.toMaybe().extract();
   }
 
+  /**
+   * Polls the sides with pending orders. Closes orders that took effect or
+   * expired, and logs them.
+   */
   private closeSettledOrders(replicas: readonly Replica[], now: number): void {
     this.sidePoller.pollPending(
       this.orders.pending().map(({address}) => address),
@@ -307,6 +350,7 @@
     }
   }
 
+  /** Logs each wish when it becomes unmet and when it is met again. */
   private reportUnmetWishes({unmet}: Plan): void {
     const keyOf = ({pool, model}: UnmetWish) => `${pool}/${model}`;
     for (const wish of unmet) {
@@ -321,6 +365,7 @@
     this.unmetWishes = keys;
   }
 
+  /** Sends an order, unless this process has lost the lease meanwhile. */
   private sendOrder(planned: PlannedOrder, fence: FencingNumber): void {
     const {address, action, model, version, adapter, role, reason} = planned;
     const orderId = this.ctx.random.hex(ORDER_ID_BYTES);
@@ -360,6 +405,7 @@
       .catch(cause => this.ctx.fail(cause));
   }
 
+  /** Handles a side's answer to an order. */
   private handleAnswer(order: OrderReq, res: OrderRes): void {
     this.observeFence(res.fence);
     if (res.state === 'refused') {
@@ -370,6 +416,7 @@
     }
   }
 
+  /** Records and logs the answer to an order, or that there was none. */
   private recordAnswer(
     order: OrderReq,
     outcome: 'accepted' | 'refused' | 'unanswered',
--- a/src/placement/placement_lease.ts
+++ b/src/placement/placement_lease.ts
@@ -1,7 +1,7 @@
 /**
- * The placer's lease in the object API, as a side reads it: a side that was
- * just started has seen no order, and must not take one of a placer that was
- * replaced before it started.
+ * Reads the placer's lease from the object API, for a side. A side that was
+ * just started has seen no order, and must not accept one from a placer that
+ * was replaced before it started.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -13,7 +13,7 @@
 /** Key of the lease's object. */
 export const PLACER_LEASE_KEY = 'lease/placer';
 
-/** Fencing number of the newest lease; 0 when there never was one. */
+/** Fencing number of the current lease; 0 when there has never been a lease. */
 export async function readLeaseFence(
   store: ObjectStore,
 ): Promise<Either<OnyxError, FencingNumber>> {
--- a/src/placement/plan_roles.ts
+++ b/src/placement/plan_roles.ts
@@ -1,8 +1,8 @@
 /**
- * Sets engines aside for short or for long prompts by the mix of what waits.
- * A change of role empties caches and queues, so it is damped three times: the
- * mix is averaged over time, a change needs more than a rounding's difference,
- * and an engine keeps its role for a dwell time.
+ * Assigns engines to short or to long prompts according to the workload mix. A
+ * change of role empties caches and queues, so changes are damped in three
+ * ways: the mix is averaged over time, a change needs a difference larger than
+ * rounding, and an engine keeps its role for a minimum time.
  */
 import type {PolicyWeights} from '../types/config.js';
 import type {PoolId} from '../types/ids.js';
@@ -16,11 +16,15 @@
   RoleHistory,
 } from './plan_types.js';
 
-/** Pools smaller than this keep all engines mixed. */
+/** In pools with fewer engines, all stay mixed. */
 const MIN_ENGINES = 3;
-/** Below this share of either kind, none is set aside for the other. */
+/**
+ * When long prompts, or short ones, have less than this share of the waiting
+ * tokens, no engine is assigned a role.
+ */
 const MIN_SHARE = 0.05;
 
+/** What the role plan depends on. */
 export interface RolePlanInput {
   readonly now: number;
   readonly engines: readonly EngineView[];
@@ -29,17 +33,18 @@
   readonly history: RoleHistory;
 }
 
+/** Role changes, and the history for the next plan. */
 export interface RolePlan {
   readonly orders: readonly PlannedOrder[];
   readonly history: RoleHistory;
 }
 
-/** Starts without knowledge of earlier changes. */
+/** Creates a history without earlier changes. */
 export function createRoleHistory(now: number): RoleHistory {
   return {mixes: new Map(), changedAt: new Map(), startedAt: now};
 }
 
-/** One change of role at most for each pool. */
+/** Plans at most one role change for each pool. */
 export function planRoles(input: RolePlanInput): RolePlan {
   const mixes = new Map<PoolId, PoolMix>();
   const changedAt = new Map(input.history.changedAt);
@@ -58,18 +63,24 @@
   return {orders, history: {mixes, changedAt, startedAt}};
 }
 
+/** Engines by pool. */
 function byPool(
   engines: readonly EngineView[],
 ): ReadonlyMap<PoolId, readonly EngineView[]> {
   const pools = new Map<PoolId, EngineView[]>();
   for (const engine of engines) {
-    // Without a model an engine serves neither kind, and shows no role.
+    // An engine without a model serves no prompt, and reports no role.
     if (engine.versions.size === 0) continue;
     pools.set(engine.pool, [...(pools.get(engine.pool) ?? []), engine]);
   }
   return pools;
 }
 
+/**
+ * The pool's workload mix, averaged with what waits now. The average moves
+ * exponentially with the time constant `mixTimeConstantMs`. While nothing
+ * waits, the share of long prompts stays as it was.
+ */
 function updateMix(
   {now, limits, history}: RolePlanInput,
   engines: readonly EngineView[],
@@ -104,9 +115,13 @@
   return engines.reduce((total, {load}) => total + pick(load), 0);
 }
 
+/** Number of engines with each role. */
 type RoleCounts = Readonly<Record<'long' | 'short', number>>;
 
-/** Wished engines of each role, unrounded. The rest stays mixed. */
+/**
+ * Wanted number of engines for each role, not rounded. The other engines stay
+ * mixed.
+ */
 function targetCounts(
   {policy, limits}: RolePlanInput,
   engines: number,
@@ -119,6 +134,7 @@
   return {long, short: (engines - long) / 2};
 }
 
+/** The next role change in one pool, if it needs one and may change now. */
 function planRoleChange(
   input: RolePlanInput,
   pool: PoolId,
@@ -160,11 +176,16 @@
   });
 }
 
+/** A change from one role to another. */
 interface RoleChange {
   readonly from: EngineRole;
   readonly to: EngineRole;
 }
 
+/**
+ * Chooses a role whose number of engines is off its target by more than the
+ * hysteresis. Roles with too many engines are considered first.
+ */
 function pickChange(
   target: RoleCounts,
   current: RoleCounts,
@@ -181,7 +202,10 @@
   return undefined;
 }
 
-/** Least waiting work first; then by address, the same for any placer. */
+/**
+ * Orders engines by waiting work, least first, and then by address, so that any
+ * placer chooses the same engine.
+ */
 function byBacklog(a: EngineView, b: EngineView): number {
   const difference = a.load.prefillBacklogTokens - b.load.prefillBacklogTokens;
   if (difference !== 0) return difference;
--- a/src/placement/plan_types.ts
+++ b/src/placement/plan_types.ts
@@ -1,4 +1,7 @@
-/** Input and output of the planner: plain data, so that it can be replayed. */
+/**
+ * Input and output of the planner. They are plain data, so that a plan can be
+ * computed again from recorded input.
+ */
 import type {Declarations} from '../types/config.js';
 import type {Address, FencingNumber, ModelId, PoolId} from '../types/ids.js';
 import type {EngineRole, OrderReq} from '../types/peer_messages.js';
@@ -7,34 +10,47 @@
 import type {Replica} from '../types/services.js';
 import type {PendingOrder} from './engine_view.js';
 
-/** Bounds of the planner; all times in milliseconds. */
+/** Bounds of the planner. Times are in milliseconds. */
 export interface PlannerLimits {
-  /** A report no older is relied on to take a version away. @default 10000 */
+  /**
+   * A version is unloaded only on the basis of reports that are no older.
+   * @default 10000
+   */
   readonly maxReliableAgeMs: number;
   /**
-   * An engine counts while its report is no older: two passes of the survey
-   * over all sides and some delay. @default 70000
+   * Engines with an older report are left out of the plan. Covers two passes of
+   * the side poller over all sides, and some delay. @default 70000
    */
   readonly maxReportAgeMs: number;
-  /** A load should end within this; sets how many run at once. @default 180000 */
+  /**
+   * Time within which a load should end. It limits how many loads run at once.
+   * @default 180000
+   */
   readonly targetLoadMs: number;
-  /** Most loads at once, whatever the weight store's rate. @default 4 */
+  /**
+   * Loads that may run at once, whatever the weight store's rate. @default 4
+   */
   readonly maxLoads: number;
-  /** An engine keeps its role at least so long. @default 120000 */
+  /** An engine keeps its role for at least this time. @default 120000 */
   readonly roleDwellMs: number;
-  /** Pause between two role changes in one pool. @default 15000 */
+  /** Minimum time between two role changes in one pool. @default 15000 */
   readonly roleIntervalMs: number;
-  /** Time constant over which the mix of work is averaged. @default 60000 */
+  /** Time constant of the average of the workload mix. @default 60000 */
   readonly mixTimeConstantMs: number;
   /**
-   * Engines by which the wished number must be off before one is changed; over
-   * a half, else one flips to and fro at the rounding. @default 0.75
+   * Engines by which the number with a role must differ from its target before
+   * one is changed. Must be above 0.5; otherwise an engine would change back
+   * and forth when the target is halfway between two numbers. @default 0.75
    */
   readonly roleHysteresis: number;
-  /** Backlog per engine below which no engine is set aside. @default 2000 */
+  /**
+   * Waiting prompt tokens per engine below which no engine is assigned a role.
+   * @default 2000
+   */
   readonly minBacklogTokens: number;
 }
 
+/** Bounds of a deployment that sets nothing else. */
 export const DEFAULT_PLANNER_LIMITS: PlannerLimits = {
   maxReliableAgeMs: 10_000,
   maxReportAgeMs: 70_000,
@@ -47,28 +63,38 @@
   minBacklogTokens: 2_000,
 };
 
-/** Mix of work in one pool, averaged over time. */
+/** Workload mix of one pool, averaged over time. */
 export interface PoolMix {
-  /** Share of waiting prompt tokens in prompts beyond the shortest class. */
+  /**
+   * Share of the waiting prompt tokens that belongs to prompts beyond the
+   * shortest length class.
+   */
   readonly longShare: number;
   /** Waiting prompt tokens per engine. */
   readonly backlogTokens: number;
+  /** When the average was last updated. */
   readonly updatedAt: number;
+  /** When the last role change in the pool was planned. */
   readonly lastChangeAt: number;
 }
 
-/** What role changes are damped by; carried from plan to plan. */
+/** State that damps role changes, passed from each plan to the next. */
 export interface RoleHistory {
   readonly mixes: ReadonlyMap<PoolId, PoolMix>;
-  /** When an engine's role was last changed. */
+  /** When the role of each engine was last changed. */
   readonly changedAt: ReadonlyMap<Address, number>;
-  /** Nothing is known of earlier changes: all count as made then. */
+  /**
+   * When the history starts. Earlier changes are unknown; all count as made at
+   * this time.
+   */
   readonly startedAt: number;
 }
 
+/** Everything that a plan depends on. */
 export interface PlanInput {
+  /** Time of the plan, in milliseconds. */
   readonly now: number;
-  /** The placer's number. */
+  /** Fencing number of the placer. */
   readonly fence: FencingNumber;
   readonly declarations: Declarations;
   readonly replicas: readonly Replica[];
@@ -79,15 +105,19 @@
   readonly roles: RoleHistory;
 }
 
-/** An order that the planner asks for, with why. */
+/** An order from the planner, with its reason. */
 export interface PlannedOrder extends Omit<OrderReq, 'orderId' | 'fence'> {
   readonly address: Address;
+  /** Why the order was planned, for operators. */
   readonly reason: string;
-  /** What the decision was made on. */
+  /** Figures that the decision was based on. */
   readonly figures: LogFields;
 }
 
-/** A wish that no order can meet now. */
+/**
+ * A wish of the configuration that too few engines fulfil. `wanted` replicas
+ * are wished, `ready` are ready, and `engines` can be used.
+ */
 export interface UnmetWish {
   readonly pool: PoolId;
   readonly model: ModelId;
@@ -96,13 +126,14 @@
   readonly engines: number;
 }
 
+/** Outcome of one run of the planner. */
 export interface Plan {
   readonly orders: readonly PlannedOrder[];
   readonly unmet: readonly UnmetWish[];
   readonly roles: RoleHistory;
 }
 
-/** An order with the fields that its action does not use left empty. */
+/** Creates an order. Fields that its action does not use are empty. */
 export function plannedOrder(
   fields: Pick<PlannedOrder, 'action' | 'address' | 'reason' | 'figures'> &
     Partial<PlannedOrder>,
--- a/src/placement/plan_versions.ts
+++ b/src/placement/plan_versions.ts
@@ -1,8 +1,9 @@
 /**
- * Which engines load and unload which versions. A new version is loaded beside
- * the old one, engine by engine; the old one goes from an engine when the new
- * one is ready there and the old one is still ready elsewhere, and its last
- * replica only when the wish is met by the new one.
+ * Plans which engines load and unload which versions of a model. A new version
+ * is loaded beside the old one, engine by engine. The old version is unloaded
+ * from an engine when the new one is ready there and the old one is still ready
+ * on another engine. The last replica of the old version is unloaded only when
+ * enough replicas of the new one are ready.
  */
 import type {Model, PlacementWish} from '../types/config.js';
 import type {FailureDomain} from '../types/ids.js';
@@ -12,15 +13,15 @@
 import {plannedOrder} from './plan_types.js';
 import type {PlannedOrder, UnmetWish} from './plan_types.js';
 
-/** A model that a pool should serve. */
+/** A model that the configuration places in a pool. */
 export interface WishedModel {
   readonly wish: PlacementWish;
   readonly model: Model;
-  /** Engines of the pool that may be counted on. */
+  /** Engines of the pool that can be used. */
   readonly engines: readonly EngineView[];
 }
 
-/** Loads for one wish, within the budget that all wishes share. */
+/** Plans the loads for one wish, within the budget that all wishes share. */
 export function planLoads(
   wished: WishedModel,
   budget: LoadBudget,
@@ -35,12 +36,15 @@
   }
 }
 
+/** The engine that loads next, with the reason for it. */
 interface ChosenLoad {
   readonly engine: EngineView;
   readonly reason: string;
+  /** Number of engines it was chosen from. */
   readonly candidates: number;
 }
 
+/** Chooses the engine that should load the version next, if one is needed. */
 function chooseNextLoad(
   wished: WishedModel,
   chosen: readonly EngineView[],
@@ -65,11 +69,15 @@
   return {engine, reason, candidates: eligible.length};
 }
 
+/** True when the engine has the wished version or is loading it. */
 function hasVersion(engine: EngineView, model: Model): boolean {
   return versionStateOf(engine, model.id, model.version) !== 'absent';
 }
 
-/** Engines that should hold the version: a roll keeps the capacity there was. */
+/**
+ * Number of engines that should have the version. While a new version replaces
+ * an old one, as many engines as before should serve the model.
+ */
 function targetCount({wish, model, engines}: WishedModel): number {
   const serving = engines.filter(
     engine =>
@@ -79,7 +87,7 @@
   return Math.min(engines.length, Math.max(wish.minReplicas, serving.length));
 }
 
-/** Failure domains with fewer engines in `holding` than wished. */
+/** Failure domains with fewer engines in `holding` than the wish demands. */
 function underservedDomains(
   {wish, engines}: WishedModel,
   holding: readonly EngineView[],
@@ -96,6 +104,7 @@
   );
 }
 
+/** Number of engines in each failure domain. */
 function countByDomain(
   engines: readonly EngineView[],
 ): ReadonlyMap<FailureDomain, number> {
@@ -107,9 +116,11 @@
 }
 
 /**
- * Best first: engines with an old version (a roll stays in place and does not
- * spread over the pool), but the only ready one last; then the failure domain
- * with the fewest; then the least backlog.
+ * Orders engines for a load, best first. Engines with an old version come
+ * first, so that a new version replaces it in place and does not spread over
+ * the pool; but the only engine with a ready version comes last. Then come the
+ * failure domains with the fewest engines that have the version, and then
+ * engines with the smallest backlog.
  */
 function byPreference(wished: WishedModel, holding: readonly EngineView[]) {
   const {model, engines} = wished;
@@ -134,6 +145,7 @@
   };
 }
 
+/** Reason of a load, for operators. */
 function reasonToLoad(
   {model}: WishedModel,
   engine: EngineView,
@@ -169,6 +181,7 @@
   });
 }
 
+/** Number of engines on which the wished version is in this state. */
 function countInState(
   engines: readonly EngineView[],
   model: Model,
@@ -179,17 +192,21 @@
   ).length;
 }
 
-/** One unload of an old version at most; the next when it was read back. */
+/**
+ * Plans at most one unload of an old version. The next one is planned when a
+ * heartbeat has shown the effect.
+ */
 export function planUnload(wished: WishedModel): readonly PlannedOrder[] {
   const {engines, model} = wished;
   const ready = engines.filter(
     engine => versionStateOf(engine, model.id, model.version) === 'ready',
   );
-  // Others may have died since, or be changed by an older placer.
+  // Engines without a reliable report may have failed since, or a previous
+  // placer may still change them.
   const reliable = engines.filter(({isReliable}) => isReliable);
   const reliableReady = ready.filter(({isReliable}) => isReliable);
-  // The wish as declared, not as the engines at hand could meet it: with most
-  // of a pool out of sight one engine would else be enough.
+  // Uses the number as declared, not limited to the engines in view. Otherwise
+  // a single engine would suffice while most of the pool is out of view.
   const wanted = Math.max(wished.wish.minReplicas, targetCount(wished));
   const isMet =
     reliableReady.length >= wanted &&
@@ -202,8 +219,9 @@
           other !== engine &&
           versionStateOf(other, model.id, version) === 'ready',
       ).length;
-      // The last ready replica of a version in use: without it, callers would
-      // depend on a new version that has not proved itself where it is wished.
+      // This is the last ready replica of a version in use. Without it, callers
+      // would depend on a new version that is not ready on as many engines as
+      // wished.
       if (left === 0 && !isMet) continue;
       return [
         unloadOrder(wished, engine, version, {left, ready: ready.length}),
@@ -229,7 +247,7 @@
   });
 }
 
-/** The wish when fewer are ready than it asks for. */
+/** The wish if fewer replicas are ready than it asks for, else nothing. */
 export function unmetWish(wished: WishedModel): readonly UnmetWish[] {
   const {wish, model, engines} = wished;
   const ready = countInState(engines, model, 'ready');
--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -1,7 +1,7 @@
 /**
- * The planner: from the declarations, the engines' reports and the time to the
- * orders that come next. It has no state of its own and does nothing itself,
- * so that a placement decision can be replayed from its figures.
+ * The planner computes the next orders from the declarations, the engines'
+ * reports and the time. It keeps no state and sends nothing itself, so that a
+ * placement decision can be computed again from its recorded input.
  */
 import type {Declarations, Model} from '../types/config.js';
 import {
@@ -18,7 +18,7 @@
 import {planLoads, planUnload, unmetWish} from './plan_versions.js';
 import type {WishedModel} from './plan_versions.js';
 
-/** Orders that come next, at most one for each engine. */
+/** Plans the next orders, at most one for each engine. */
 export function planPlacement(input: PlanInput): Plan {
   const {declarations, limits} = input;
   const engines = viewEngines(input);
@@ -44,6 +44,10 @@
   };
 }
 
+/**
+ * Marks the engines that get an order in this plan as busy, so that they get no
+ * role change as well.
+ */
 function markBusy(
   engines: readonly EngineView[],
   orders: readonly PlannedOrder[],
@@ -54,6 +58,7 @@
   );
 }
 
+/** The wishes of the configuration, with their models and engines. */
 function wishedModels(
   {placement, models}: Declarations,
   engines: readonly EngineView[],
@@ -66,7 +71,10 @@
   });
 }
 
-/** Missing adapters of the wished version, one at a time on each engine. */
+/**
+ * Plans the loads of missing adapters of the wished version, one at a time on
+ * each engine.
+ */
 function planAdapters({model, engines}: WishedModel): readonly PlannedOrder[] {
   return engines
     .filter(({busy}) => !busy)
@@ -91,7 +99,10 @@
     });
 }
 
-/** Models that are no longer declared, one engine at a time. */
+/**
+ * Plans the unload of a model that is no longer declared, from one engine at a
+ * time.
+ */
 function planRemovedModels(
   {models}: Declarations,
   engines: readonly EngineView[],
@@ -116,7 +127,10 @@
   return [];
 }
 
-/** An engine's second order waits until the first was read back. */
+/**
+ * Keeps the first order for each engine. Its second one is planned when a
+ * heartbeat has shown the effect of the first.
+ */
 function firstPerEngine(
   orders: readonly PlannedOrder[],
 ): readonly PlannedOrder[] {
--- a/src/placement/side_poller.ts
+++ b/src/placement/side_poller.ts
@@ -1,9 +1,10 @@
 /**
- * The placer's own look at all sides. An entry follows a bounded subset of
- * them; a placer that saw no more would place within that subset alone, and
- * take a version for missing that runs everywhere else. So it asks the others
- * as well, each once in a period, spread evenly. Only the placer does: one
- * process at a time pays for it.
+ * Polls the sides that this entry does not follow, for the placer. An entry
+ * follows only a bounded subset of the sides. If the placer knew no other
+ * sides, it would place models only within that subset, and consider a version
+ * missing that runs everywhere else. Only the placer polls, so the additional
+ * load comes from one process at a time. The polls of one pass are spread
+ * evenly over time.
  */
 import type {
   Address,
@@ -17,16 +18,32 @@
 import type {Replica} from '../types/services.js';
 import type {Transport} from '../types/transport.js';
 
-/** Pause between two questions, so that the rate does not grow. */
+/**
+ * Time between two polls, unless a bound of the pass makes it longer or
+ * shorter. It keeps the rate of polls constant while the number of sides grows.
+ */
 const POLL_GAP_MS = 50;
+/**
+ * Shortest time of a pass over all sides. Without sides, the next pass begins
+ * after this time.
+ */
 const MIN_PASS_MS = 2_000;
+/**
+ * Longest time of a pass over all sides. With more sides than fit in it at
+ * `POLL_GAP_MS`, polls are closer together.
+ */
 const MAX_PASS_MS = 30_000;
-/** The first pass carries the new number to all sides: it is quicker. */
+/**
+ * Longest time of the first pass. It is shorter because this pass tells all
+ * sides the new fencing number.
+ */
 const FIRST_PASS_MS = 5_000;
+/** Timeout of a poll. After it, a side that answered before is suspect. */
 const POLL_TIMEOUT_MS = 1_000;
-/** Pause between questions to a side with an order under way. */
+/** Minimum time between polls of a side with a pending order. */
 const PENDING_POLL_MS = 2_000;
 
+/** How this entry introduces itself to the sides. */
 export interface PollerIdentity {
   readonly node: NodeId;
   readonly incarnation: Incarnation;
@@ -34,37 +51,51 @@
   readonly address: Address;
 }
 
+/** What the poller needs. */
 export interface SidePollerOptions {
   readonly self: PollerIdentity;
   readonly clock: Clock;
   readonly transport: Transport;
+  /** Fencing number of the placer, sent with each poll. */
   readonly fence: () => FencingNumber;
+  /** Configuration number of this entry, sent with each poll. */
   readonly configNumber: () => ConfigNumber;
-  /** Sides to be asked: those that heartbeats do not go to. */
+  /** Sides to poll: those that get no heartbeats from this entry. */
   readonly sides: () => readonly Address[];
+  /** Receives an error that a poll should never cause. */
   readonly onError: (cause: unknown) => void;
 }
 
+/** Polls sides, and keeps their last reports. */
 export interface SidePoller {
-  /** Forgets what is known and begins the first pass. */
+  /** Drops all reports and begins the first pass. */
   start(): void;
+  /** Stops polling and drops all reports. */
   stop(): void;
-  /** Asks these more often: their orders' effects are waited for. */
+  /**
+   * Polls these sides now if their last poll was long enough ago, because they
+   * have pending orders whose effects are awaited.
+   */
   pollPending(addresses: readonly Address[]): void;
-  /** Whether each side was asked since the start. */
+  /** True when each side was polled since the start. */
   hasPolledAll(): boolean;
+  /** The sides that have answered, as last reported. */
   replicas(): readonly Replica[];
 }
 
-/** Makes a survey that is not started. */
+/** Creates a poller that is not started. */
 export function createSidePoller(options: SidePollerOptions): SidePoller {
   const {clock, transport, self} = options;
   const known = new Map<Address, Replica>();
   const polledAt = new Map<Address, number>();
   let cancelNext: Cancel = () => undefined;
-  /** Answers to the questions of an earlier start are dropped. */
+  /**
+   * Number of the current start. Replies to polls of an earlier start are
+   * dropped.
+   */
   let generation = 0;
 
+  /** Stores the report of a side. */
   const handleReply = (
     address: Address,
     res: SideHeartbeatRes,
@@ -80,6 +111,7 @@
     });
   };
 
+  /** Marks a side as suspect after a failed poll. */
   const markSuspect = (address: Address) => {
     const before = known.get(address);
     if (before !== undefined) known.set(address, {...before, state: 'suspect'});
@@ -114,6 +146,7 @@
     poll(address).catch(options.onError);
   };
 
+  /** Removes sides that need not be polled any more. */
   const removeAbsent = (sides: readonly Address[]) => {
     const present = new Set(sides);
     for (const address of polledAt.keys()) {
@@ -123,7 +156,7 @@
     }
   };
 
-  /** The one whose last question lies longest back. */
+  /** The side whose last poll was the longest time ago. */
   const leastRecentlyPolled = (
     sides: readonly Address[],
   ): Address | undefined => {
@@ -139,6 +172,7 @@
 
   const hasPolledAll = () => options.sides().every(side => polledAt.has(side));
 
+  /** Time until the next poll when there are `count` sides. */
   const nextDelayMs = (count: number) => {
     if (count === 0) return MIN_PASS_MS;
     const passMs = Math.min(
--- a/test/placement_fleet.test.ts
+++ b/test/placement_fleet.test.ts
@@ -1,4 +1,7 @@
-/** One placer at a time over real sides and both kinds of engines. */
+/**
+ * Tests that one placer at a time takes effect, with real sides and with engines
+ * that check fencing numbers or ignore them.
+ */
 import {describe, expect, it} from 'vitest';
 import {FLEET_MODEL} from '../standins/fleet_declarations.js';
 import {finalOf} from '../standins/fleet_callers.js';
@@ -17,8 +20,8 @@
 const LONG_DELAY = {minMs: 22_000, maxMs: 22_000};
 const LIMIT_MS = 180_000;
 const KINDS = [
-  ['refuse old numbers', true],
-  ['ignore numbers', false],
+  ['refuse old fencing numbers', true],
+  ['ignore fencing numbers', false],
 ] as const;
 
 async function startFleet(
@@ -47,12 +50,12 @@
 }
 
 /** The placer first, then the other entry. */
-async function inTurn({entries}: MemoryFleet) {
+async function holderFirst({entries}: MemoryFleet) {
   const [a, b] = entries as readonly [FleetEntry, FleetEntry];
   return (await statusOf(a)).placer ? ([a, b] as const) : ([b, a] as const);
 }
 
-async function newVersion(
+async function declareVersion(
   fleet: MemoryFleet,
   entry: FleetEntry,
   version: string,
@@ -62,7 +65,9 @@
   await fleet.clock.runFor(100);
 }
 
-/** Numbers of the orders that sides passed to engines, oldest first. */
+/**
+ * Fencing numbers of the orders that sides passed to engines, oldest first.
+ */
 function passedFences({events}: MemoryFleet): readonly number[] {
   return events
     .filter(({event}) => event.number === SIDE_EVENTS.orderPassed.number)
@@ -84,7 +89,7 @@
   expect(fleet.violations).toEqual([]);
 }
 
-/** How many engines serve just this version, ready. */
+/** Number of engines on which this version is ready and the only one. */
 function serving({engines}: MemoryFleet, version: string): number {
   return engines.filter(({model}) => {
     const {models} = model.report();
@@ -94,7 +99,7 @@
   }).length;
 }
 
-async function untilServing(
+async function waitUntilServing(
   fleet: MemoryFleet,
   version: string,
   engines = ENGINES,
@@ -111,21 +116,19 @@
   }
 }
 
-describe.each(KINDS)('over engines that %s', (_, honoursFence) => {
-  // The placer orders a new version, and its orders are held up on their way.
-  // It is paused past its lease; another takes over and orders. Then the old
-  // orders arrive and the first placer wakes. An old order that took effect
-  // now would undo what the new placer relies on.
-  it('no order of a placer that was paused follows the newer ones', async () => {
+describe.each(KINDS)('placement on engines that %s', (_, honoursFence) => {
+  // The orders of a paused placer arrive after another entry has taken over. If
+  // they took effect, they would undo changes that the new placer relies on.
+  it('applies no order of a paused placer after newer orders', async () => {
     const fleet = await startFleet({honoursFence});
-    const [first, second] = await inTurn(fleet);
+    const [first, second] = await holderFirst(fleet);
     delayOrders(fleet, first);
-    await newVersion(fleet, first, '2');
+    await declareVersion(fleet, first, '2');
     await fleet.clock.runFor(1_500);
     first.freeze(18_000);
     await fleet.clock.runFor(18_000);
     expect((await statusOf(second)).placer).toBe(true);
-    await untilServing(fleet, '2');
+    await waitUntilServing(fleet, '2');
     await fleet.clock.runFor(8_000);
     expect(refusals(fleet, 'stale-fence')).toBeGreaterThan(0);
     expectFenced(fleet);
@@ -133,31 +136,29 @@
     fleet.stop();
   });
 
-  // The lease's object is removed by mistake while the placer is cut off from
-  // the store, and the other entry is started anew: it knows of no number. If
-  // it made the lease at once it would begin at 1 again, and both would order
-  // the same engines under one number.
-  it('a lease that was removed is made anew under a higher number', async () => {
+  // A restarted entry knows no fencing number. If it created a missing lease at
+  // once, it would start at 1 again and share that number with the old placer.
+  it('creates a removed lease again with a higher fencing number', async () => {
     const fleet = await startFleet({honoursFence});
-    const [first, second] = await inTurn(fleet);
-    await newVersion(fleet, first, '2');
+    const [first, second] = await holderFirst(fleet);
+    await declareVersion(fleet, first, '2');
     first.cutStore(true);
     fleet.network.faults.cut(first.address, second.address);
     delayOrders(fleet, first);
     const lease = fleet.store.peek(LEASE_KEY).unsafeCoerce();
     void fleet.store.remove(LEASE_KEY, lease.version, 'lease');
     void second.restart();
-    let bothBelieved = false;
+    let wereBothPlacers = false;
     for (let ms = 0; ms < 20_000; ms += 100) {
       await fleet.clock.runFor(100);
       const [a, b] = await Promise.all([statusOf(first), statusOf(second)]);
-      bothBelieved ||= a.placer && b.placer;
+      wereBothPlacers ||= a.placer && b.placer;
     }
-    expect(bothBelieved).toBe(false);
+    expect(wereBothPlacers).toBe(false);
     expect((await statusOf(second)).placer).toBe(true);
     first.cutStore(false);
     fleet.network.faults.healAll();
-    await untilServing(fleet, '2');
+    await waitUntilServing(fleet, '2');
     await fleet.clock.runFor(8_000);
     expect(refusals(fleet, 'stale-fence')).toBeGreaterThan(0);
     expectFenced(fleet);
@@ -165,18 +166,17 @@
     fleet.stop();
   });
 
-  // A side is started anew and has heard no number yet. An order of a placer
-  // that was replaced long ago comes at that moment. The side must learn from
-  // the lease which number is in force before it takes any.
-  it('a side that was just restarted takes no old order', async () => {
+  // A restarted side knows no fencing number yet. It must read the lease before
+  // it accepts an order, since the order may be of a placer that was replaced.
+  it('refuses an old order at a side that was just restarted', async () => {
     const fleet = await startFleet({honoursFence});
-    const [first] = await inTurn(fleet);
+    const [first] = await holderFirst(fleet);
     await first.restart();
     await fleet.clock.runFor(16_000);
     const [side] = fleet.engines;
     if (side === undefined) throw new Error('no side');
     void side.restart();
-    const rogue = fleet.network.transport('127.0.0.1:9999');
+    const stalePlacer = fleet.network.transport('127.0.0.1:9999');
     const answers: OrderRes[] = [];
     for (let at = 0; at < 20; at++) {
       const order = {
@@ -188,7 +188,7 @@
         adapter: '',
         role: 'mixed',
       } as const;
-      void rogue
+      void stalePlacer
         .call(side.address, 'order', order, 1_000)
         .then(res => res.ifRight(answer => answers.push(answer)));
       await fleet.clock.runFor(1);
@@ -202,13 +202,12 @@
     fleet.stop();
   });
 
-  // A new version is rolled out under load. Engine by engine the new one is
-  // loaded beside the old one, which goes last: callers see neither a refusal
-  // nor a failure for lack of a version.
-  it('rolls a new version with the old one in service and loses nothing', async () => {
+  // The old version must stay on an engine until the new one is ready there;
+  // otherwise callers would get refusals or failures during the update.
+  it('replaces a version under load without a failed request', async () => {
     const fleet = await startFleet({honoursFence});
-    const [first] = await inTurn(fleet);
-    await newVersion(fleet, first, '2');
+    const [first] = await holderFirst(fleet);
+    await declareVersion(fleet, first, '2');
     for (let ms = 0; ms < 40_000; ms += 200) {
       fleet.submit((ms / 200) % 2, {
         kind: 'completion',
@@ -221,7 +220,7 @@
       });
       await fleet.clock.runFor(200);
     }
-    await untilServing(fleet, '2');
+    await waitUntilServing(fleet, '2');
     await fleet.clock.runFor(5_000);
     expect(serving(fleet, '2')).toBe(ENGINES);
     expect(fleet.tracked.map(one => finalOf(one)?.kind)).toEqual(
@@ -233,9 +232,9 @@
 });
 
 describe('a placer that follows few of many sides', () => {
-  // No entry follows all eight sides. Placed by its own alone, the others
-  // would keep the old version for good, or be taken for missing.
-  it('places over all of them', async () => {
+  // No entry follows all eight sides. A placer that used only those it follows
+  // would leave the old version on the others forever.
+  it('places models on all of them', async () => {
     const fleet = await startFleet({
       entries: 6,
       engines: 8,
@@ -246,8 +245,8 @@
       expect(entry.view()?.replicas.length).toBeLessThan(8);
     }
     const [first] = fleet.entries as readonly [FleetEntry];
-    await newVersion(fleet, first, '2');
-    await untilServing(fleet, '2', 8);
+    await declareVersion(fleet, first, '2');
+    await waitUntilServing(fleet, '2', 8);
     expect(serving(fleet, '2')).toBe(8);
     fleet.stop();
   });
--- a/test/placement_placers.test.ts
+++ b/test/placement_placers.test.ts
@@ -20,7 +20,10 @@
   for (let n = 0; n < placers; n++) await fleet.addPlacer();
 }
 
-/** No order takes effect, on any engine, after one with a higher number. */
+/**
+ * Expects that no order took effect on any engine after one with a higher
+ * fencing number.
+ */
 function expectFenced(): void {
   const fences = fleet.effects.map(({order}) => order.fence);
   expect(fences).toEqual([...fences].sort((a, b) => a - b));
@@ -32,15 +35,15 @@
   ).length;
 }
 
-function holders(): readonly string[] {
+function distinctFences(): readonly string[] {
   return fleet.effects
     .map(({order}) => order.fence)
     .filter((fence, at, all) => all.indexOf(fence) === at)
     .map(String);
 }
 
-describe('placing', () => {
-  it('loads a declared model, rolls a new version and reads back', async () => {
+describe('a placer', () => {
+  it('loads a declared model, replaces its version and records the effects', async () => {
     await start({sides: 6});
     fleet.declare(1, declareModel('1', {minReplicas: 4}));
     await fleet.runFor(120_000);
@@ -51,7 +54,7 @@
       fewest = Math.min(fewest, Math.max(readyWith('1'), readyWith('2')));
     });
     expect([readyWith('1'), readyWith('2')]).toEqual([0, 4]);
-    // In service all the time, by one version or the other.
+    // One version or the other is ready on two engines at all times.
     expect(fewest).toBeGreaterThanOrEqual(2);
     const [placer] = fleet.placers;
     const {decisions, placer: isPlacer} = await placer.status();
@@ -64,8 +67,8 @@
     );
   });
 
-  it('keeps to the loads that the weight store can feed', async () => {
-    // 240 MB/s carry two loads of 20 GB within 180 s.
+  it('starts no more loads than the weight store can serve in time', async () => {
+    // At 240 MB/s, two loads of 20 GB end within 180 s.
     await start({sides: 6, bytesPerSec: 240e6});
     fleet.declare(1, declareModel('1', {minReplicas: 6}));
     await fleet.runFor(700_000);
@@ -73,7 +76,7 @@
     expect(readyWith('1')).toBe(6);
   });
 
-  it('does nothing before a configuration was accepted', async () => {
+  it('sends no order before a configuration was accepted', async () => {
     await start({sides: 2, models: ['1']});
     fleet.declare(0, {...declareModel('1', {minReplicas: 1}), models: []});
     await fleet.runFor(30_000);
@@ -81,15 +84,14 @@
   });
 });
 
-describe('a placer that wakes after its lease', () => {
-  // It was paused in the middle of a roll, and another has taken over. Its
-  // timers fire before it hears of that. Its clock alone must tell it that the
-  // lease is over: here neither engines nor sides check the number.
-  it('sends nothing', async () => {
+describe('a placer that was paused past the end of its lease', () => {
+  // Its timers fire before it learns that another entry has taken over. Neither
+  // engines nor sides check numbers here, so its clock must show that it ended.
+  it('sends no order', async () => {
     await start({sides: 4, fencedBy: 'nobody'}, 2);
     fleet.declare(1, declareModel('1', {minReplicas: 4}));
     await fleet.runFor(60_000);
-    const [first, second] = await inTurn();
+    const [first, second] = await holderFirst();
     first.host.freeze();
     await fleet.runFor(30_000);
     expect((await second.status()).placer).toBe(true);
@@ -107,19 +109,17 @@
   });
 });
 
-// The placer is paused past its lease, another takes over and orders. The first
-// wakes, believing itself the holder, with orders of its own that were on their
-// way all along. Without numbers checked at the engine, an old load or unload
-// would undo what the new placer did, and callers would lose a version.
+// Late orders of a paused placer arrive after another entry has taken over. If
+// they took effect, callers could lose a version that the new placer loaded.
 describe.each<FencedBy>(['engine', 'side'])(
-  'with numbers checked by the %s',
+  'with fencing numbers checked by the %s',
   by => {
-    it('no order of a placer that was paused follows the newer ones', async () => {
+    it('no order of a paused placer takes effect after newer orders', async () => {
       await start({sides: 4, fencedBy: by}, 2);
       fleet.declare(1, declareModel('1', {minReplicas: 2}));
       await fleet.runFor(20_000);
-      const [first, second] = await inTurn();
-      // What the first sends from now on stays on its way for 40 s.
+      const [first, second] = await holderFirst();
+      // Orders that the first placer sends from now on arrive 40 s later.
       for (const {address} of fleet.sides) {
         fleet.net.faults.setDelay(
           {minMs: 40_000, maxMs: 40_000},
@@ -134,7 +134,7 @@
       expect((await second.status()).placer).toBe(true);
       first.host.thaw();
       await fleet.runFor(60_000);
-      expect(holders()).toHaveLength(2);
+      expect(distinctFences()).toHaveLength(2);
       expectFenced();
       expect(
         first.recording.eventsOf(PLACEMENT_EVENTS.orderAnswered).length,
@@ -142,21 +142,20 @@
       expect([readyWith('1'), readyWith('2')]).toEqual([0, 2]);
     });
 
-    // The lease's object is removed by mistake. A second placer makes it anew,
-    // and the first believes until its next renewal; its view of the engines
-    // lags, too. Both order the same engines at the same time.
-    it('of two that both believe only the newer one has effect', async () => {
+    // The lease was removed and a second placer creates it again. Until the first
+    // one renews, both believe that they hold it and order the same engines.
+    it('of two placers that believe in their lease, only the newer has effect', async () => {
       const first = await placerWithoutLease(by);
       const second = await fleet.addPlacer({leaseCreateAfterMs: 0});
       second.declare({number: 2, declarations: TWO});
       await fleet.runFor(3_500);
       first.declare({number: 2, declarations: TWO});
-      const believe = await Promise.all([first.status(), second.status()]);
-      expect(believe.map(({placer}) => placer)).toEqual([true, true]);
+      const statuses = await Promise.all([first.status(), second.status()]);
+      expect(statuses.map(({placer}) => placer)).toEqual([true, true]);
       await fleet.runFor(1_500);
       const refused = refusalsOf(first);
       expect(refused).toBeGreaterThan(0);
-      // It has heard of the higher number by that, and sends nothing more.
+      // The refusals told it the higher number, so it sends no more orders.
       await fleet.runFor(10_000);
       expect(refusalsOf(first)).toBe(refused);
       first.isMembershipFrozen = false;
@@ -166,10 +165,9 @@
       expect((await first.status()).placer).toBe(false);
     });
 
-    // As above, and the new number reaches one side late. The first placer's
-    // order takes effect there; the second must not have begun by then, or the
-    // engines would be changed by two plans in turn.
-    it('a new placer waits until all sides know its number', async () => {
+    // The new number reaches one side late, so an order of the first placer still
+    // takes effect there. The second must not have sent an order before that.
+    it('a new placer waits until all sides know its fencing number', async () => {
       const first = await placerWithoutLease(by);
       fleet.sides[3].missesHeartbeats = true;
       const second = await fleet.addPlacer({leaseCreateAfterMs: 0});
@@ -189,7 +187,7 @@
   },
 );
 
-/** A placer that believes in its lease, whose object has been removed. */
+/** Starts a placer, and removes its lease without its knowledge. */
 async function placerWithoutLease(fencedBy: FencedBy): Promise<FakePlacer> {
   fleet = await createPlacementFleet({sides: 4, fencedBy});
   const placer = await fleet.addPlacer({
@@ -210,8 +208,8 @@
     .filter(({fields}) => fields.outcome === 'refused').length;
 }
 
-/** Placers, the one that holds the lease first. */
-async function inTurn() {
+/** The two placers, with the holder of the lease first. */
+async function holderFirst() {
   const [a, b] = fleet.placers;
   return (await a.status()).placer ? [a, b] : [b, a];
 }
--- a/test/placement_planner.test.ts
+++ b/test/placement_planner.test.ts
@@ -45,7 +45,7 @@
   });
 }
 
-function told(given: Partial<PlanInput>): readonly string[] {
+function plannedOrders(given: Partial<PlanInput>): readonly string[] {
   return plan(given).orders.map(
     ({action, address, version, role}) =>
       `${action} ${address.slice(-1)} ${version || role}`,
@@ -53,13 +53,13 @@
 }
 
 describe('loads', () => {
-  it('spread over failure domains before they meet the number', () => {
+  it('cover the failure domains before they reach the number of replicas', () => {
     const replicas = engines([[], [], [], [], [], []]);
     const declarations = declareModel('1', {
       minReplicas: 4,
       minPerFailureDomain: 1,
     });
-    expect(told({replicas, declarations})).toEqual([
+    expect(plannedOrders({replicas, declarations})).toEqual([
       'load 0 1',
       'load 1 1',
       'load 2 1',
@@ -67,26 +67,26 @@
     ]);
   });
 
-  it('are as many at once as each ends in useful time', () => {
+  it('run as many at once as end within the target time', () => {
     const replicas = engines([[], [], [], [], []]);
     const declarations = declareModel('1', {minReplicas: 5});
     const at = (bytesPerSec: number, queuedTransfers = 0) =>
-      told({
+      plannedOrders({
         replicas,
         declarations,
         weightStore: {bytesPerSec, activeTransfers: 0, queuedTransfers},
       }).length;
-    // 20 GB each, 180 s useful: 222 MB/s carry two.
+    // Two loads of 20 GB end within 180 s at 222 MB/s or more.
     expect(at(240e6)).toBe(2);
     expect(at(1e6)).toBe(1);
     expect(at(1e12)).toBe(DEFAULT_PLANNER_LIMITS.maxLoads);
     expect(at(1e12, 1)).toBe(0);
-    expect(told({replicas, declarations, weightStore: undefined})).toHaveLength(
-      1,
-    );
+    expect(
+      plannedOrders({replicas, declarations, weightStore: undefined}),
+    ).toHaveLength(1);
   });
 
-  it('tell what cannot be met', () => {
+  it('are reported as unmet when there are too few engines', () => {
     const {orders, unmet} = plan({replicas: engines([[]])});
     expect(orders).toHaveLength(1);
     expect(unmet).toEqual([
@@ -102,25 +102,29 @@
 
   it('wait until the old version is ready elsewhere', () => {
     const rolling = engines([[old, next], [old]]);
-    expect(told({declarations, replicas: rolling})).toEqual([
+    expect(plannedOrders({declarations, replicas: rolling})).toEqual([
       'load 1 2',
       'unload 0 1',
     ]);
     const last = engines([[old, next], []]);
-    expect(told({declarations, replicas: last})).toEqual(['load 1 2']);
+    expect(plannedOrders({declarations, replicas: last})).toEqual(['load 1 2']);
     const met = engines([[old, next], [next]]);
-    expect(told({declarations, replicas: met})).toEqual(['unload 0 1']);
+    expect(plannedOrders({declarations, replicas: met})).toEqual([
+      'unload 0 1',
+    ]);
   });
 
-  it('do not rely on engines that an older placer may still change', () => {
+  it('do not rely on engines that a previous placer may still change', () => {
     const [first, second] = engines([
       [old, next],
       [old, next],
     ]);
     const one = [first, {...second, fence: 0}];
-    expect(told({declarations, replicas: one})).toEqual(['unload 1 1']);
+    expect(plannedOrders({declarations, replicas: one})).toEqual([
+      'unload 1 1',
+    ]);
     const none = [first, second].map(engine => ({...engine, fence: 0}));
-    expect(told({declarations, replicas: none})).toEqual([]);
+    expect(plannedOrders({declarations, replicas: none})).toEqual([]);
   });
 
   it('never take the last ready replica of a version in use', () => {
@@ -154,7 +158,7 @@
           const {orders} = plan({declarations: wished, replicas});
           for (const {action, address, version} of orders) {
             if (action !== 'unload') continue;
-            const sure = replicas.filter(
+            const reliable = replicas.filter(
               item =>
                 item.address !== address &&
                 item.state === 'live' &&
@@ -162,7 +166,7 @@
                 item.loadAt === 0,
             );
             const readyElsewhere = (wanted: string) =>
-              sure.filter(({models}) =>
+              reliable.filter(({models}) =>
                 models.some(m => m.version === wanted && m.ready),
               ).length;
             const isReplaced = readyElsewhere('2') + 1 >= minReplicas;
@@ -179,7 +183,10 @@
   const SIX = engines(Array.from({length: 6}, () => [readyModel('1')]));
   const declarations = declareModel('1', {minReplicas: 1});
 
-  /** Runs the planner over a mix that changes, and carries its orders out. */
+  /**
+   * Runs the planner over a changing workload mix, applies its orders, and counts
+   * the role changes.
+   */
   function changesOf(
     seconds: number,
     shortShareAt: (second: number) => number,
@@ -210,17 +217,20 @@
     return changes;
   }
 
-  it('follow a lasting change of the mix, one engine at a time', () => {
-    // Half long: 3 of 6 engines for long, half of the rest for short.
+  it('follow a lasting change of the workload mix, one engine at a time', () => {
+    // Half of the work is long: 3 of 6 engines for long prompts, and half of the
+    // others for short ones.
     expect(changesOf(600, () => 0.5)).toBe(4);
   });
 
-  it('do not flip with a mix that swings', () => {
+  it('do not change back and forth with a mix that oscillates', () => {
     const swinging = changesOf(1_800, s => (s % 20 < 10 ? 0.95 : 0.05));
     expect(swinging).toBeLessThanOrEqual(4);
   });
 
-  it('leave a quiet pool as it is', () => {
-    expect(told({now: 200_000, replicas: SIX, declarations})).toEqual([]);
+  it('stay as they are in a pool without waiting work', () => {
+    expect(plannedOrders({now: 200_000, replicas: SIX, declarations})).toEqual(
+      [],
+    );
   });
 });
--- a/test/support/placement_fleet.ts
+++ b/test/support/placement_fleet.ts
@@ -1,6 +1,7 @@
 /**
  * Sides with scripted engines, and placers on hosts that can be paused, in
- * virtual time. Every effect on an engine is recorded with its number.
+ * virtual time. Every effect on an engine is recorded with the order that
+ * caused it.
  */
 import {Left, Right} from 'purify-ts';
 import {createInitialDeclarations} from '../../src/config/declarations_schema.js';
@@ -41,10 +42,12 @@
 import {createHostClock, storeOnHost} from './host_clock.js';
 import type {HostClock} from './host_clock.js';
 
+/** Period of heartbeats and membership views. */
 const HEARTBEAT_MS = 1_000;
+/** Size of the model's weights. */
 export const WEIGHT_BYTES = 20e9;
 
-/** Declarations of one model in one pool. */
+/** Declarations that place one model in one pool. */
 export function declareModel(
   version: string,
   wish: {readonly minReplicas: number; readonly minPerFailureDomain?: number},
@@ -72,6 +75,7 @@
   };
 }
 
+/** Load of an engine without requests. */
 export const IDLE_LOAD: SideLoad = {
   capacityTokens: 400_000,
   freeTokens: 400_000,
@@ -84,67 +88,82 @@
   reportAgeMs: 100,
 };
 
-/** Who refuses an old number: the engine itself, or the side before it. */
+/** What refuses an old fencing number: the engine, its side, or nothing. */
 export type FencedBy = 'engine' | 'side' | 'nobody';
 
+/** An order that took effect on an engine. */
 export interface Effect {
   readonly at: number;
   readonly address: string;
   readonly order: OrderReq;
 }
 
+/** A side with an engine that carries out orders. */
 export interface FakeSide {
   readonly address: string;
   models: readonly ModelState[];
   load: SideLoad;
   readonly failureDomain: string;
+  /** Highest fencing number that the side has seen. */
   fence: number;
-  /** While true no heartbeat reaches it; orders do. */
+  /** While true, heartbeats do not reach the side, but orders do. */
   missesHeartbeats: boolean;
 }
 
+/** An entry with the placement service. */
 export interface FakePlacer {
   readonly name: string;
   readonly address: string;
   readonly host: HostClock;
   readonly kernel: Kernel;
   readonly recording: RecordingRuntime;
-  /** While true it sends no heartbeats and its view stands still. */
+  /**
+   * While true, the placer sends no heartbeats and gets no new membership view.
+   */
   isMembershipFrozen: boolean;
+  /** Delivers a configuration to this placer. */
   declare(config: NumberedDeclarations): void;
   status(): Promise<PlacementStatus>;
 }
 
+/** Sides, placers and what they share. */
 export interface PlacementFleet {
   readonly clock: VirtualClock;
   readonly net: MemoryNetwork;
+  /** The store that holds the lease. */
   readonly core: ObjectStoreCore;
+  /** The weight store. */
   readonly weights: WeightStoreCore;
   readonly sides: readonly FakeSide[];
   readonly placers: readonly FakePlacer[];
   readonly effects: readonly Effect[];
-  /** Most engines that loaded at once. */
+  /** Most engines that were loading at once. */
   maxConcurrentLoads(): number;
+  /** Starts a further placer. */
   addPlacer(options?: Partial<PlacementServiceOptions>): Promise<FakePlacer>;
+  /** Delivers a configuration to all placers. */
   declare(number: number, declarations: Declarations): void;
-  /** Runs on and calls `check` each 100 ms. */
+  /** Advances the clock, and calls `check` every 100 ms. */
   runFor(ms: number, check?: () => void): Promise<void>;
   stop(): Promise<void>;
 }
 
+/** Size and behaviour of the sides. */
 export interface PlacementFleetOptions {
   readonly sides: number;
   readonly fencedBy?: FencedBy;
+  /** Versions that are ready on each engine at the start. */
   readonly models?: readonly string[];
-  /** Of the weight store. @default 2e9 */
+  /** Transfer rate of the weight store. @default 2e9 */
   readonly bytesPerSec?: number;
 }
 
+/** State of a version that is ready. */
 export function readyModel(version: string): ModelState {
   return {model: 'skylark', version, adapters: [], ready: true, role: 'mixed'};
 }
 
-/** Starts sides without placers. */
+/** Starts the sides, without placers. */
 export async function createPlacementFleet(
   options: PlacementFleetOptions,
 ): Promise<PlacementFleet> {
@@ -162,6 +181,10 @@
   let loading = 0;
   let maxConcurrentLoads = 0;
 
+  /**
+   * Applies an order to the side's engine. A load ends when the weight store's
+   * transfer has ended.
+   */
   const executeOrder = (side: FakeSide, order: OrderReq): void => {
     effects.push({at: clock.now(), address: side.address, order});
     const {model, version} = order;
@@ -188,7 +211,8 @@
   const fencedBy = options.fencedBy ?? 'side';
   const onOrder = (side: FakeSide, order: OrderReq): OrderRes => {
     if (fencedBy !== 'nobody' && order.fence < side.fence) {
-      // As told by an engine that checks, or by the side for one that does not.
+      // The reasons given by an engine that checks, and by a side that checks
+      // for its engine.
       const reason = fencedBy === 'engine' ? 'stale' : 'stale-fence';
       return {state: 'refused', reason, fence: side.fence};
     }
@@ -308,7 +332,10 @@
   };
 }
 
-/** Tells the view each heartbeat period, as the heartbeats would. */
+/**
+ * Delivers a membership view in each heartbeat period, as the real service
+ * does.
+ */
 function createMembership(
   sides: readonly FakeSide[],
   isFrozen: () => boolean,
@@ -324,7 +351,7 @@
       });
       const sendHeartbeats = (fence: number) => {
         if (isFrozen()) return;
-        // Heartbeats carry the number that this entry knows to the sides.
+        // Heartbeats deliver the highest fencing number that this entry knows.
         for (const side of sides.filter(
           ({missesHeartbeats: isDeaf}) => !isDeaf,
         )) {
@@ -354,6 +381,7 @@
   };
 }
 
+/** The side as a membership view shows it. */
 export function replicaOf(side: FakeSide, loadAt: number): Replica {
   return {
     host: side.address,
