--- a/src/limits/fleet_view.ts
+++ b/src/limits/entry_set.ts
@@ -1,51 +1,64 @@
-/** Which entries there are, as far as limits need to know. */
+/** The entries that limits count with, and the home of each organisation. */
 import type {Address, NodeId, OrganisationId} from '../types/ids.js';
 import type {EntryPeer} from '../types/services.js';
 import {rendezvousFirst} from '../utils/rendezvous.js';
 
-/** This entry. */
+/** Identity of this entry. */
 export interface Self {
   readonly node: NodeId;
   readonly address: Address;
 }
 
-/** An organisation's home. */
+/** The home of an organisation: the entry that grants its limits. */
 export interface Home {
   readonly address: Address;
+  /** True when this entry is the home. */
   readonly isHere: boolean;
 }
 
-/** The entries at one time, and the homes that follow from them. */
-export interface FleetView {
+/** The entries known at one time, and the homes that follow from them. */
+export interface EntrySet {
+  /** The home of an organisation. */
   homeOf(organisation: OrganisationId): Home;
-  /** Entries that are not known to be gone, this one included. */
+  /** Number of entries that are not known to be gone, this one included. */
   size(): number;
-  /** Share of those that a home here can reach, over 0 up to 1. */
-  part(): number;
-  /** False once an entry is known to be gone. */
+  /**
+   * Share of these entries that are not suspect, above 0 and at most 1. A home
+   * on this entry serves only the entries that it reaches.
+   */
+  reachableShare(): number;
+  /** False when the entry is known to be gone. */
   isPresent(entry: NodeId): boolean;
-  /** When the entries that can be a home last changed. */
+  /**
+   * Time when the entries that can be a home last changed, in milliseconds on
+   * this process's clock.
+   */
   readonly changedAt: number;
 }
 
-interface Candidate {
+/** An entry that can be a home. */
+interface HomeCandidate {
   readonly id: NodeId;
   readonly address: Address;
 }
 
-function sameNodes(a: readonly Candidate[], b: readonly Candidate[]): boolean {
+function haveSameNodes(
+  a: readonly HomeCandidate[],
+  b: readonly HomeCandidate[],
+): boolean {
   return (
     a.length === b.length && a.every((entry, index) => entry.id === b[index].id)
   );
 }
 
-class EntriesView implements FleetView {
+/** Chooses homes by rendezvous hashing, and caches them. */
+class RendezvousEntrySet implements EntrySet {
   private readonly homes = new Map<OrganisationId, Home>();
 
   constructor(
     private readonly self: Self,
-    readonly candidates: readonly Candidate[],
-    private readonly reached: number,
+    readonly candidates: readonly HomeCandidate[],
+    private readonly reachableCount: number,
     private readonly known: ReadonlySet<NodeId>,
     readonly changedAt: number,
   ) {}
@@ -64,8 +77,8 @@
     return this.known.size;
   }
 
-  part(): number {
-    return this.reached / this.known.size;
+  reachableShare(): number {
+    return this.reachableCount / this.known.size;
   }
 
   isPresent(entry: NodeId): boolean {
@@ -73,13 +86,16 @@
   }
 }
 
-/** `before` is the view that this one takes the place of. */
-export function createFleetView(
+/**
+ * Creates the set that replaces `previous`. It takes over the time of the last
+ * change when the candidates are the same.
+ */
+export function createEntrySet(
   self: Self,
   peers: readonly EntryPeer[],
   now: number,
-  before?: FleetView,
-): FleetView {
+  previous?: EntrySet,
+): EntrySet {
   const candidates = peers
     .filter(peer => peer.state === 'live' && peer.node !== self.node)
     .map(peer => ({id: peer.node, address: peer.address}))
@@ -88,14 +104,15 @@
   const known = peers.filter(
     peer => peer.state !== 'gone' && peer.node !== self.node,
   );
-  const reached = known.filter(peer => peer.state !== 'suspect');
+  const reachable = known.filter(peer => peer.state !== 'suspect');
   const isSame =
-    before instanceof EntriesView && sameNodes(before.candidates, candidates);
-  const changedAt = isSame ? before.changedAt : now;
-  return new EntriesView(
+    previous instanceof RendezvousEntrySet &&
+    haveSameNodes(previous.candidates, candidates);
+  const changedAt = isSame ? previous.changedAt : now;
+  return new RendezvousEntrySet(
     self,
     candidates,
-    reached.length + 1,
+    reachable.length + 1,
     new Set([self.node, ...known.map(peer => peer.node)]),
     changedAt,
   );
--- a/src/membership/heartbeats.ts
+++ b/src/membership/heartbeats.ts
@@ -1,6 +1,7 @@
 /**
- * Sends heartbeats to each followed peer on a timer of its own, one in flight
- * per peer, so that a slow peer delays no other and answers come in order.
+ * Sends heartbeats to each followed peer on a separate timer, with at most one
+ * in flight for each peer. A slow peer therefore delays no other peer, and the
+ * replies of one peer arrive in order.
  */
 import type {Either} from 'purify-ts';
 import type {OnyxError} from '../types/errors.js';
@@ -15,84 +16,108 @@
 import type {Transport} from '../types/transport.js';
 import type {MembershipTiming} from './timing.js';
 
-/** First heartbeats to new peers spread over this long. */
-const FIRST_WITHIN_MS = 100;
+/**
+ * The first heartbeat to a new peer is sent after a random delay up to this, so
+ * that heartbeats to many new peers are not sent in one burst.
+ */
+const FIRST_HEARTBEAT_SPREAD_MS = 100;
 
+/** What to send to a peer, and who receives the reply. */
 export interface HeartbeatOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly transport: Transport;
   readonly timing: MembershipTiming;
+  /** True when the peer is an entry, false when it is a side. */
   readonly isEntry: (address: Address) => boolean;
-  readonly sideReq: (address: Address) => SideHeartbeatReq;
-  readonly entryReq: () => EntryHeartbeatReq;
-  readonly onSide: (
+  /** Builds the request to a side. */
+  readonly sideRequest: (address: Address) => SideHeartbeatReq;
+  /** Builds the request to another entry. */
+  readonly entryRequest: () => EntryHeartbeatReq;
+  /**
+   * Receives the reply of a side or the error. `sentAt` is the time of the
+   * request on this process's clock, in milliseconds.
+   */
+  readonly onSideReply: (
     address: Address,
     res: Either<OnyxError, SideHeartbeatRes>,
     sentAt: number,
   ) => void;
-  readonly onEntry: (
+  /** Receives the reply of an entry or the error. */
+  readonly onEntryReply: (
     address: Address,
     res: Either<OnyxError, EntryHeartbeatRes>,
     sentAt: number,
   ) => void;
 }
 
+/** Heartbeats to a set of peers. */
 export interface Heartbeats {
-  /** Sends to these from now on, and to no others. */
-  follow(addresses: ReadonlySet<Address>): void;
-  /** Brings the next heartbeat to this peer forward. */
-  soon(address: Address): void;
+  /** Sends heartbeats to these peers from now on, and to no others. */
+  setPeers(addresses: ReadonlySet<Address>): void;
+  /**
+   * Sends the next heartbeat to this peer at once, or as soon as the one in
+   * flight has ended.
+   */
+  sendSoon(address: Address): void;
+  /** Stops all heartbeats, and drops the replies that are still to come. */
   stop(): void;
 }
 
+/** Creates heartbeats without any peer. */
 export function createHeartbeats(options: HeartbeatOptions): Heartbeats {
   const {clock, timing, transport} = options;
   const timers = new Map<Address, Cancel>();
   const inFlight = new Set<Address>();
-  const wantedSoon = new Set<Address>();
+  /** Peers whose next heartbeat follows the one in flight without a pause. */
+  const sendAgainSoon = new Set<Address>();
 
   const schedule = (address: Address, delayMs: number) => {
     timers.get(address)?.();
     timers.set(
       address,
-      clock.after(delayMs, () => void beat(address)),
+      clock.after(delayMs, () => void sendHeartbeat(address)),
     );
   };
 
-  const beat = async (address: Address) => {
+  const sendHeartbeat = async (address: Address) => {
     if (inFlight.has(address)) return;
     inFlight.add(address);
-    wantedSoon.delete(address);
+    sendAgainSoon.delete(address);
     try {
       await exchange(address);
     } finally {
       inFlight.delete(address);
-      if (timers.has(address)) schedule(address, pauseMs(address));
+      if (timers.has(address)) schedule(address, nextDelayMs(address));
     }
   };
 
-  const pauseMs = (address: Address) =>
-    wantedSoon.has(address)
+  const nextDelayMs = (address: Address) =>
+    sendAgainSoon.has(address)
       ? 0
       : timing.heartbeatMs * (0.9 + 0.2 * options.random.next());
 
   const exchange = async (address: Address) => {
     const sentAt = clock.now();
-    const waitMs = timing.heartbeatTimeoutMs;
+    const timeoutMs = timing.heartbeatTimeoutMs;
     if (options.isEntry(address)) {
-      const req = options.entryReq();
-      const res = await transport.call(address, 'entryHeartbeat', req, waitMs);
-      if (timers.has(address)) options.onEntry(address, res, sentAt);
+      const req = options.entryRequest();
+      const res = await transport.call(
+        address,
+        'entryHeartbeat',
+        req,
+        timeoutMs,
+      );
+      if (timers.has(address)) options.onEntryReply(address, res, sentAt);
       return;
     }
-    const req = options.sideReq(address);
-    const res = await transport.call(address, 'sideHeartbeat', req, waitMs);
-    if (timers.has(address)) options.onSide(address, res, sentAt);
+    const req = options.sideRequest(address);
+    const res = await transport.call(address, 'sideHeartbeat', req, timeoutMs);
+    if (timers.has(address)) options.onSideReply(address, res, sentAt);
   };
 
   return {
-    follow: addresses => {
+    setPeers: addresses => {
       for (const [address, cancel] of timers) {
         if (addresses.has(address)) continue;
         cancel();
@@ -100,12 +125,12 @@
       }
       for (const address of addresses) {
         if (timers.has(address)) continue;
-        schedule(address, options.random.next() * FIRST_WITHIN_MS);
+        schedule(address, options.random.next() * FIRST_HEARTBEAT_SPREAD_MS);
       }
     },
-    soon: address => {
+    sendSoon: address => {
       if (!timers.has(address)) return;
-      if (inFlight.has(address)) wantedSoon.add(address);
+      if (inFlight.has(address)) sendAgainSoon.add(address);
       else schedule(address, 0);
     },
     stop: () => {
--- a/src/membership/observations.ts
+++ b/src/membership/member_updates.ts
@@ -1,6 +1,6 @@
 /**
- * How heartbeat answers and evidence change what is known of a peer. Pure
- * functions from a member to a member.
+ * Applies heartbeats and evidence to what is known of a peer. Every function is
+ * pure: it takes a member and returns the changed member.
  */
 import type {OnyxError} from '../types/errors.js';
 import type {
@@ -11,9 +11,14 @@
 import {withIncarnation} from './member.js';
 import type {Member} from './member.js';
 
-export type Evidence = Extract<MembershipMessage, {readonly kind: 'evidence'}>;
+/** What another service of this process saw of a peer outside heartbeats. */
+export type MemberEvidence = Extract<
+  MembershipMessage,
+  {readonly kind: 'evidence'}
+>;
 
-export function sideAnswered(
+/** The member after a side has answered a heartbeat. */
+export function withSideReply(
   member: Member,
   res: SideHeartbeatRes,
   sentAt: number,
@@ -21,7 +26,7 @@
 ): Member {
   const known = withIncarnation(member, res.incarnation);
   return {
-    ...heard(known, now),
+    ...withAnswer(known, now),
     node: res.node,
     pool: res.pool,
     failureDomain: res.failureDomain,
@@ -37,14 +42,15 @@
   };
 }
 
-export function entryHeard(
+/** The member after an entry has sent a heartbeat, or answered one. */
+export function withEntryHeartbeat(
   member: Member,
   peer: EntryHeartbeatReq,
   now: number,
 ): Member {
   const known = withIncarnation(member, peer.incarnation);
   return {
-    ...heard(known, now),
+    ...withAnswer(known, now),
     node: peer.node,
     failureDomain: peer.failureDomain,
     leavingIncarnation: peer.leaving
@@ -56,18 +62,20 @@
 }
 
 /**
- * A refused connection says at once what a timeout only hints at: there is no
- * process behind the address.
+ * The member after a heartbeat failed. A refused connection proves that no
+ * process listens at the address, so the peer is unreachable at once. After a
+ * timeout the peer is left as it is until it has been silent for too long.
  */
-export function unanswered(member: Member, err: OnyxError): Member {
+export function withFailedHeartbeat(member: Member, err: OnyxError): Member {
   return err.code === 'peer-unreachable'
     ? {...member, unreachable: true}
     : member;
 }
 
+/** The member after another service has reported evidence. */
 export function withEvidence(
   member: Member,
-  evidence: Evidence,
+  evidence: MemberEvidence,
   now: number,
 ): Member {
   switch (evidence.what) {
@@ -79,12 +87,13 @@
         leavingIncarnation: evidence.incarnation || member.incarnation,
       };
     case 'incarnation':
-      return heard(withIncarnation(member, evidence.incarnation), now);
+      return withAnswer(withIncarnation(member, evidence.incarnation), now);
     case 'answered':
-      return heard(member, now);
+      return withAnswer(member, now);
   }
 }
 
-function heard(member: Member, now: number): Member {
+/** The member after any answer: it is reachable, and its silence ends. */
+function withAnswer(member: Member, now: number): Member {
   return {...member, answered: true, unreachable: false, lastAnswerAt: now};
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,10 +1,11 @@
 /**
- * The service that knows the other processes: polls the host list, follows a
- * bounded subset by heartbeats, and merges both with direct evidence.
+ * The membership service: keeps track of the other processes. It polls the host
+ * list, sends heartbeats to a bounded subset of the hosts, and merges both with
+ * evidence from other services.
  *
- * Bound on false suspicion: a suspect stays a candidate as long as the host
- * list shows it or it answers, so however many heartbeats fail at once the
- * candidates are never fewer than the listed hosts that this entry follows.
+ * False suspicion is bounded: a suspect stays a candidate as long as the host
+ * list shows it or it answers. However many heartbeats fail at once, there are
+ * never fewer candidates than listed hosts that this entry follows.
  */
 import type {
   Address,
@@ -29,27 +30,35 @@
 import {isEntry} from './member.js';
 import type {Member} from './member.js';
 import {
-  entryHeard,
-  sideAnswered,
-  unanswered,
+  withEntryHeartbeat,
+  withSideReply,
+  withFailedHeartbeat,
   withEvidence,
-} from './observations.js';
-import type {Evidence} from './observations.js';
-import {createRoster} from './roster.js';
+} from './member_updates.js';
+import type {MemberEvidence} from './member_updates.js';
+import {createMemberTable} from './member_table.js';
 import {createStateLog} from './state_log.js';
 import {DEFAULT_MEMBERSHIP_TIMING} from './timing.js';
 import type {MembershipTiming} from './timing.js';
 
-/** Pause between looks at who has gone silent. */
+/** How often silent peers are looked for. */
 const TICK_MS = 250;
-/** Pause between questions for our own placement's fencing number. */
-const OWN_STATE_MS = 2_000;
-/** Longest delay before new load reports are passed on. */
-const TELL_WITHIN_MS = 100;
-/** Whom to follow is chosen anew so often though the host list stays. */
-const REFOLLOW_MS = 30_000;
-const DEFAULT_FOLLOW = 24;
+/**
+ * How often the config and placement services of this entry are asked for their
+ * numbers.
+ */
+const OWN_STATE_POLL_MS = 2_000;
+/** Load reports within this time are delivered to listeners in one view. */
+const NOTIFY_DELAY_MS = 100;
+/**
+ * The followed subset is chosen again after this time even if the host list has
+ * not changed.
+ */
+const RECHOOSE_MS = 30_000;
+/** Replicas that are followed unless the options say otherwise. */
+const DEFAULT_FOLLOW_REPLICAS = 24;
 
+/** This entry, and its access to other processes. */
 export interface MembershipOptions {
   readonly transport: Transport;
   readonly hostList: HostList;
@@ -65,6 +74,7 @@
   readonly followReplicas?: number;
 }
 
+/** Creates the service. */
 export function createMembershipService(
   options: MembershipOptions,
 ): ServiceSpec<'membership'> {
@@ -77,11 +87,11 @@
 ): void {
   const timing = {...DEFAULT_MEMBERSHIP_TIMING, ...options.timing};
   const {clock} = ctx;
-  const roster = createRoster({
+  const members = createMemberTable({
     node: options.node,
     address: options.address,
     failureDomain: options.failureDomain,
-    followReplicas: options.followReplicas ?? DEFAULT_FOLLOW,
+    followReplicas: options.followReplicas ?? DEFAULT_FOLLOW_REPLICAS,
     timing,
     now: clock.now,
   });
@@ -91,12 +101,13 @@
   let fence: FencingNumber = 0;
   let leaving = false;
   let lastTickAt = clock.now();
-  let listed: readonly HostInfo[] | undefined;
-  let followedAt = 0;
-  let dirty = false;
+  let lastHostList: readonly HostInfo[] | undefined;
+  let chosenAt = 0;
+  let isNotifyPending = false;
   let stopped = false;
 
-  const self = (): EntryHeartbeatReq => ({
+  /** The heartbeat of this entry, as a request and as a reply. */
+  const ownHeartbeat = (): EntryHeartbeatReq => ({
     node: options.node,
     incarnation: options.incarnation,
     address: options.address,
@@ -111,40 +122,48 @@
     random: ctx.random,
     transport: options.transport,
     timing,
-    isEntry: address => entryAt(roster.get(address)),
-    entryReq: self,
-    sideReq: address => ({
+    isEntry: address => isKnownEntry(members.get(address)),
+    entryRequest: ownHeartbeat,
+    sideRequest: address => ({
       entry: options.node,
       entryIncarnation: options.incarnation,
       entryAddress: options.address,
       configNumber,
       fence,
-      owned: roster.get(address)?.owned ?? [],
+      owned: members.get(address)?.owned ?? [],
     }),
-    onSide: (address, res, sentAt) => {
-      roster.update(address, member =>
+    onSideReply: (address, res, sentAt) => {
+      members.update(address, member =>
         res.caseOf({
-          Left: err => unanswered(member, err),
-          Right: side => sideAnswered(member, side, sentAt, clock.now()),
+          Left: err => withFailedHeartbeat(member, err),
+          Right: side => withSideReply(member, side, sentAt, clock.now()),
         }),
       );
-      res.ifRight(side => sawNumbers(address, side.configNumber, side.fence));
-      changedSoon();
+      res.ifRight(side =>
+        observeNumbers(address, side.configNumber, side.fence),
+      );
+      notifySoon();
     },
-    onEntry: (address, res) => {
-      roster.update(address, member =>
+    onEntryReply: (address, res) => {
+      members.update(address, member =>
         res.caseOf({
-          Left: err => unanswered(member, err),
-          Right: peer => entryHeard(member, peer, clock.now()),
+          Left: err => withFailedHeartbeat(member, err),
+          Right: peer => withEntryHeartbeat(member, peer, clock.now()),
         }),
       );
-      res.ifRight(peer => sawNumbers(address, peer.configNumber, peer.fence));
-      changedSoon();
+      res.ifRight(peer =>
+        observeNumbers(address, peer.configNumber, peer.fence),
+      );
+      notifySoon();
     },
   });
 
-  /** Numbers ride on every heartbeat; whoever is behind fetches by them. */
-  const sawNumbers = (
+  /**
+   * Compares the configuration and fencing numbers that each heartbeat carries
+   * with this entry's own. When a peer's number is higher, the service that
+   * needs it is told, and fetches what is missing.
+   */
+  const observeNumbers = (
     peer: Address,
     number: ConfigNumber,
     peerFence: FencingNumber,
@@ -158,57 +177,64 @@
     }
   };
 
-  const tell = () => {
-    dirty = false;
-    const view = roster.view();
+  /** Delivers the current view to all subscribers. */
+  const notifyListeners = () => {
+    isNotifyPending = false;
+    const view = members.view();
     for (const listener of listeners) listener(view);
   };
 
-  /** Whom to follow is costly to choose, and changes seldom. */
-  const changed = (refollow: boolean) => {
-    if (roster.notice() || refollow) {
-      roster.follow();
-      heartbeats.follow(roster.following());
+  /**
+   * Records silent peers and delivers a view. Chooses the followed peers again
+   * only when that is needed, since the choice is expensive and seldom changes.
+   */
+  const update = (rechoose: boolean) => {
+    if (members.updateSilence() || rechoose) {
+      members.chooseFollowed();
+      heartbeats.setPeers(members.followed());
     }
-    stateLog.compare(roster);
-    tell();
+    stateLog.logChanges(members);
+    notifyListeners();
   };
 
   /**
-   * Load reports come often: their view is told once for several. Who has
-   * gone silent is for the next tick to see.
+   * Delivers a view soon, one for several load reports, because reports are
+   * frequent. Silent peers are recorded by the next tick.
    */
-  const changedSoon = () => {
-    if (dirty) return;
-    dirty = true;
-    clock.after(TELL_WITHIN_MS, () => {
-      if (dirty && !stopped) tell();
+  const notifySoon = () => {
+    if (isNotifyPending) return;
+    isNotifyPending = true;
+    clock.after(NOTIFY_DELAY_MS, () => {
+      if (isNotifyPending && !stopped) notifyListeners();
     });
   };
 
+  /** Reads the host list once and applies it. */
   const pollHosts = async () => {
     const hosts = await options.hostList();
     hosts.ifLeft(err =>
       ctx.log(MEMBERSHIP_EVENTS.hostListFailed, {cause: err.message}),
     );
-    // While the list is out, the last one and the heartbeats stand.
+    // While the host list is unavailable, the last list and the heartbeats are
+    // used.
     hosts.ifRight(list => {
       const now = clock.now();
-      const isSame = list === listed;
-      // Going through a thousand hosts for each unchanged list costs more than
-      // all that changes.
-      if (isSame && now - followedAt < REFOLLOW_MS) return;
-      listed = list;
-      followedAt = now;
-      roster.list(list);
-      changed(true);
+      const isSame = list === lastHostList;
+      // Processing a thousand hosts for each unchanged list would cost more
+      // than all real changes.
+      if (isSame && now - chosenAt < RECHOOSE_MS) return;
+      lastHostList = list;
+      chosenAt = now;
+      members.setHosts(list);
+      update(true);
     });
   };
 
+  /** Polls the host list again and again, with jitter between two polls. */
   const pollForever = () => {
     void pollHosts().finally(() => {
       if (stopped) return;
-      const delayMs = timing.hostListMs * (0.8 + 0.4 * ctx.random.next());
+      const delayMs = timing.hostListPollMs * (0.8 + 0.4 * ctx.random.next());
       stopPolling = clock.after(delayMs, pollForever);
     });
   };
@@ -218,66 +244,73 @@
     const lateMs = now - lastTickAt - TICK_MS;
     lastTickAt = now;
     if (lateMs > timing.pausedAfterMs) onPaused(lateMs);
-    changed(false);
+    update(false);
   };
 
   /**
-   * This process was paused: the answers that came meanwhile wait unread, and
-   * none was asked for. Counting the pause as the peers' silence would make
-   * the whole pool suspect at once; everyone gets a fresh period instead.
+   * Handles a pause of this process. During the pause it sent no heartbeats and
+   * read no replies. If the pause were counted as silence of the peers, the
+   * whole pool would become suspect at once; instead every peer that was not
+   * suspect gets a new period.
    */
   const onPaused = (lateMs: number) => {
     ctx.log(MEMBERSHIP_EVENTS.observerPaused, {lateMs: Math.round(lateMs)});
     const now = clock.now();
-    roster.updateAll(member =>
+    members.updateAll(member =>
       member.suspectSince === undefined
         ? {...member, lastAnswerAt: now, unreachable: false}
         : member,
     );
   };
 
-  const onEvidence = (evidence: Evidence) => {
+  const onEvidence = (evidence: MemberEvidence) => {
     const {address} = evidence;
-    if (roster.get(address) === undefined) return;
-    roster.update(address, member =>
+    if (members.get(address) === undefined) return;
+    members.update(address, member =>
       withEvidence(member, evidence, clock.now()),
     );
-    // A heartbeat settles soon whether the evidence still holds.
-    if (evidence.what !== 'answered') heartbeats.soon(address);
-    changed(false);
+    // The next heartbeat shows whether the evidence still holds.
+    if (evidence.what !== 'answered') heartbeats.sendSoon(address);
+    update(false);
   };
 
-  const own = (address: Address, dispatchId: string) => {
-    roster.update(address, member => ({
+  /**
+   * Records that this entry owns a dispatch at the peer, and follows the peer
+   * for as long.
+   */
+  const addOwned = (address: Address, dispatchId: string) => {
+    members.update(address, member => ({
       ...member,
       owned: [...member.owned, dispatchId],
     }));
-    if (!roster.following().has(address)) changed(true);
+    if (!members.followed().has(address)) update(true);
   };
 
-  const disown = (address: Address, dispatchId: string) => {
-    if (roster.get(address) === undefined) return;
-    roster.update(address, member => ({
+  /** Records that this entry no longer owns the dispatch. */
+  const removeOwned = (address: Address, dispatchId: string) => {
+    if (members.get(address) === undefined) return;
+    members.update(address, member => ({
       ...member,
       owned: member.owned.filter(one => one !== dispatchId),
     }));
   };
 
   const onEntryHeartbeat = (peer: EntryHeartbeatReq) => {
-    const known = roster.get(peer.address);
+    const known = members.get(peer.address);
     if (known !== undefined && isEntry(known)) {
-      roster.update(peer.address, member =>
-        entryHeard(member, peer, clock.now()),
+      members.update(peer.address, member =>
+        withEntryHeartbeat(member, peer, clock.now()),
       );
-      changed(false);
+      update(false);
     }
-    sawNumbers(peer.address, peer.configNumber, peer.fence);
+    observeNumbers(peer.address, peer.configNumber, peer.fence);
   };
 
-  const leave = () => {
+  /** Tells the followed entries at once that this entry is leaving. */
+  const announceLeaving = () => {
     leaving = true;
-    for (const address of roster.following()) {
-      if (entryAt(roster.get(address))) heartbeats.soon(address);
+    for (const address of members.followed()) {
+      if (isKnownEntry(members.get(address))) heartbeats.sendSoon(address);
     }
   };
 
@@ -285,29 +318,32 @@
     switch (message.kind) {
       case 'subscribe':
         listeners.add(message.listener);
-        message.listener(roster.view());
+        message.listener(members.view());
         return;
       case 'evidence':
         onEvidence(message);
         return;
       case 'own':
-        own(message.address, message.dispatchId);
+        addOwned(message.address, message.dispatchId);
         return;
       case 'disown':
-        disown(message.address, message.dispatchId);
+        removeOwned(message.address, message.dispatchId);
         return;
       case 'entry-heartbeat':
         onEntryHeartbeat(message.req);
-        message.reply(self());
+        message.reply(ownHeartbeat());
         return;
       case 'leave':
-        leave();
+        announceLeaving();
         return;
     }
   };
 
-  /** The config and placement services may have been restarted meanwhile. */
-  const askOwnState = () => {
+  /**
+   * Subscribes to the configuration and reads the fencing number. This is
+   * repeated because the config and placement services may have been restarted.
+   */
+  const fetchOwnState = () => {
     ctx.send('config', {kind: 'subscribe', listener: onConfig});
     ctx
       .ask('placement', (reply: (status: PlacementStatus) => void) => ({
@@ -332,14 +368,16 @@
     heartbeats.stop();
   });
   ctx.own(clock.every(TICK_MS, tick));
-  ctx.own(clock.every(OWN_STATE_MS, askOwnState));
-  // In a turn of its own: the services that it asks start after this one, and
-  // what is sent to them before is dropped with a warning.
-  ctx.own(clock.after(0, askOwnState));
+  ctx.own(clock.every(OWN_STATE_POLL_MS, fetchOwnState));
+  // Not before the next turn: the services that it asks start after this one,
+  // and a message that reaches a service before its start is dropped with a
+  // warning.
+  ctx.own(clock.after(0, fetchOwnState));
   pollForever();
   void ctx.mailbox.observe(onMessage);
 }
 
-function entryAt(member: Member | undefined): boolean {
+/** True when the member is known and is an entry. */
+function isKnownEntry(member: Member | undefined): boolean {
   return member !== undefined && isEntry(member);
 }
--- a/src/membership/state_log.ts
+++ b/src/membership/state_log.ts
@@ -1,24 +1,29 @@
 /**
- * Logs each change of a peer's state once, and warns when most of the replicas
- * became suspect together: then it is likelier this process that is cut off.
+ * Logs each change of a peer's state once. Also warns when more than half of
+ * the followed replicas are suspect, because then it is more likely that this
+ * process is cut off than that all of them failed.
  */
 import type {Address} from '../types/ids.js';
 import type {Runtime} from '../types/runtime.js';
 import {MEMBERSHIP_EVENTS} from '../utils/events.js';
 import {isEntry} from './member.js';
 import type {Member, MemberState} from './member.js';
-import type {Roster} from './roster.js';
+import type {MemberTable} from './member_table.js';
 
+/** Logs state changes by comparing with the states of the call before. */
 export interface StateLog {
-  compare(roster: Roster): void;
+  /** Logs what has changed since the last call. */
+  logChanges(members: MemberTable): void;
 }
 
+/** Creates a log that knows of no peer yet. */
 export function createStateLog(runtime: Runtime): StateLog {
-  const before = new Map<Address, MemberState>();
-  let following = 0;
-  let warned = false;
+  /** State of each followed peer at the last call. */
+  const lastStates = new Map<Address, MemberState>();
+  let lastFollowedCount = 0;
+  let hasWarned = false;
 
-  const changed = (member: Member, from: MemberState, to: MemberState) => {
+  const logChange = (member: Member, from: MemberState, to: MemberState) => {
     const event = isEntry(member)
       ? MEMBERSHIP_EVENTS.entryState
       : MEMBERSHIP_EVENTS.replicaState;
@@ -35,49 +40,51 @@
     });
   };
 
-  const warnOfMany = (states: readonly MemberState[]) => {
+  const warnIfMostSuspect = (states: readonly MemberState[]) => {
     const suspects = states.filter(state => state === 'suspect').length;
-    const many = states.length > 1 && suspects * 2 > states.length;
-    if (many && !warned) {
+    const areMostSuspect = states.length > 1 && suspects * 2 > states.length;
+    if (areMostSuspect && !hasWarned) {
       runtime.log(MEMBERSHIP_EVENTS.manySuspect, {
         suspects,
         followed: states.length,
       });
     }
-    warned = many;
+    hasWarned = areMostSuspect;
   };
 
   return {
-    compare: roster => {
-      const followed = roster
-        .members()
-        .filter(member => roster.following().has(member.address));
+    logChanges: members => {
+      const followed = members
+        .all()
+        .filter(member => members.followed().has(member.address));
       const seen = new Set<Address>();
       for (const member of followed) {
-        const from = before.get(member.address) ?? 'gone';
-        const to = roster.state(member);
+        const from = lastStates.get(member.address) ?? 'gone';
+        const to = members.stateOf(member);
         seen.add(member.address);
-        if (from !== to) changed(member, from, to);
-        before.set(member.address, to);
+        if (from !== to) logChange(member, from, to);
+        lastStates.set(member.address, to);
       }
-      for (const [address, from] of before) {
+      for (const [address, from] of lastStates) {
         if (seen.has(address)) continue;
-        before.delete(address);
+        lastStates.delete(address);
         runtime.log(MEMBERSHIP_EVENTS.replicaState, {
           peer: address,
           from,
           to: 'gone',
         });
       }
-      if (followed.length !== following) {
-        following = followed.length;
-        runtime.log(MEMBERSHIP_EVENTS.followingChanged, {followed: following});
-        runtime.metrics.gauge('onyxloft_followed_peers', {}, following);
+      if (followed.length !== lastFollowedCount) {
+        lastFollowedCount = followed.length;
+        runtime.log(MEMBERSHIP_EVENTS.followingChanged, {
+          followed: lastFollowedCount,
+        });
+        runtime.metrics.gauge('onyxloft_followed_peers', {}, lastFollowedCount);
       }
-      warnOfMany(
+      warnIfMostSuspect(
         followed
           .filter(member => !isEntry(member) && member.answered)
-          .map(member => roster.state(member)),
+          .map(member => members.stateOf(member)),
       );
     },
   };
--- a/src/membership/subset.ts
+++ b/src/membership/subset.ts
@@ -1,44 +1,62 @@
 /**
- * Which hosts an entry follows: a bounded subset, so that control traffic per
- * process does not grow with the fleet. Each pool and failure domain is
- * covered, the own failure domain most; rendezvous hashing over entry and host
- * keeps the subset when other hosts come and go.
+ * Chooses which hosts an entry follows. The subset is bounded, so that control
+ * traffic per process does not grow with the number of hosts. It covers each
+ * pool and failure domain, with the most hosts in the entry's own failure
+ * domain. Rendezvous hashing over entry and host changes the subset little when
+ * other hosts come and go.
  */
 import type {Address, FailureDomain, NodeId} from '../types/ids.js';
 import type {HostInfo} from '../types/platform.js';
 import {rendezvousNames} from '../utils/rendezvous.js';
 
-/** Share of a pool's places for the own failure domain. */
+/**
+ * Share of the hosts followed in a pool that is reserved for the entry's own
+ * failure domain.
+ */
 const OWN_DOMAIN_SHARE = 0.5;
 
+/** What the subset depends on. */
 export interface SubsetOptions {
-  /** Entry that follows. */
+  /** Name of the entry that follows. */
   readonly node: NodeId;
+  /** Failure domain of the entry. */
   readonly ownFailureDomain: FailureDomain;
+  /** Hosts to choose from. */
   readonly hosts: readonly HostInfo[];
-  /** Hosts to follow over all pools; more where coverage needs them. */
+  /**
+   * Hosts to follow over all pools. The subset is larger where rounding or the
+   * coverage of failure domains needs more.
+   */
   readonly limit: number;
 }
 
+/**
+ * Returns the addresses of the hosts to follow. Each pool gets a part of the
+ * limit in proportion to its size.
+ */
 export function chooseSubset(options: SubsetOptions): ReadonlySet<Address> {
   const chosen = new Set<Address>();
   const pools = groupBy(options.hosts, host => host.pool);
   for (const hosts of pools.values()) {
     const share = options.limit * (hosts.length / options.hosts.length);
-    const places = Math.ceil(share);
-    for (const address of chooseInPool(options, hosts, places)) {
+    const count = Math.ceil(share);
+    for (const address of chooseInPool(options, hosts, count)) {
       chosen.add(address);
     }
   }
   return chosen;
 }
 
+/**
+ * Chooses `count` hosts of one pool, or more when it has more failure domains
+ * than that.
+ */
 function chooseInPool(
   options: SubsetOptions,
   hosts: readonly HostInfo[],
-  places: number,
+  count: number,
 ): readonly Address[] {
-  if (hosts.length <= places) return hosts.map(host => host.address);
+  if (hosts.length <= count) return hosts.map(host => host.address);
   const domains = groupBy(hosts, host => host.failureDomain);
   const ordered = new Map(
     [...domains].map(([domain, members]) => [
@@ -51,39 +69,47 @@
   );
   const chosen: Address[] = [];
   for (const [domain, addresses] of ordered) {
-    chosen.push(...addresses.slice(0, quota(options, domain, domains, places)));
+    chosen.push(
+      ...addresses.slice(0, domainQuota(options, domain, domains, count)),
+    );
   }
-  return fill(options, hosts, chosen, places);
+  return fillRemaining(options, hosts, chosen, count);
 }
 
-/** Places of one failure domain; at least one, so that none is uncovered. */
-function quota(
+/**
+ * Number of hosts to follow in one failure domain of a pool. At least one, so
+ * that every failure domain is covered.
+ */
+function domainQuota(
   options: SubsetOptions,
   domain: FailureDomain,
   domains: ReadonlyMap<FailureDomain, readonly HostInfo[]>,
-  places: number,
+  count: number,
 ): number {
   const hasOwn = domains.has(options.ownFailureDomain);
-  const ownPlaces = hasOwn ? Math.floor(places * OWN_DOMAIN_SHARE) : 0;
-  if (domain === options.ownFailureDomain) return Math.max(1, ownPlaces);
+  const ownCount = hasOwn ? Math.floor(count * OWN_DOMAIN_SHARE) : 0;
+  if (domain === options.ownFailureDomain) return Math.max(1, ownCount);
   const others = domains.size - (hasOwn ? 1 : 0);
-  return Math.max(1, Math.floor((places - ownPlaces) / others));
+  return Math.max(1, Math.floor((count - ownCount) / others));
 }
 
-/** Gives the places that small failure domains left over to any host. */
-function fill(
+/**
+ * Adds hosts of any failure domain up to `count`. Hosts are missing when a
+ * failure domain is smaller than its quota.
+ */
+function fillRemaining(
   options: SubsetOptions,
   hosts: readonly HostInfo[],
   chosen: readonly Address[],
-  places: number,
+  count: number,
 ): readonly Address[] {
-  if (chosen.length >= places) return chosen;
+  if (chosen.length >= count) return chosen;
   const taken = new Set(chosen);
   const rest = hosts
     .map(host => host.address)
     .filter(address => !taken.has(address));
   const more = rendezvousNames(options.node, rest);
-  return [...chosen, ...more.slice(0, places - chosen.length)];
+  return [...chosen, ...more.slice(0, count - chosen.length)];
 }
 
 function groupBy<T>(
--- a/src/placement/engine_view.ts
+++ b/src/placement/engine_view.ts
@@ -1,8 +1,8 @@
 /**
- * What the planner goes by: each engine as its heartbeats show it, with the
- * orders that are under way laid over. An order to unload counts as carried
- * out at once and one to load as not yet ready, so that what is not known is
- * always taken for the worse.
+ * The planner's view of the engines: each engine as its heartbeats show it,
+ * with the effects of pending orders applied. A pending unload counts as done
+ * and a pending load as not ready, so that the planner assumes the less
+ * favourable outcome of every order.
  */
 import type {
   Address,
@@ -15,14 +15,17 @@
 import type {OrderReq} from '../types/peer_messages.js';
 import type {Replica} from '../types/services.js';
 
-/** An order whose effect has not been read back. */
+/** An order whose effect has not shown in a heartbeat yet. */
 export interface PendingOrder {
+  /** Address of the engine's side. */
   readonly address: Address;
   readonly order: OrderReq;
 }
 
+/** State of one version of a model on an engine. */
 export type VersionState = 'absent' | 'loading' | 'ready';
 
+/** One engine as the planner sees it. */
 export interface EngineView {
   readonly address: Address;
   readonly pool: PoolId;
@@ -30,30 +33,42 @@
   readonly load: SideLoad;
   readonly role: EngineRole;
   /**
-   * What its side reported may be relied on: the report is fresh, and the side
-   * knows the placer's number. One that does not may still take an order of
-   * the placer before, which had been on its way.
+   * True when the report can be relied on: it is recent, and the side knows the
+   * placer's fencing number. A side that does not know the number may still
+   * accept an order of the previous placer that is on its way.
+   */
+  readonly isReliable: boolean;
+  /**
+   * True when an order to the engine is pending or planned. It gets no second
+   * order until the effect of the first has shown.
    */
-  readonly isSure: boolean;
-  /** An order to it is under way; it gets no second one. */
   readonly busy: boolean;
   /** States by model, then by version. */
   readonly versions: ReadonlyMap<ModelId, ReadonlyMap<string, VersionState>>;
+  /**
+   * Adapters that are ready, by model and version with a blank between them.
+   */
   readonly adapters: ReadonlyMap<ModelId, readonly string[]>;
 }
 
-export interface ViewInput {
+/** What the view is made from. */
+export interface EngineViewInput {
   readonly replicas: readonly Replica[];
   readonly pending: readonly PendingOrder[];
-  /** The placer's number. */
+  /** Fencing number of the placer. */
   readonly fence: FencingNumber;
+  /** Time of the plan, in milliseconds. */
   readonly now: number;
-  readonly limits: {readonly freshMs: number; readonly knownMs: number};
+  /** See `PlannerLimits`. */
+  readonly limits: {
+    readonly maxReliableAgeMs: number;
+    readonly maxReportAgeMs: number;
+  };
 }
 
 /**
- * Engines that may be counted on: live, with a report of late. Plain services
- * have no models and no memory, and are left out.
+ * Engines that can be used: live, with a report that is not too old. Plain
+ * services are left out, since they have no models and no memory.
  */
 export function viewEngines({
   replicas,
@@ -61,42 +76,45 @@
   fence,
   now,
   limits,
-}: ViewInput): readonly EngineView[] {
+}: EngineViewInput): readonly EngineView[] {
   return replicas
     .filter(replica => replica.state === 'live')
-    .filter(replica => now - replica.loadAt <= limits.knownMs)
+    .filter(replica => now - replica.loadAt <= limits.maxReportAgeMs)
     .filter(({load}) => load.capacityTokens > 0)
     .map(replica =>
-      viewOf(
+      engineViewOf(
         replica,
         pending.filter(({address}) => address === replica.address),
-        replica.fence >= fence && now - replica.loadAt <= limits.freshMs,
+        replica.fence >= fence &&
+          now - replica.loadAt <= limits.maxReliableAgeMs,
       ),
     );
 }
 
-function viewOf(
+function engineViewOf(
   replica: Replica,
   pending: readonly PendingOrder[],
-  isSure: boolean,
+  isReliable: boolean,
 ): EngineView {
   const versions = new Map<ModelId, Map<string, VersionState>>();
   const adapters = new Map<ModelId, readonly string[]>();
-  const set = (model: ModelId, version: string, state: VersionState) => {
-    const ofModel = versions.get(model) ?? new Map<string, VersionState>();
-    ofModel.set(version, state);
-    versions.set(model, ofModel);
+  const setState = (model: ModelId, version: string, state: VersionState) => {
+    const modelVersions =
+      versions.get(model) ?? new Map<string, VersionState>();
+    modelVersions.set(version, state);
+    versions.set(model, modelVersions);
   };
   for (const state of replica.models) {
-    set(state.model, state.version, state.ready ? 'ready' : 'loading');
+    setState(state.model, state.version, state.ready ? 'ready' : 'loading');
     if (state.ready)
       adapters.set(`${state.model} ${state.version}`, state.adapters);
   }
   for (const {order} of pending) {
     const {action, model, version} = order;
-    if (action === 'unload') set(model, version, 'absent');
+    if (action === 'unload') setState(model, version, 'absent');
     const known = versions.get(model)?.get(version) ?? 'absent';
-    if (action === 'load' && known === 'absent') set(model, version, 'loading');
+    if (action === 'load' && known === 'absent')
+      setState(model, version, 'loading');
   }
   return {
     address: replica.address,
@@ -104,7 +122,7 @@
     failureDomain: replica.failureDomain,
     load: replica.load,
     role: replica.models[0]?.role ?? 'mixed',
-    isSure,
+    isReliable,
     busy: pending.length > 0,
     versions,
     adapters,
@@ -112,7 +130,7 @@
 }
 
 /** State of one version of a model on an engine. */
-export function stateOf(
+export function versionStateOf(
   engine: EngineView,
   model: ModelId,
   version: string,
@@ -120,8 +138,8 @@
   return engine.versions.get(model)?.get(version) ?? 'absent';
 }
 
-/** Versions of the model in that state on the engine. */
-export function versionsIn(
+/** Versions of the model that are in this state on the engine. */
+export function versionsInState(
   engine: EngineView,
   model: ModelId,
   state: VersionState,
@@ -131,7 +149,7 @@
     .map(([version]) => version);
 }
 
-/** Adapters ready on the engine for one version of a model. */
+/** Adapters that are ready on the engine for one version of a model. */
 export function adaptersOf(
   engine: EngineView,
   model: ModelId,
--- a/src/placement/load_budget.ts
+++ b/src/placement/load_budget.ts
@@ -1,7 +1,8 @@
 /**
- * How many loads may run at once. The weight store shares one rate among its
- * transfers: each further one makes all slower, until none ends in useful
- * time. So there are as many as let each end within the limit, one at least.
+ * Limits how many model loads run at once. The weight store divides one
+ * transfer rate among all loads, so each further load slows the others down,
+ * until none ends in useful time. The limit lets each load end within the
+ * target time, and allows at least one.
  */
 import type {Model} from '../types/config.js';
 import type {WeightStoreStatus} from '../types/platform.js';
@@ -10,42 +11,49 @@
 
 const MS_PER_SEC = 1_000;
 
+/** Loads that may be started in one plan. */
 export interface LoadBudget {
-  /** Takes one load if it is within the budget. */
-  take(model: Model): boolean;
-  /** Loads at once that are allowed for weights of this size. */
-  allowed(model: Model): number;
+  /** Takes one load. Returns false when no further load may start. */
+  tryTake(model: Model): boolean;
+  /** Loads of this model's weights that may run at once. */
+  maxConcurrent(model: Model): number;
+  /** Loads that are running, ordered or taken from this budget. */
   inFlight(): number;
 }
 
-/** `status` undefined: the weight store's rate is not known, one at a time. */
+/**
+ * Creates the budget of one plan. When the weight store's status is undefined,
+ * its rate is unknown, and loads run one at a time.
+ */
 export function createLoadBudget(
   engines: readonly EngineView[],
   status: WeightStoreStatus | undefined,
-  limits: Pick<PlannerLimits, 'usefulLoadMs' | 'maxLoads'>,
+  limits: Pick<PlannerLimits, 'targetLoadMs' | 'maxLoads'>,
 ): LoadBudget {
   let inFlight = engines.reduce((sum, engine) => sum + loadsOn(engine), 0);
 
-  const allowed = (model: Model) => {
+  const maxConcurrent = (model: Model) => {
     if (status === undefined) return 1;
-    const usefulBytes = (status.bytesPerSec * limits.usefulLoadMs) / MS_PER_SEC;
-    const atOnce = Math.floor(usefulBytes / model.weightBytes);
-    return Math.max(1, Math.min(limits.maxLoads, atOnce));
+    const targetBytes = (status.bytesPerSec * limits.targetLoadMs) / MS_PER_SEC;
+    const concurrentLoads = Math.floor(targetBytes / model.weightBytes);
+    return Math.max(1, Math.min(limits.maxLoads, concurrentLoads));
   };
 
   return {
-    allowed,
+    maxConcurrent,
     inFlight: () => inFlight,
-    take: model => {
-      // A queue at the weight store: others load as well.
+    tryTake: model => {
+      // Transfers are queued at the weight store, so other processes are
+      // loading too.
       if ((status?.queuedTransfers ?? 0) > 0) return false;
-      if (inFlight >= allowed(model)) return false;
+      if (inFlight >= maxConcurrent(model)) return false;
       inFlight += 1;
       return true;
     },
   };
 }
 
+/** Versions that the engine is loading. */
 function loadsOn(engine: EngineView): number {
   return [...engine.versions.values()]
     .flatMap(versions => [...versions.values()])
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -1,9 +1,9 @@
 /**
- * The service `placement` of each entry. The one that holds the lease is the
- * placer: it plans once a second and sends orders to sides under its fencing
- * number. It may be wrong about holding the lease, when it was paused or cut
- * off; the sides, which refuse numbers lower than the highest they have seen,
- * make that harmless.
+ * The placement service, which runs on each entry. The entry that holds the
+ * lease is the placer: it plans once a second, and sends orders to sides under
+ * its fencing number. An entry that was paused or cut off may wrongly believe
+ * that it holds the lease. Its orders do no harm, because sides refuse fencing
+ * numbers lower than the highest they have seen.
  */
 import type {NumberedDeclarations} from '../types/config.js';
 import type {Address, FencingNumber, NodeId} from '../types/ids.js';
@@ -27,57 +27,73 @@
 import type {Lease} from '../stores/lease.js';
 import {PLACEMENT_EVENTS} from '../utils/events.js';
 import {isLeaseCandidate} from './lease_candidates.js';
-import {createOrderBook} from './order_book.js';
-import type {OrderBook} from './order_book.js';
-import {createRoleMemory} from './plan_roles.js';
+import {createOrderTracker} from './order_tracker.js';
+import type {OrderTracker} from './order_tracker.js';
+import {createRoleHistory} from './plan_roles.js';
 import {DEFAULT_PLANNER_LIMITS} from './plan_types.js';
 import type {
   Plan,
   PlannedOrder,
   PlannerLimits,
-  RoleMemory,
+  RoleHistory,
   UnmetWish,
 } from './plan_types.js';
 import {PLACER_LEASE_KEY} from './placement_lease.js';
 import {planPlacement} from './planner.js';
-import {createSurvey} from './survey.js';
-import type {Survey, SurveySelf} from './survey.js';
+import {createSidePoller} from './side_poller.js';
+import type {SidePoller, PollerIdentity} from './side_poller.js';
 
+/** Random bytes in an order's id. */
 const ORDER_ID_BYTES = 8;
+/** Duration of the lease unless the options say otherwise. */
 const LEASE_TTL_MS = 10_000;
 /**
- * How long a new placer waits for all sides to know its number. Heartbeats
- * carry it within seconds; a side that stays cut off must not stop placement.
+ * How long a new placer waits until all sides know its fencing number.
+ * Heartbeats deliver the number within seconds. After this time the placer goes
+ * on without the missing sides, because a side that stays cut off must not stop
+ * placement.
  */
-const HANDOVER_MS = 10_000;
+const HANDOVER_TIMEOUT_MS = 10_000;
 
+/**
+ * This entry, and its access to the platform and the sides. Times are in
+ * milliseconds.
+ */
 export interface PlacementServiceOptions {
+  /** Name of this entry, as written in the lease. */
   readonly node: NodeId;
+  /** Holds the lease. */
   readonly store: ObjectStore;
   readonly transport: Transport;
-  /** Asked before loads; without it, loads run one at a time. */
+  /**
+   * Asked for its status before each plan. Without it, loads run one at a time.
+   */
   readonly weightStore?: WeightStore;
-  /** @default 10000 */
+  /** Duration of the lease. @default 10000 */
   readonly leaseTtlMs?: number;
-  /** A missing lease is made after so long. @default 10000 */
+  /** A missing lease is created after this time. @default 10000 */
   readonly leaseCreateAfterMs?: number;
-  /** @default 2000 */
+  /** The placer stops this long before its lease ends. @default 2000 */
   readonly leaseMarginMs?: number;
   /** Time between two plans. @default 1000 */
   readonly tickMs?: number;
-  /** @default 5000 */
+  /** Timeout of an order's answer. @default 5000 */
   readonly orderTimeoutMs?: number;
-  /** An order without a visible effect is under way so long. @default 30000 */
-  readonly orderHoldMs?: number;
+  /**
+   * An order without a visible effect stays pending for this time. @default
+   * 30000
+   */
+  readonly orderEffectTimeoutMs?: number;
+  /** Bounds of the planner that differ from the defaults. */
   readonly limits?: Partial<PlannerLimits>;
   /**
-   * Named to sides that this entry does not follow, which the placer asks as
-   * well. @default only followed sides are placed on
+   * Introduces this entry to the sides that it does not follow, which the
+   * placer polls as well. @default models are placed only on followed sides
    */
-  readonly survey?: Pick<SurveySelf, 'address' | 'incarnation'>;
+  readonly pollerIdentity?: Pick<PollerIdentity, 'address' | 'incarnation'>;
 }
 
-/** Makes the service. */
+/** Creates the service. */
 export function createPlacementService(
   options: PlacementServiceOptions,
 ): ServiceSpec<'placement'> {
@@ -87,22 +103,27 @@
   };
 }
 
+/** One start of the service. */
 class PlacementTask {
   private readonly lease: Lease;
-  private readonly book: OrderBook;
-  private readonly survey: Survey;
+  private readonly orders: OrderTracker;
+  private readonly sidePoller: SidePoller;
   private readonly limits: PlannerLimits;
   private config: NumberedDeclarations | undefined;
   private view: MembershipView | undefined;
-  private roles: RoleMemory;
-  /** Highest fencing number heard of, from any side or entry. */
-  private fenceSeen: FencingNumber = 0;
-  /** Number under which this process is the placer; 0 when it is not. */
+  private roleHistory: RoleHistory;
+  /** Highest fencing number received from any side or entry. */
+  private highestFence: FencingNumber = 0;
+  /**
+   * Fencing number under which this process is the placer; 0 when it is not.
+   */
   private placerFence: FencingNumber = 0;
   /** When this process became the placer. */
-  private placerSince = 0;
-  private unmet: ReadonlySet<string> = new Set();
-  private planning = false;
+  private placerStartedAt = 0;
+  /** Wishes that were not met by the last plan, as `pool/model`. */
+  private unmetWishes: ReadonlySet<string> = new Set();
+  /** True while a plan is being made. Plans never overlap. */
+  private isPlanning = false;
 
   constructor(
     private readonly ctx: ServiceContext<'placement'>,
@@ -116,25 +137,25 @@
       marginMs: options.leaseMarginMs ?? 2_000,
       holder: options.node,
       runtime: ctx,
-      fenceFloor: () => this.fenceSeen,
+      fenceFloor: () => this.highestFence,
       isCandidate: () => isLeaseCandidate(options.node, this.view),
     });
-    this.book = createOrderBook(options.orderHoldMs ?? 30_000);
+    this.orders = createOrderTracker(options.orderEffectTimeoutMs ?? 30_000);
     this.limits = {...DEFAULT_PLANNER_LIMITS, ...options.limits};
-    this.roles = createRoleMemory(ctx.clock.now());
-    this.survey = createSurvey({
+    this.roleHistory = createRoleHistory(ctx.clock.now());
+    this.sidePoller = createSidePoller({
       self: {
         address: '',
         incarnation: '',
-        ...options.survey,
+        ...options.pollerIdentity,
         node: options.node,
       },
       clock: ctx.clock,
       transport: options.transport,
       fence: () => this.placerFence,
       configNumber: () => this.config?.number ?? 0,
-      sides: () => this.unfollowed(),
-      onCrash: cause => ctx.fail(cause),
+      sides: () => this.unfollowedSides(),
+      onError: cause => ctx.fail(cause),
     });
   }
 
@@ -142,25 +163,29 @@
     const {ctx, options} = this;
     this.lease.run(ctx);
     this.subscribe();
-    ctx.own(() => this.survey.stop());
+    ctx.own(() => this.sidePoller.stop());
     ctx.own(ctx.clock.every(options.tickMs ?? 1_000, () => this.tick()));
     void ctx.mailbox.observe(message => this.handle(message));
   }
 
-  /** Subscribes again and again: the other services may have restarted. */
+  /**
+   * Subscribes to views and configurations. The subscriptions are repeated,
+   * because the services behind them may be restarted.
+   */
   private subscribe(): void {
     followMembership(this.ctx, view => {
       this.view = view;
       const fences = [...view.replicas, ...view.entries].map(p => p.fence);
-      this.noteFence(Math.max(0, ...fences));
+      this.observeFence(Math.max(0, ...fences));
     });
     followConfig(this.ctx, config => {
       this.config = config;
     });
   }
 
+  /** Handles a message to the service. */
   private handle(message: PlacementMessage): void {
-    if (message.kind === 'fence-seen') return this.noteFence(message.fence);
+    if (message.kind === 'fence-seen') return this.observeFence(message.fence);
     message.reply(this.status());
   }
 
@@ -168,54 +193,65 @@
     return {
       placer: this.isPlacer(),
       holder: this.lease.holder(),
-      fence: Math.max(this.lease.fence(), this.fenceSeen),
-      decisions: this.book.decisions(),
+      fence: Math.max(this.lease.fence(), this.highestFence),
+      decisions: this.orders.decisions(),
     };
   }
 
-  /** Sides that no heartbeat of this entry goes to. */
-  private unfollowed(): readonly Address[] {
+  /**
+   * Sides that get no heartbeats from this entry. Empty without a
+   * `pollerIdentity`.
+   */
+  private unfollowedSides(): readonly Address[] {
     const {view} = this;
-    if (view === undefined || this.options.survey === undefined) return [];
+    if (view === undefined || this.options.pollerIdentity === undefined)
+      return [];
     const followed = new Set(view.replicas.map(({address}) => address));
     return view.allSides.filter(address => !followed.has(address));
   }
 
-  private replicas(view: MembershipView): readonly Replica[] {
+  /** Followed and polled sides. */
+  private allReplicas(view: MembershipView): readonly Replica[] {
     const followed = new Set(view.replicas.map(({address}) => address));
-    const others = this.survey.replicas();
+    const others = this.sidePoller.replicas();
     return [
       ...view.replicas,
       ...others.filter(({address}) => !followed.has(address)),
     ];
   }
 
-  private noteFence(fence: FencingNumber): void {
-    this.fenceSeen = Math.max(this.fenceSeen, fence);
+  /** Records a fencing number that a side or an entry has reported. */
+  private observeFence(fence: FencingNumber): void {
+    this.highestFence = Math.max(this.highestFence, fence);
   }
 
   /**
-   * Asked before each order, not once for each plan: the process may have been
-   * paused in between, and its lease may be another's now. A higher number
-   * seen anywhere says the same before the store does.
+   * True when this process may act as the placer. This is checked before each
+   * order and not only once for each plan, because the process may have been
+   * paused in between and another entry may hold the lease. A higher fencing
+   * number from any side or entry shows that before the store does.
    */
   private isPlacer(): boolean {
-    return this.lease.valid() && this.lease.fence() >= this.fenceSeen;
+    return this.lease.valid() && this.lease.fence() >= this.highestFence;
   }
 
+  /** Starts a plan if this process is the placer and no plan is being made. */
   private tick(): void {
-    this.noteRole();
-    if (this.placerFence === 0 || this.planning) return;
-    this.planning = true;
-    this.plan()
+    this.updatePlacerRole();
+    if (this.placerFence === 0 || this.isPlanning) return;
+    this.isPlanning = true;
+    this.runPlan()
       .catch(cause => this.ctx.fail(cause))
       .finally(() => {
-        this.planning = false;
+        this.isPlanning = false;
       });
   }
 
-  /** Starts anew with each lease: earlier orders are another placer's. */
-  private noteRole(): void {
+  /**
+   * Follows changes of the lease. A new lease starts with no pending orders and
+   * no role history, because earlier orders were another placer's.
+   */
+  private updatePlacerRole(): void {
     const fence = this.isPlacer() ? this.lease.fence() : 0;
     if (fence === this.placerFence) return;
     const before = this.placerFence;
@@ -224,64 +260,79 @@
     if (before !== 0) {
       this.ctx.log(PLACEMENT_EVENTS.placerStopped, {
         fence: before,
-        seen: this.fenceSeen,
+        seen: this.highestFence,
       });
     }
-    if (fence === 0) return this.survey.stop();
-    this.book.clear();
-    this.placerSince = this.ctx.clock.now();
-    this.roles = createRoleMemory(this.placerSince);
-    this.survey.start();
+    if (fence === 0) return this.sidePoller.stop();
+    this.orders.clear();
+    this.placerStartedAt = this.ctx.clock.now();
+    this.roleHistory = createRoleHistory(this.placerStartedAt);
+    this.sidePoller.start();
     this.ctx.log(PLACEMENT_EVENTS.placerStarted, {fence});
   }
 
-  private async plan(): Promise<void> {
-    const status = await this.askWeightStore();
+  /** Makes a plan and sends its orders. */
+  private async runPlan(): Promise<void> {
+    const status = await this.fetchWeightStoreStatus();
     const {config, view, placerFence: fence} = this;
-    // Number 0 declares no models: planned by it, all would be unloaded.
+    // Configuration 0 is the one before the first. It declares no models, so a
+    // plan would unload all of them.
     if (config === undefined || config.number === 0) return;
     if (view === undefined || fence === 0) return;
     const now = this.ctx.clock.now();
-    const replicas = this.replicas(view);
-    if (!this.isHandedOver(replicas, now)) return;
-    this.readBack(replicas, now);
+    const replicas = this.allReplicas(view);
+    if (!this.isHandoverComplete(replicas, now)) return;
+    this.closeSettledOrders(replicas, now);
     const plan = planPlacement({
       now,
       fence,
       declarations: config.declarations,
       replicas,
-      pending: this.book.pending(),
+      pending: this.orders.pending(),
       weightStore: status,
       limits: this.limits,
-      roles: this.roles,
+      roles: this.roleHistory,
     });
-    this.roles = plan.roles;
-    this.noteUnmet(plan);
-    for (const planned of plan.orders) this.send(planned, fence);
+    this.roleHistory = plan.roles;
+    this.reportUnmetWishes(plan);
+    for (const planned of plan.orders) this.sendOrder(planned, fence);
   }
 
   /**
-   * The first order waits until every live side knows the new number, which
-   * goes out with the heartbeats. Else an order of the placer before, still
-   * believing or still on its way, could take effect after it at a side that
-   * this one has not ordered yet: two placers' plans would mix.
+   * True when the first order may be sent. A new placer waits until every live
+   * side knows its fencing number, which the heartbeats deliver. Otherwise a
+   * late order of the previous placer could take effect at a side that this
+   * placer has not sent an order to yet, and the plans of two placers would be
+   * mixed.
    */
-  private isHandedOver(replicas: readonly Replica[], now: number): boolean {
-    if (now - this.placerSince >= HANDOVER_MS) return true;
-    if (!this.survey.isComplete()) return false;
+  private isHandoverComplete(
+    replicas: readonly Replica[],
+    now: number,
+  ): boolean {
+    if (now - this.placerStartedAt >= HANDOVER_TIMEOUT_MS) return true;
+    if (!this.sidePoller.hasPolledAll()) return false;
     return replicas
       .filter(({state, load}) => state === 'live' && load.capacityTokens > 0)
       .every(({fence}) => fence >= this.placerFence);
   }
 
-  private async askWeightStore(): Promise<WeightStoreStatus | undefined> {
+  /** Status of the weight store; undefined when it gives no answer. */
+  private async fetchWeightStoreStatus(): Promise<
+    WeightStoreStatus | undefined
+  > {
     const answer = await this.options.weightStore?.();
     return answer?.toMaybe().extract();
   }
 
-  private readBack(replicas: readonly Replica[], now: number): void {
-    this.survey.watch(this.book.pending().map(({address}) => address));
-    for (const closed of this.book.readBack(replicas, now)) {
+  /**
+   * Polls the sides with pending orders. Closes orders that took effect or
+   * expired, and logs them.
+   */
+  private closeSettledOrders(replicas: readonly Replica[], now: number): void {
+    this.sidePoller.pollPending(
+      this.orders.pending().map(({address}) => address),
+    );
+    for (const closed of this.orders.closeSettled(replicas, now)) {
       const {order, address, outcome, tookMs} = closed;
       this.ctx.metrics.count('onyxloft_placement_orders_total', {
         action: order.action,
@@ -299,21 +350,23 @@
     }
   }
 
-  private noteUnmet({unmet}: Plan): void {
+  /** Logs each wish when it becomes unmet and when it is met again. */
+  private reportUnmetWishes({unmet}: Plan): void {
     const keyOf = ({pool, model}: UnmetWish) => `${pool}/${model}`;
     for (const wish of unmet) {
-      if (this.unmet.has(keyOf(wish))) continue;
+      if (this.unmetWishes.has(keyOf(wish))) continue;
       this.ctx.log(PLACEMENT_EVENTS.wishUnmet, {...wish});
     }
     const keys = new Set(unmet.map(keyOf));
-    for (const wish of this.unmet) {
+    for (const wish of this.unmetWishes) {
       if (!keys.has(wish)) this.ctx.log(PLACEMENT_EVENTS.wishMet, {wish});
     }
     this.ctx.metrics.gauge('onyxloft_placement_unmet', {}, unmet.length);
-    this.unmet = keys;
+    this.unmetWishes = keys;
   }
 
-  private send(planned: PlannedOrder, fence: FencingNumber): void {
+  /** Sends an order, unless this process has lost the lease meanwhile. */
+  private sendOrder(planned: PlannedOrder, fence: FencingNumber): void {
     const {address, action, model, version, adapter, role, reason} = planned;
     const orderId = this.ctx.random.hex(ORDER_ID_BYTES);
     const order: OrderReq = {
@@ -329,7 +382,7 @@
       this.ctx.log(PLACEMENT_EVENTS.notSent, {orderId, address, action, fence});
       return;
     }
-    this.book.book(planned, order, this.ctx.clock.now());
+    this.orders.add(planned, order, this.ctx.clock.now());
     this.ctx.log(PLACEMENT_EVENTS.decided, {
       ...order,
       address,
@@ -341,36 +394,42 @@
       .then(answer =>
         answer.caseOf({
           Left: err =>
-            this.noteAnswer(order, 'unanswered', `${err.code}: ${err.message}`),
-          Right: res => this.takeAnswer(order, res),
+            this.recordAnswer(
+              order,
+              'unanswered',
+              `${err.code}: ${err.message}`,
+            ),
+          Right: res => this.handleAnswer(order, res),
         }),
       )
       .catch(cause => this.ctx.fail(cause));
   }
 
-  private takeAnswer(order: OrderReq, res: OrderRes): void {
-    this.noteFence(res.fence);
+  /** Handles a side's answer to an order. */
+  private handleAnswer(order: OrderReq, res: OrderRes): void {
+    this.observeFence(res.fence);
     if (res.state === 'refused') {
-      this.noteAnswer(order, 'refused', res.reason);
-      this.book.refuse(order.orderId, this.ctx.clock.now());
+      this.recordAnswer(order, 'refused', res.reason);
+      this.orders.markRefused(order.orderId, this.ctx.clock.now());
     } else {
-      this.noteAnswer(order, 'accepted', res.reason);
+      this.recordAnswer(order, 'accepted', res.reason);
     }
   }
 
-  private noteAnswer(
+  /** Records and logs the answer to an order, or that there was none. */
+  private recordAnswer(
     order: OrderReq,
     outcome: 'accepted' | 'refused' | 'unanswered',
     reason: string,
   ): void {
-    this.book.note(order.orderId, outcome, reason);
+    this.orders.setOutcome(order.orderId, outcome, reason);
     this.ctx.log(PLACEMENT_EVENTS.orderAnswered, {
       orderId: order.orderId,
       action: order.action,
       outcome,
       reason,
       fence: order.fence,
-      seen: this.fenceSeen,
+      seen: this.highestFence,
     });
   }
 }
--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -1,10 +1,15 @@
 /**
- * The planner: from the declarations, the engines' reports and the time to the
- * orders that come next. It has no state of its own and does nothing itself,
- * so that a placement decision can be replayed from its figures.
+ * The planner computes the next orders from the declarations, the engines'
+ * reports and the time. It keeps no state and sends nothing itself, so that a
+ * placement decision can be computed again from its recorded input.
  */
 import type {Declarations, Model} from '../types/config.js';
-import {adaptersOf, stateOf, versionsIn, viewEngines} from './engine_view.js';
+import {
+  adaptersOf,
+  versionStateOf,
+  versionsInState,
+  viewEngines,
+} from './engine_view.js';
 import type {EngineView} from './engine_view.js';
 import {createLoadBudget} from './load_budget.js';
 import {planRoles} from './plan_roles.js';
@@ -13,32 +18,36 @@
 import {planLoads, planUnload, unmetWish} from './plan_versions.js';
 import type {WishedModel} from './plan_versions.js';
 
-/** Orders that come next, at most one for each engine. */
+/** Plans the next orders, at most one for each engine. */
 export function planPlacement(input: PlanInput): Plan {
   const {declarations, limits} = input;
   const engines = viewEngines(input);
   const wishes = wishedModels(declarations, engines);
   const budget = createLoadBudget(engines, input.weightStore, limits);
-  const orders = firstForEach([
+  const orders = firstPerEngine([
     ...wishes.flatMap(wished => planLoads(wished, budget)),
     ...wishes.flatMap(planAdapters),
     ...wishes.flatMap(planUnload),
-    ...planRemoved(declarations, engines),
+    ...planRemovedModels(declarations, engines),
   ]);
   const roles = planRoles({
     now: input.now,
     engines: markBusy(engines, orders),
     policy: declarations.policy,
     limits,
-    memory: input.roles,
+    history: input.roles,
   });
   return {
     orders: [...orders, ...roles.orders],
     unmet: wishes.flatMap(unmetWish),
-    roles: roles.memory,
+    roles: roles.history,
   };
 }
 
+/**
+ * Marks the engines that get an order in this plan as busy, so that they get no
+ * role change as well.
+ */
 function markBusy(
   engines: readonly EngineView[],
   orders: readonly PlannedOrder[],
@@ -49,6 +58,7 @@
   );
 }
 
+/** The wishes of the configuration, with their models and engines. */
 function wishedModels(
   {placement, models}: Declarations,
   engines: readonly EngineView[],
@@ -61,11 +71,16 @@
   });
 }
 
-/** Missing adapters of the wished version, one at a time on each engine. */
+/**
+ * Plans the loads of missing adapters of the wished version, one at a time on
+ * each engine.
+ */
 function planAdapters({model, engines}: WishedModel): readonly PlannedOrder[] {
   return engines
     .filter(({busy}) => !busy)
-    .filter(engine => stateOf(engine, model.id, model.version) === 'ready')
+    .filter(
+      engine => versionStateOf(engine, model.id, model.version) === 'ready',
+    )
     .flatMap(engine => {
       const ready = adaptersOf(engine, model.id, model.version);
       const [adapter] = model.adapters.filter(name => !ready.includes(name));
@@ -84,15 +99,18 @@
     });
 }
 
-/** Models that are no longer declared, one engine at a time. */
-function planRemoved(
+/**
+ * Plans the unload of a model that is no longer declared, from one engine at a
+ * time.
+ */
+function planRemovedModels(
   {models}: Declarations,
   engines: readonly EngineView[],
 ): readonly PlannedOrder[] {
   const declared = new Set(models.map(({id}: Model) => id));
   for (const engine of engines.filter(({busy}) => !busy)) {
     for (const model of engine.versions.keys()) {
-      const [version] = versionsIn(engine, model, 'ready');
+      const [version] = versionsInState(engine, model, 'ready');
       if (declared.has(model) || version === undefined) continue;
       return [
         plannedOrder({
@@ -109,8 +127,11 @@
   return [];
 }
 
-/** An engine's second order waits until the first was read back. */
-function firstForEach(
+/**
+ * Keeps the first order for each engine. Its second one is planned when a
+ * heartbeat has shown the effect of the first.
+ */
+function firstPerEngine(
   orders: readonly PlannedOrder[],
 ): readonly PlannedOrder[] {
   const taken = new Set<string>();
--- a/test/support/limits_fleet.ts
+++ b/test/support/limits_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Entries with the limits service on virtual time, under a load of requests,
- * with membership views that the test sets.
+ * Entries with the limits service in virtual time, under a load of requests.
+ * The test sets which entries each of them sees in its membership views.
  */
 import type {Either} from 'purify-ts';
 import {createLimitsService} from '../../src/limits/limits.js';
@@ -20,22 +20,29 @@
 
 export const ORGANISATION = 'prairie';
 
-export interface FleetOptions {
+/** Size of the fleet, and the limits of the organisation. */
+export interface LimitsFleetOptions {
   readonly entries: number;
   readonly maxRunning: number;
   readonly tokensPerSec?: number;
   readonly seed?: number;
 }
 
-/** A load of requests on one entry. */
-export interface Load {
-  /** Arrivals a second, evenly spread in chance. */
+/** Requests that arrive at one entry. */
+export interface RequestLoad {
+  /** Mean arrivals per second, at random times. */
   readonly perSec: number;
+  /**
+   * Mean running time of a request. Each takes a random time from half of it to
+   * one and a half times it.
+   */
   readonly holdMs: number;
+  /** Tokens of each request. */
   readonly tokens: number;
 }
 
-export interface Entry {
+/** An entry, with counts of what it admitted and refused. */
+export interface LimitsEntry {
   readonly address: string;
   readonly node: string;
   readonly clock: PausableClock;
@@ -44,11 +51,11 @@
   admitted: number;
   tokens: number;
   readonly refusals: OnyxError[];
-  view: (view: MembershipView) => void;
+  setMembership: (view: MembershipView) => void;
   isUp: boolean;
 }
 
-function declarations(options: FleetOptions): Declarations {
+function declarations(options: LimitsFleetOptions): Declarations {
   const {maxRunning, tokensPerSec = 1e9} = options;
   const organisation = {
     id: ORGANISATION,
@@ -57,24 +64,25 @@
     maxRunning,
     tokensPerSec,
   };
-  // The service reads nothing else of them.
+  // The limits service reads no other field of the declarations.
   return {organisations: [organisation]} as unknown as Declarations;
 }
 
-export async function createLimitsFleet(options: FleetOptions) {
+/** Starts the entries. All see each other as live. */
+export async function createLimitsFleet(options: LimitsFleetOptions) {
   const shared = createVirtualClock();
   const random = createSeededRandom(options.seed ?? 1);
   const network = createMemoryNetwork(shared, random);
-  const entries: Entry[] = [];
+  const entries: LimitsEntry[] = [];
   const runtime = createRecordingRuntime({clock: shared, random});
 
-  const startEntry = async (index: number): Promise<Entry> => {
+  const startEntry = async (index: number): Promise<LimitsEntry> => {
     const address = `10.0.0.${index + 1}:7300`;
     const clock = createPausableClock(shared);
     const kernel = createKernel({...runtime.runtime, clock});
     const transport = network.transport(address);
     const node = `entry-${index}`;
-    const entry: Entry = {
+    const entry: LimitsEntry = {
       address,
       node,
       clock,
@@ -83,7 +91,7 @@
       admitted: 0,
       tokens: 0,
       refusals: [],
-      view: () => undefined,
+      setMembership: () => undefined,
       isUp: true,
     };
     await kernel.start({
@@ -99,7 +107,8 @@
       name: 'membership',
       start: ctx => {
         void ctx.mailbox.observe(message => {
-          if (message.kind === 'subscribe') entry.view = message.listener;
+          if (message.kind === 'subscribe')
+            entry.setMembership = message.listener;
         });
       },
     });
@@ -120,10 +129,10 @@
   }
   await shared.settle();
 
-  /** Tells an entry in which state it sees the others. */
-  const show = (
-    to: Entry,
-    stateOf: (entry: Entry) => EntryPeer['state'],
+  /** Sends an entry a membership view that shows the others in these states. */
+  const setPeerStates = (
+    to: LimitsEntry,
+    stateOf: (entry: LimitsEntry) => EntryPeer['state'],
   ): void => {
     const peers = entries
       .filter(entry => entry !== to)
@@ -136,9 +145,9 @@
         configNumber: 1,
         fence: 0,
       }));
-    to.view({replicas: [], allSides: [], entries: peers});
+    to.setMembership({replicas: [], allSides: [], entries: peers});
   };
-  for (const entry of entries) show(entry, () => 'live');
+  for (const entry of entries) setPeerStates(entry, () => 'live');
   await shared.runFor(10_000);
 
   let peak = 0;
@@ -146,7 +155,8 @@
   const running = (): number =>
     entries.reduce((sum, entry) => sum + (entry.isUp ? entry.running : 0), 0);
 
-  const request = (entry: Entry, load: Load): void => {
+  /** Sends one request of this load to the entry. */
+  const request = (entry: LimitsEntry, load: RequestLoad): void => {
     const asked = entry.kernel.ask(
       'limits',
       (reply: (outcome: Either<OnyxError, void>) => void) => ({
@@ -156,7 +166,8 @@
         reply,
       }),
     );
-    // A service that ends, as with the fleet, answers by a rejection.
+    // A service that ends while it owes an answer, as when the fleet stops,
+    // rejects the promise.
     const answered = asked.catch((err: unknown) => {
       if (!isStopped) throw err;
       return undefined;
@@ -182,8 +193,8 @@
     });
   };
 
-  /** Requests come to the entry until the returned function is called. */
-  const startLoad = (entry: Entry, load: Load): (() => void) => {
+  /** Sends requests to the entry until the returned function is called. */
+  const startLoad = (entry: LimitsEntry, load: RequestLoad): (() => void) => {
     let ended = false;
     const next = (): void => {
       const gapMs = (-Math.log(1 - random.next()) * 1_000) / load.perSec;
@@ -199,21 +210,25 @@
     };
   };
 
-  /** Most requests running at once over all entries in the next `ms`. */
+  /**
+   * Most requests that ran at once over all entries in the next `ms`
+   * milliseconds.
+   */
   const peakOver = async (ms: number): Promise<number> => {
     peak = running();
     await shared.runFor(ms);
     return peak;
   };
 
-  const kill = (entry: Entry): void => {
+  /** Stops the entry's clock and network, as when its host fails. */
+  const kill = (entry: LimitsEntry): void => {
     entry.isUp = false;
     entry.clock.stop();
     network.faults.down(entry.address);
   };
 
   /** The organisation's home among these entries. */
-  const homeAmong = (among: readonly Entry[]): Entry => {
+  const homeOf = (among: readonly LimitsEntry[]): LimitsEntry => {
     const nodes = among.map(entry => ({id: entry.node, entry}));
     const best = rendezvousFirst(`limits ${ORGANISATION}`, nodes);
     if (best === undefined) throw new Error('there are no entries');
@@ -225,13 +240,13 @@
     faults: network.faults,
     runtime,
     clock: shared,
-    show,
+    show: setPeerStates,
     request,
     startLoad,
     peakOver,
     running,
     kill,
-    homeAmong,
+    homeAmong: homeOf,
     asks: () => network.callCount('grant'),
     stop: async () => {
       isStopped = true;
--- a/test/support/placement_fleet.ts
+++ b/test/support/placement_fleet.ts
@@ -1,6 +1,7 @@
 /**
  * Sides with scripted engines, and placers on hosts that can be paused, in
- * virtual time. Every effect on an engine is recorded with its number.
+ * virtual time. Every effect on an engine is recorded with the order that
+ * caused it.
  */
 import {Left, Right} from 'purify-ts';
 import {createInitialDeclarations} from '../../src/config/declarations_schema.js';
@@ -41,10 +42,12 @@
 import {createHostClock, storeOnHost} from './host_clock.js';
 import type {HostClock} from './host_clock.js';
 
+/** Period of heartbeats and membership views. */
 const HEARTBEAT_MS = 1_000;
+/** Size of the model's weights. */
 export const WEIGHT_BYTES = 20e9;
 
-/** Declarations of one model in one pool. */
+/** Declarations that place one model in one pool. */
 export function declareModel(
   version: string,
   wish: {readonly minReplicas: number; readonly minPerFailureDomain?: number},
@@ -72,7 +75,8 @@
   };
 }
 
-export const IDLE: SideLoad = {
+/** Load of an engine without requests. */
+export const IDLE_LOAD: SideLoad = {
   capacityTokens: 400_000,
   freeTokens: 400_000,
   running: 0,
@@ -84,69 +88,84 @@
   reportAgeMs: 100,
 };
 
-/** Who refuses an old number: the engine itself, or the side before it. */
+/** What refuses an old fencing number: the engine, its side, or nothing. */
 export type FencedBy = 'engine' | 'side' | 'nobody';
 
+/** An order that took effect on an engine. */
 export interface Effect {
   readonly at: number;
   readonly address: string;
   readonly order: OrderReq;
 }
 
+/** A side with an engine that carries out orders. */
 export interface FakeSide {
   readonly address: string;
   models: readonly ModelState[];
   load: SideLoad;
   readonly failureDomain: string;
+  /** Highest fencing number that the side has seen. */
   fence: number;
-  /** While true no heartbeat reaches it; orders do. */
-  isDeaf: boolean;
+  /** While true, heartbeats do not reach the side, but orders do. */
+  missesHeartbeats: boolean;
 }
 
+/** An entry with the placement service. */
 export interface FakePlacer {
   readonly name: string;
   readonly address: string;
   readonly host: HostClock;
   readonly kernel: Kernel;
   readonly recording: RecordingRuntime;
-  /** While true it sends no heartbeats and its view stands still. */
-  isBlind: boolean;
+  /**
+   * While true, the placer sends no heartbeats and gets no new membership view.
+   */
+  isMembershipFrozen: boolean;
+  /** Delivers a configuration to this placer. */
   declare(config: NumberedDeclarations): void;
   status(): Promise<PlacementStatus>;
 }
 
+/** Sides, placers and what they share. */
 export interface PlacementFleet {
   readonly clock: VirtualClock;
   readonly net: MemoryNetwork;
+  /** The store that holds the lease. */
   readonly core: ObjectStoreCore;
+  /** The weight store. */
   readonly weights: WeightStoreCore;
   readonly sides: readonly FakeSide[];
   readonly placers: readonly FakePlacer[];
   readonly effects: readonly Effect[];
-  /** Most engines that loaded at once. */
-  mostLoads(): number;
+  /** Most engines that were loading at once. */
+  maxConcurrentLoads(): number;
+  /** Starts a further placer. */
   addPlacer(options?: Partial<PlacementServiceOptions>): Promise<FakePlacer>;
+  /** Delivers a configuration to all placers. */
   declare(number: number, declarations: Declarations): void;
-  /** Runs on and calls `check` each 100 ms. */
+  /** Advances the clock, and calls `check` every 100 ms. */
   runFor(ms: number, check?: () => void): Promise<void>;
   stop(): Promise<void>;
 }
 
-export interface FleetOptions {
+/** Size and behaviour of the sides. */
+export interface PlacementFleetOptions {
   readonly sides: number;
   readonly fencedBy?: FencedBy;
+  /** Versions that are ready on each engine at the start. */
   readonly models?: readonly string[];
-  /** Of the weight store. @default 2e9 */
+  /** Transfer rate of the weight store. @default 2e9 */
   readonly bytesPerSec?: number;
 }
 
+/** State of a version that is ready. */
 export function readyModel(version: string): ModelState {
   return {model: 'skylark', version, adapters: [], ready: true, role: 'mixed'};
 }
 
-/** Starts sides without placers. */
+/** Starts the sides, without placers. */
 export async function createPlacementFleet(
-  options: FleetOptions,
+  options: PlacementFleetOptions,
 ): Promise<PlacementFleet> {
   const clock = createVirtualClock();
   const random = createSeededRandom(7);
@@ -160,9 +179,13 @@
   const effects: Effect[] = [];
   const placers: FakePlacer[] = [];
   let loading = 0;
-  let mostLoads = 0;
+  let maxConcurrentLoads = 0;
 
-  const carryOut = (side: FakeSide, order: OrderReq): void => {
+  /**
+   * Applies an order to the side's engine. A load ends when the weight store's
+   * transfer has ended.
+   */
+  const executeOrder = (side: FakeSide, order: OrderReq): void => {
     effects.push({at: clock.now(), address: side.address, order});
     const {model, version} = order;
     const others = side.models.filter(state => state.version !== version);
@@ -174,7 +197,7 @@
       const state = {...readyModel(version), ready: false};
       side.models = [...others, state];
       loading += 1;
-      mostLoads = Math.max(mostLoads, loading);
+      maxConcurrentLoads = Math.max(maxConcurrentLoads, loading);
       const transfer = weights.start({model, version, bytes: WEIGHT_BYTES});
       void weights.whenOver(transfer?.id ?? '').then(() => {
         loading -= 1;
@@ -188,12 +211,13 @@
   const fencedBy = options.fencedBy ?? 'side';
   const onOrder = (side: FakeSide, order: OrderReq): OrderRes => {
     if (fencedBy !== 'nobody' && order.fence < side.fence) {
-      // As told by an engine that checks, or by the side for one that does not.
+      // The reasons given by an engine that checks, and by a side that checks
+      // for its engine.
       const reason = fencedBy === 'engine' ? 'stale' : 'stale-fence';
       return {state: 'refused', reason, fence: side.fence};
     }
     side.fence = Math.max(side.fence, order.fence);
-    carryOut(side, order);
+    executeOrder(side, order);
     const state = order.action === 'load' ? 'started' : 'done';
     return {state, reason: '', fence: side.fence};
   };
@@ -204,10 +228,10 @@
       const side: FakeSide = {
         address: `127.0.0.1:${8000 + n}`,
         models: (options.models ?? []).map(readyModel),
-        load: IDLE,
+        load: IDLE_LOAD,
         failureDomain: domains[n % domains.length],
         fence: 0,
-        isDeaf: false,
+        missesHeartbeats: false,
       };
       await net.transport(side.address).listen(side.address, {
         order: order => Promise.resolve(onOrder(side, order)),
@@ -241,17 +265,19 @@
     const recording = createRecordingRuntime({clock, random});
     const kernel = createKernel({...recording.runtime, clock: host});
     const store = storeOnHost(createMemoryObjectStore({core, clock}), host);
-    let tellConfig = (_config: NumberedDeclarations) => {};
+    let publishConfig = (_config: NumberedDeclarations) => {};
     const config: ServiceSpec<'config'> = {
       name: 'config',
       start: ctx => {
         void ctx.mailbox.observe(message => {
-          if (message.kind === 'subscribe') tellConfig = message.listener;
+          if (message.kind === 'subscribe') publishConfig = message.listener;
         });
       },
     };
     await kernel.start(config);
-    await kernel.start(membershipOf(sides, () => placer.isBlind));
+    await kernel.start(
+      createMembership(sides, () => placer.isMembershipFrozen),
+    );
     await kernel.start(
       createPlacementService({
         node: name,
@@ -267,8 +293,8 @@
       host,
       kernel,
       recording,
-      isBlind: false,
-      declare: next => tellConfig(next),
+      isMembershipFrozen: false,
+      declare: next => publishConfig(next),
       status: () => kernel.ask('placement', reply => ({kind: 'status', reply})),
     };
     placers.push(placer);
@@ -284,7 +310,7 @@
     sides,
     placers,
     effects,
-    mostLoads: () => mostLoads,
+    maxConcurrentLoads: () => maxConcurrentLoads,
     addPlacer,
     declare: (number, declarations) => {
       for (const placer of placers) placer.declare({number, declarations});
@@ -306,33 +332,38 @@
   };
 }
 
-/** Tells the view each heartbeat period, as the heartbeats would. */
-function membershipOf(
+/**
+ * Delivers a membership view in each heartbeat period, as the real service
+ * does.
+ */
+function createMembership(
   sides: readonly FakeSide[],
-  isBlind: () => boolean,
+  isFrozen: () => boolean,
 ): ServiceSpec<'membership'> {
   return {
     name: 'membership',
     start: ctx => {
       const listeners = new Set<(view: MembershipView) => void>();
-      const look = () => ({
+      const currentView = () => ({
         replicas: sides.map(side => replicaOf(side, ctx.clock.now())),
         allSides: [],
         entries: [],
       });
-      const beat = (fence: number) => {
-        if (isBlind()) return;
-        // Heartbeats carry the number that this entry knows to the sides.
-        for (const side of sides.filter(({isDeaf}) => !isDeaf)) {
+      const sendHeartbeats = (fence: number) => {
+        if (isFrozen()) return;
+        // Heartbeats deliver the highest fencing number that this entry knows.
+        for (const side of sides.filter(
+          ({missesHeartbeats: isDeaf}) => !isDeaf,
+        )) {
           side.fence = Math.max(side.fence, fence);
         }
-        const view = look();
+        const view = currentView();
         for (const listener of listeners) listener(view);
       };
       void ctx.mailbox.observe(message => {
         if (message.kind !== 'subscribe') return;
         listeners.add(message.listener);
-        message.listener(look());
+        message.listener(currentView());
       });
       ctx.own(
         ctx.clock.every(
@@ -343,13 +374,14 @@
                 kind: 'status',
                 reply,
               }))
-              .then(({fence}) => beat(fence)),
+              .then(({fence}) => sendHeartbeats(fence)),
         ),
       );
     },
   };
 }
 
+/** The side as a membership view shows it. */
 export function replicaOf(side: FakeSide, loadAt: number): Replica {
   return {
     host: side.address,
