--- a/src/direct/front.ts
+++ b/src/direct/front.ts
@@ -135,7 +135,11 @@
     unusedMs: options.unusedMs,
     isDraining: () => isDraining,
     shareLoads: (loads, hasLongPrefill) =>
-      ctx.send('sharing', {kind: 'load', loads, hasLongPrefill: hasLongPrefill}),
+      ctx.send('sharing', {
+        kind: 'load',
+        loads,
+        hasLongPrefill: hasLongPrefill,
+      }),
     shareCrashReports: reports =>
       ctx.send('sharing', {kind: 'crash-reports', reports, toAll: true}),
     quarantine: {
