--- a/test/direct/choose_engines.test.ts
+++ b/test/direct/choose_engines.test.ts
@@ -98,8 +98,8 @@
   // prompt without slack there would miss its latency objective.
   test('is not split over an engine where it would delay another prompt', () => {
     const readers = [{slackMs: 10, marginMs: 75, weight: 900_000}];
-    const reading = engine('b', {readMs: 100, readers});
-    const engines = [engine('a'), reading, engine('c'), engine('d')];
+    const prefilling = engine('b', {readMs: 100, readers});
+    const engines = [engine('a'), prefilling, engine('c'), engine('d')];
     const plan = chooseEngines(FIGURES, prompt(120_000), engines);
     expect(membersOf(plan)).not.toContain('b');
   });
--- a/test/direct/place_or_wait.test.ts
+++ b/test/direct/place_or_wait.test.ts
@@ -44,7 +44,7 @@
 
 function longPrompt(
   promptTokens: number,
-  more: Partial<PlacingRequest> = {},
+  overrides: Partial<PlacingRequest> = {},
 ): PlacingRequest {
   return {
     isNew: true,
@@ -56,11 +56,11 @@
     callerTimeoutMs: 12_000,
     elapsedMs: 0,
     draw: () => 0,
-    ...more,
+    ...overrides,
   };
 }
 
-function shortPrompt(more: Partial<PlacingRequest> = {}): PlacingRequest {
+function shortPrompt(overrides: Partial<PlacingRequest> = {}): PlacingRequest {
   return {
     ...longPrompt(5_000),
     weight: SHORT_WEIGHT,
@@ -68,7 +68,7 @@
     aimMs: 300,
     pauseAimMs: 250,
     callerTimeoutMs: 2_000,
-    ...more,
+    ...overrides,
   };
 }
 
@@ -106,8 +106,8 @@
     const candidates = [...engines(3, SHORT_STREAMS), ...free];
     const decision = decide(candidates, longPrompt(300_000));
     if (decision.kind !== 'place') throw new Error(decision.kind);
-    const {lead: first, helpers} = decision.plan;
-    const members = [first, ...helpers].map(({replica}) => replica.id);
+    const {lead, helpers} = decision.plan;
+    const members = [lead, ...helpers].map(({replica}) => replica.id);
     expect(members.every(id => id.startsWith('f'))).toBe(true);
   });
 
@@ -222,12 +222,12 @@
       fc.property(poolArb, promptArb, (candidates, req) => {
         const decision = decide(candidates, req);
         if (decision.kind !== 'place') return;
-        const {lead: first, helpers, partTokens} = decision.plan;
-        const members = [first, ...helpers];
+        const {lead, helpers, partTokens} = decision.plan;
+        const members = [lead, ...helpers];
         expect(new Set(members).size).toBe(members.length);
-        const firstTokens =
+        const leadTokens =
           req.promptTokens + req.answerTokens - partTokens * helpers.length;
-        expect(first.load.tokens + firstTokens).toBeLessThanOrEqual(
+        expect(lead.load.tokens + leadTokens).toBeLessThanOrEqual(
           FIGURES.memoryTokens,
         );
         for (const {load} of helpers) {
--- a/test/support/engine_candidates.ts
+++ b/test/support/engine_candidates.ts
@@ -2,7 +2,7 @@
 import type {EngineCandidate} from '../../src/direct/decide/score_engine.js';
 import type {ReplicaLoad} from '../../src/direct/replica_load.js';
 
-const IDLE = {running: 0, tokens: 0, readMs: 0, readers: [], writers: []};
+const IDLE_LOAD = {running: 0, tokens: 0, readMs: 0, readers: [], writers: []};
 
 /** An engine with `places` request slots; idle except for the given load. */
 export function engineCandidate(
@@ -21,7 +21,7 @@
       places,
       leaving: false,
     },
-    load: {replicaId: id, ...IDLE, ...load},
+    load: {replicaId: id, ...IDLE_LOAD, ...load},
     slowness: 1,
   };
 }
