--- a/src/limits/home_ledger.ts
+++ b/src/limits/home_ledger.ts
@@ -34,7 +34,8 @@
   /** Share of the entries that this home reaches, above 0 and at most 1. */
   readonly reachableShare: number;
   /**
-   * False when the entry is known to be gone, and the requests it ran with it.
+   * False when the entry is known to be gone, together with the requests it
+   * ran.
    */
   readonly isPresent: (entry: NodeId) => boolean;
 }
@@ -173,9 +174,9 @@
    */
   const refill = (tokensPerSec: number, now: number): number => {
     const before = balance ?? 1 + tokensPerSec * options.initialSec;
-    const gathered = ((now - filledAt) / 1_000) * tokensPerSec;
+    const added = ((now - filledAt) / 1_000) * tokensPerSec;
     filledAt = now;
-    return Math.min(before + gathered, Math.max(1, tokensPerSec * burstSec()));
+    return Math.min(before + added, Math.max(1, tokensPerSec * burstSec()));
   };
 
   /** Sum of a value over all entries. */
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -80,8 +80,7 @@
   /** Timeout of an order's answer. @default 5000 */
   readonly orderTimeoutMs?: number;
   /**
-   * An order without a visible effect stays pending for this time. @default
-   * 30000
+   * How long an order without a visible effect stays pending. @default 30000
    */
   readonly orderEffectTimeoutMs?: number;
   /** Bounds of the planner that differ from the defaults. */
--- a/src/placement/plan_types.ts
+++ b/src/placement/plan_types.ts
@@ -13,8 +13,8 @@
 /** Bounds of the planner. Times are in milliseconds. */
 export interface PlannerLimits {
   /**
-   * A version is unloaded only on the basis of reports that are no older.
-   * @default 10000
+   * When an unload is planned, other replicas count as ready only if their
+   * reports are no older. @default 10000
    */
   readonly maxReliableAgeMs: number;
   /**
--- a/src/placement/side_poller.ts
+++ b/src/placement/side_poller.ts
@@ -34,8 +34,8 @@
  */
 const MAX_PASS_MS = 30_000;
 /**
- * Longest time of the first pass. It is shorter because this pass tells all
- * sides the new fencing number.
+ * Longest time of the first pass. It is shorter because this pass delivers the
+ * new fencing number to all sides.
  */
 const FIRST_PASS_MS = 5_000;
 /** Timeout of a poll. After it, a side that answered before is suspect. */
@@ -117,6 +117,7 @@
     if (before !== undefined) known.set(address, {...before, state: 'suspect'});
   };
 
+  /** Polls one side and handles its reply. */
   const poll = async (address: Address) => {
     const startedGeneration = generation;
     const sentAt = clock.now();
@@ -182,6 +183,7 @@
     return (hasPolledAll() ? passMs : Math.min(passMs, FIRST_PASS_MS)) / count;
   };
 
+  /** Polls one side and schedules the next poll. */
   const pollNext = () => {
     const sides = options.sides();
     removeAbsent(sides);
--- a/test/placement_placers.test.ts
+++ b/test/placement_placers.test.ts
@@ -42,7 +42,7 @@
     .map(String);
 }
 
-describe('a placer', () => {
+describe('placing', () => {
   it('loads a declared model, replaces its version and records the effects', async () => {
     await start({sides: 6});
     fleet.declare(1, declareModel('1', {minReplicas: 4}));
