--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -195,7 +195,7 @@
   });
 });
 
-describe('the suspect state', () => {
+describe('suspicion', () => {
   it('begins with a refused connection and ends with an answer', async () => {
     const fleet = await startMembership(3);
     const {address} = fleet.sides[0].host;
