--- a/src/entry/requests.ts
+++ b/src/entry/requests.ts
@@ -143,12 +143,7 @@
     ctx.metrics.gauge('onyxloft_owned_requests', {}, table.openCount());
   };
 
-  const resumer = createResumer({
-    deps,
-    table,
-    addRequest,
-    view: () => view,
-  });
+  const resumer = createResumer({deps, table, addRequest, view: () => view});
 
   const submit = (spec: RequestSpec, listener: RequestListener) => {
     const answerLog = createAnswerLog(spec.id, 0, ctx.invariant);
--- a/src/entry/run/execute_request.ts
+++ b/src/entry/run/execute_request.ts
@@ -75,13 +75,7 @@
       deliveredChunks: open.answerLog.deliveredSeq(),
     });
     if (next === undefined || isFinished(open)) return;
-    if (
-      !(await endOrRetry(deps, open, spec, next, {
-        tries,
-        failedOn,
-      }))
-    )
-      return;
+    if (!(await endOrRetry(deps, open, spec, next, {tries, failedOn}))) return;
   }
 }
 
