--- a/src/entry/admission/admission.ts
+++ b/src/entry/admission/admission.ts
@@ -116,6 +116,7 @@
   return found;
 }
 
+/** The fields of a spec that completions and calls have in common. */
 function commonFields(
   arrival: ArrivedRequest,
   options: RequestOptions,
@@ -137,6 +138,7 @@
   };
 }
 
+/** The model and adapter that a request uses. */
 interface ModelChoice {
   readonly model: Model;
   readonly adapter: string;
@@ -172,6 +174,7 @@
   );
 }
 
+/** Finds a priority class by name; the default class when no name is given. */
 function findPriorityClass(
   declarations: Declarations,
   name: string | undefined,
@@ -186,6 +189,10 @@
   throw badRequest(`no priority class "${name}"; there are: ${names}`);
 }
 
+/**
+ * Finds the smallest length class that holds the prompt, else the largest
+ * class.
+ */
 function findLengthClass(
   declarations: Declarations,
   tokens: number,
--- a/src/entry/admission/prefix_hashes.ts
+++ b/src/entry/admission/prefix_hashes.ts
@@ -14,6 +14,7 @@
  */
 export const MAX_PREFIX_BLOCKS = 64;
 
+/** Hex digits of one hash. */
 const HASH_DIGITS = 16;
 const encoder = new TextEncoder();
 
@@ -41,6 +42,7 @@
   return hashes;
 }
 
+/** Copies at most `maxBytes` leading bytes of the body. */
 function copyLeadingBytes(body: Body, maxBytes: number): Uint8Array {
   const leading = new Uint8Array(Math.min(maxBytes, body.bytes));
   let used = 0;
--- a/src/entry/claims/claim_record.ts
+++ b/src/entry/claims/claim_record.ts
@@ -9,10 +9,12 @@
 import {z} from 'zod';
 import type {OrganisationId, RequestId} from '../../types/ids.js';
 
+/** First part of the object keys of all claims. */
 const KEY_PREFIX = 'claims';
 /** Hex digits of the hash that select the shard; two digits give 256 shards. */
 const SHARD_HASH_DIGITS = 2;
 
+/** A stored claim of one idempotency key. */
 export interface ClaimRecord {
   readonly requestId: RequestId;
   readonly organisation: OrganisationId;
--- a/src/entry/claims/claim_shard.ts
+++ b/src/entry/claims/claim_shard.ts
@@ -20,6 +20,7 @@
   readonly claimedAt: number;
 }
 
+/** The claims of one shard, by the hash of organisation and key. */
 export type ShardTable = ReadonlyMap<string, ShardClaim>;
 
 /** A claim that is waiting for the shard's next update. */
@@ -47,6 +48,7 @@
 const rowSchema = z.tuple([z.string(), z.string(), z.string(), z.number()]);
 const tableSchema = z.array(rowSchema);
 
+/** Serialises the table as a JSON array with one row per claim. */
 export function formatShardTable(table: ShardTable): string {
   const rows = [...table].map(([hash, it]) => [
     hash,
--- a/src/entry/claims/claims_batched.ts
+++ b/src/entry/claims/claims_batched.ts
@@ -18,7 +18,9 @@
 import {CLAIMS_METRIC} from './claims_per_key.js';
 import {createRecentMap} from '../../utils/recent_map.js';
 
+/** First part of the object keys of all shards. */
 const KEY_PREFIX = 'claims-batched';
+/** Random bytes in a claim's nonce. */
 const NONCE_BYTES = 12;
 /** Hex digits of the hash by which a claim is stored in its shard. */
 const KEY_HASH_DIGITS = 32;
@@ -26,6 +28,7 @@
 const SHARD_HASH_DIGITS = 8;
 /** Maximum number of keys with unresolved claims that are remembered. */
 const MAX_UNRESOLVED_KEYS = 10_000;
+/** One day in milliseconds; the default of `minRetentionMs`. */
 const DAY_MS = 86_400_000;
 /**
  * Added to `minRetentionMs`, in milliseconds, because the hosts' wall clocks
@@ -61,10 +64,12 @@
 
 type ClaimResult = Either<OnyxError, ClaimOutcome>;
 
+/** A claim in a shard's queue, with the message to reply to. */
 interface QueuedClaim extends PendingClaim {
   readonly message: ClaimsMessage;
 }
 
+/** What this process knows of one shard. */
 interface ShardState {
   readonly key: string;
   queue: QueuedClaim[];
@@ -89,6 +94,7 @@
   };
 }
 
+/** Returns the function that adds a claim to its shard's next batch. */
 function createBatcher(
   options: BatchedClaimsOptions,
   ctx: ServiceContext<'claims'>,
--- a/src/entry/claims/claims_per_key.ts
+++ b/src/entry/claims/claims_per_key.ts
@@ -21,6 +21,7 @@
 import {createClaimError} from './claim_error.js';
 import {createRecentMap} from '../../utils/recent_map.js';
 
+/** Random bytes in a claim's nonce. */
 const NONCE_BYTES = 12;
 const DEFAULT_MAX_ATTEMPTS = 3;
 const DEFAULT_TIME_LIMIT_MS = 2_000;
@@ -36,6 +37,7 @@
  */
 const MAX_REMEMBERED_KEYS = 10_000;
 
+/** Counter of claims by outcome. */
 export const CLAIMS_METRIC = 'onyxloft_claims_total';
 
 export interface ClaimsOptions {
--- a/src/entry/entry_peers.ts
+++ b/src/entry/entry_peers.ts
@@ -43,6 +43,7 @@
   };
 }
 
+/** Forwards each kind of peer call to the service that answers it. */
 function createPeerHandlers(ctx: ServiceContext<'entryPeers'>): PeerHandlers {
   return {
     entryHeartbeat: req =>
--- a/src/entry/groups/group_plan.ts
+++ b/src/entry/groups/group_plan.ts
@@ -22,6 +22,7 @@
   readonly holdTokens: number;
 }
 
+/** How a request is placed: on one engine, on a group, or not at all. */
 export type GroupPlan =
   /** One engine is enough. */
   | {readonly kind: 'single'}
@@ -34,6 +35,7 @@
   return spec.promptTokens + spec.maxTokens;
 }
 
+/** Decides whether the request needs a group, and selects its members. */
 export function planGroup(
   spec: RequestSpec,
   ranked: readonly RankedTarget[],
@@ -85,6 +87,10 @@
   return suffices ? freest : byCapacity.slice(0, size);
 }
 
+/**
+ * Divides the memory among the members in proportion to their capacity. The
+ * first member, which has the most free memory or capacity, is the lead.
+ */
 function partsOf(
   members: readonly RankedTarget[],
   needed: number,
--- a/src/entry/groups/group_reserve.ts
+++ b/src/entry/groups/group_reserve.ts
@@ -15,6 +15,7 @@
 import {RETRY_AFTER_MS, refusalError} from '../routing/refusals.js';
 import type {Refusal} from '../routing/refusals.js';
 
+/** A part of a group, with the accepted offer that reserves it. */
 export interface ReservedPart {
   readonly part: GroupPart;
   readonly offer: AcceptedOffer;
@@ -77,6 +78,7 @@
   }
 }
 
+/** Releases the reservations of all the parts. */
 export function withdrawParts(
   deps: OfferDeps,
   parts: readonly ReservedPart[],
@@ -84,6 +86,10 @@
   for (const {offer} of parts) withdrawOffer(deps, offer);
 }
 
+/**
+ * Makes one attempt to reserve all parts; releases them if one is refused or
+ * late.
+ */
 async function reserveOnce(
   deps: OfferDeps,
   open: OpenRequest,
@@ -116,6 +122,10 @@
   return {kind: 'reserved', parts: reserved};
 }
 
+/**
+ * The refusals to report. An accepted offer that came too late counts as
+ * `full`.
+ */
 function refusalsOf(
   answer: AcceptedOffer | ({kind: 'refused'} & Refusal),
 ): readonly Refusal[] {
@@ -134,11 +144,13 @@
   return Math.max(0, spec.priority - levels);
 }
 
+/** Jittered delay before the next attempt, in milliseconds. */
 function backoffMs(deps: OfferDeps, tries: number): number {
   const exponentialMs = deps.timing.retryBackoffMs * 2 ** Math.min(tries, 10);
   return Math.min(MAX_BACKOFF_MS, exponentialMs) * (0.5 + deps.random.next());
 }
 
+/** The failure when no group can be formed from the known engines. */
 function reservationFailure(
   spec: RequestSpec,
   plan: Exclude<GroupPlan, {kind: 'group'}>,
--- a/src/entry/groups/group_run.ts
+++ b/src/entry/groups/group_run.ts
@@ -22,7 +22,7 @@
 ): Promise<AttemptOutcome> {
   const run = createGroupRun(deps, open, spec);
   for (const part of parts) run.own(part);
-  const outcome = await run.runLead(parts);
+  const outcome = await run.execute(parts);
   for (const part of parts) run.disown(part);
   return outcome;
 }
@@ -109,7 +109,7 @@
     return (await Promise.race([holding, timeout])) && lostMember === undefined;
   };
 
-  const runLead = async (
+  const execute = async (
     parts: readonly ReservedPart[],
   ): Promise<AttemptOutcome> => {
     const leadPart = parts.find(one => one.part.isLead);
@@ -151,7 +151,7 @@
   };
 
   return {
-    runLead,
+    execute,
     own: (part: ReservedPart) => reportOwnership('own', part),
     disown: (part: ReservedPart) => {
       reportOwnership('disown', part);
--- a/src/entry/open_request.ts
+++ b/src/entry/open_request.ts
@@ -15,6 +15,7 @@
 import type {AnswerLog, FinalEvent} from './run/answer_log.js';
 import type {AttemptOutcome} from './run/attempt.js';
 
+/** The parts of a request's description that its state reports. */
 export interface RequestSummary {
   readonly id: RequestId;
   readonly organisation: OrganisationId;
@@ -24,11 +25,12 @@
   readonly promptTokens: number;
 }
 
+/** A request with its answer and the state of its attempts. */
 export interface OpenRequest extends RequestSummary {
   readonly answerLog: AnswerLog;
   /**
    * Side of the newest attempt; empty before the first attempt. `dispatchId` is
-   * that attempt's.
+   * the dispatch of that attempt.
    */
   side: Address;
   dispatchId: DispatchId;
@@ -48,11 +50,11 @@
 }
 
 export function createOpenRequest(
-  identity: RequestSummary,
+  summary: RequestSummary,
   answerLog: AnswerLog,
 ): OpenRequest {
   return {
-    ...identity,
+    ...summary,
     answerLog,
     side: '',
     dispatchId: '',
@@ -64,6 +66,7 @@
   };
 }
 
+/** From the weakest statement to the strongest. */
 const RAN_ORDER: readonly Ran[] = ['no', 'unknown', 'yes'];
 
 /** Returns the stronger of two statements: `yes` over `unknown` over `no`. */
@@ -81,6 +84,7 @@
   return outcome.kind === 'failed' && outcome.failed.code === 'superseded';
 }
 
+/** True when the request has its final event. */
 export function isFinished(open: OpenRequest): boolean {
   return open.answerLog.finalEvent() !== undefined;
 }
--- a/src/entry/request_table.ts
+++ b/src/entry/request_table.ts
@@ -19,6 +19,7 @@
  */
 const MAX_ENDED_BYTES = 16 << 20;
 
+/** Requests by id; ended ones expire after the retention time. */
 export interface RequestTable {
   add(open: OpenRequest): void;
   /** Moves a request from the open to the ended ones. */
--- a/src/entry/requests.ts
+++ b/src/entry/requests.ts
@@ -315,6 +315,7 @@
   void ctx.mailbox.observe(onMessage);
 }
 
+/** Converts an error to the final event of a request. */
 function toFinalEvent(request: OpenRequest, err: Error): FinalEvent {
   if (!(err instanceof OnyxError)) {
     return failedEvent(request, {
@@ -329,6 +330,7 @@
   return failedEvent(request, {code, step, peer, message, ran, retryAfterMs});
 }
 
+/** Logs and counts the outcome of a request. */
 function logOutcome(
   ctx: ServiceContext<'requests'>,
   request: OpenRequest,
--- a/src/entry/resume/adopt_run.ts
+++ b/src/entry/resume/adopt_run.ts
@@ -13,6 +13,7 @@
 import type {OpenRequest} from '../open_request.js';
 import {decideAfterAttempt} from '../run/attempt_decision.js';
 
+/** The run to take over, and the request that it belongs to. */
 export interface AdoptRunOptions {
   readonly open: OpenRequest;
   readonly located: LocatedRun;
@@ -25,9 +26,9 @@
 /** Resolves when the run is over. */
 export async function adoptRun(
   deps: ExecuteDeps,
-  adoption: AdoptRunOptions,
+  options: AdoptRunOptions,
 ): Promise<void> {
-  const {open, located} = adoption;
+  const {open, located} = options;
   const {side} = located;
   const {dispatchId} = located.res;
   open.side = side;
@@ -36,31 +37,32 @@
     requestId: open.id,
     dispatchId,
     side,
-    fromSeq: adoption.fromSeq,
+    fromSeq: options.fromSeq,
   });
   deps.sendToMembership({kind: 'own', address: side, dispatchId});
   open.answerLog.setPlacement({kind: 'placed', dispatchId, side});
   // First tries to attach from chunk 0. If the side still has that chunk, the
   // digest is checked over the whole answer and not only over the chunks that
   // the caller lacks.
-  let outcome = await attachToRun(deps, adoption);
-  if (lacksFirstChunks(outcome) && adoption.fromSeq > 0 && !isFinished(open)) {
-    open.answerLog.startAt(adoption.fromSeq);
-    outcome = await attachToRun(deps, adoption);
+  let outcome = await attachToRun(deps, options);
+  if (lacksFirstChunks(outcome) && options.fromSeq > 0 && !isFinished(open)) {
+    open.answerLog.startAt(options.fromSeq);
+    outcome = await attachToRun(deps, options);
   }
   deps.sendToMembership({kind: 'disown', address: side, dispatchId});
   finishRequest(deps, open, side, outcome);
 }
 
+/** Attaches to the run and waits for the attempt's outcome. */
 async function attachToRun(
   deps: ExecuteDeps,
-  adoption: AdoptRunOptions,
+  options: AdoptRunOptions,
 ): Promise<AttemptOutcome> {
-  const {open, located} = adoption;
+  const {open, located} = options;
   const attempt = startAttempt(deps, {
     side: located.side,
     dispatchId: located.res.dispatchId,
-    incarnation: adoption.incarnation,
+    incarnation: options.incarnation,
     organisation: open.organisation,
     answerLog: open.answerLog,
     onEvidence: (what, incarnation) =>
--- a/src/entry/resume/cancel_at_sides.ts
+++ b/src/entry/resume/cancel_at_sides.ts
@@ -11,6 +11,7 @@
 /** Maximum number of sides asked at the same time. */
 const MAX_PARALLEL_CALLS = 16;
 
+/** The request to cancel, and the sides to ask. */
 export interface CancelAtSidesOptions {
   readonly id: RequestId;
   readonly organisation: OrganisationId;
@@ -39,6 +40,7 @@
   return found;
 }
 
+/** Cancels the request at one side, if it is queued or running there. */
 async function cancelAtSide(
   deps: AbandonDeps,
   {id, organisation}: CancelAtSidesOptions,
--- a/src/entry/resume/locate_run.ts
+++ b/src/entry/resume/locate_run.ts
@@ -12,6 +12,7 @@
 /** Maximum number of sides asked at the same time. */
 const MAX_PARALLEL_CALLS = 16;
 
+/** A run, and the side that has it. */
 export interface LocatedRun {
   readonly side: Address;
   readonly res: LocateRes;
@@ -83,6 +84,10 @@
   return best;
 }
 
+/**
+ * Asks one side; undefined when it does not answer or does not know the
+ * request.
+ */
 async function locateAtSide(
   options: LocateRunOptions,
   side: Address,
@@ -105,6 +110,7 @@
   return found.res.state !== 'failed';
 }
 
+/** Prefers a run that may have an answer, then the one of the newer attempt. */
 function preferred(
   a: LocatedRun | undefined,
   b: LocatedRun | undefined,
--- a/src/entry/resume/resumer.ts
+++ b/src/entry/resume/resumer.ts
@@ -22,6 +22,7 @@
 
 type ResumeMessage = Extract<RequestsMessage, {readonly kind: 'resume'}>;
 
+/** Serves callers that ask for a request started earlier. */
 export interface Resumer {
   resume(message: ResumeMessage): Promise<void>;
   reportState(
--- a/src/entry/routing/assignments.ts
+++ b/src/entry/routing/assignments.ts
@@ -8,23 +8,26 @@
 
 /**
  * How long an ended assignment still counts without a new load report, in
- * milliseconds. If it were dropped at once, the side would look free before its
- * next report shows what others sent there. If it were kept until a report
- * came, it would stay for ever where reports have stopped, and the lists would
- * grow with each request.
+ * milliseconds. Dropped at once, it would make the side look free before its
+ * next report shows what others sent there. Kept until the next report, it
+ * would remain for ever where reports have stopped, and the lists would grow
+ * with each request.
  */
 const ENDED_RETENTION_MS = 10_000;
 
+/** A dispatch that a load report does not include yet. */
 interface OpenAssignment {
   readonly at: number;
   readonly tokens: number;
 }
 
+/** A dispatch whose attempt has ended. */
 interface EndedAssignment {
   readonly side: Address;
   readonly at: number;
 }
 
+/** Requests and prompt tokens that a replica has not reported yet. */
 export interface UnreportedLoad {
   readonly requests: number;
   readonly tokens: number;
--- a/src/entry/routing/offer_round.ts
+++ b/src/entry/routing/offer_round.ts
@@ -12,6 +12,7 @@
 import {refusalError} from './refusals.js';
 import type {Refusal} from './refusals.js';
 
+/** The accepted offer, or the failure when no candidate accepted. */
 export type OfferRoundResult =
   | AcceptedOffer
   | {readonly kind: 'none'; readonly details: ErrorDetails}
@@ -39,6 +40,10 @@
   return {kind: 'none', details: refusalError(refusals)};
 }
 
+/**
+ * Offers the request to one candidate, and once more if the candidate
+ * restarted.
+ */
 async function offerToCandidate(
   deps: OfferDeps,
   open: OpenRequest,
--- a/src/entry/routing/prefix_history.ts
+++ b/src/entry/routing/prefix_history.ts
@@ -13,6 +13,7 @@
 /** Weight of the newest observation in the moving average of the hit ratio. */
 const LEARNING_RATE = 0.05;
 
+/** Routed prefixes and the learned ratio of cache hits. */
 export interface PrefixHistory {
   recordRouted(hashes: readonly string[]): void;
   /** Number of tokens of the longest prefix routed before. */
--- a/src/entry/routing/refusals.ts
+++ b/src/entry/routing/refusals.ts
@@ -10,6 +10,7 @@
 /** `unanswered`: the side did not answer, and no go was sent. */
 export type OfferFailureReason = RefusalReason | 'unanswered';
 
+/** One side's refusal of an offer. */
 export interface Refusal {
   readonly side: Address;
   readonly reason: OfferFailureReason;
@@ -43,6 +44,7 @@
     ['unanswered', 'no-upstream'],
   ];
 
+/** Combines the refusals into the failure for the caller. */
 export function refusalError(refusals: readonly Refusal[]): ErrorDetails {
   const found = CODE_BY_REASON.find(([reason]) =>
     refusals.some(one => one.reason === reason),
@@ -63,6 +65,9 @@
   };
 }
 
+/**
+ * Retry time when no side named one; undefined when all reasons are permanent.
+ */
 function defaultRetryAfterMs(refusals: readonly Refusal[]): number | undefined {
   const isPermanent =
     refusals.length > 0 &&
--- a/src/entry/routing/router.ts
+++ b/src/entry/routing/router.ts
@@ -32,6 +32,7 @@
 /** Maximum number of candidates shown in a decision, best first. */
 const MAX_SHOWN_CANDIDATES = 8;
 
+/** Ranks replicas for requests and tracks what was sent to them. */
 export interface Router {
   /** Eligible replicas, best first, without the incarnations in `except`. */
   rank(
--- a/src/entry/routing/send_offer.ts
+++ b/src/entry/routing/send_offer.ts
@@ -36,6 +36,7 @@
   readonly group?: GroupRole;
 }
 
+/** A reservation at a side, ready for its go. */
 export interface AcceptedOffer {
   readonly kind: 'accepted';
   readonly ranked: RankedTarget;
@@ -46,6 +47,7 @@
   readonly lapseMs: number;
 }
 
+/** An offer that was refused or not answered. */
 export interface RefusedOffer extends Refusal {
   readonly kind: 'refused';
   /** Set when another incarnation of the side may accept the request. */
@@ -92,6 +94,10 @@
   void abandonDispatch(deps, {side, dispatchId, incarnation});
 }
 
+/**
+ * Handles an offer without an answer: logs it, reports it and withdraws the
+ * offer.
+ */
 function handleNoAnswer(
   deps: OfferDeps,
   terms: OfferTerms,
@@ -120,6 +126,10 @@
   void abandonDispatch(deps, {side, dispatchId, incarnation});
 }
 
+/**
+ * Handles a side's answer: logs a refusal and reports what it shows of the
+ * side.
+ */
 function handleAnswer(
   deps: OfferDeps,
   spec: RequestSpec,
--- a/src/entry/run/abandon.ts
+++ b/src/entry/run/abandon.ts
@@ -16,6 +16,7 @@
 import {REQUEST_EVENTS} from '../../utils/events.js';
 import type {RequestTiming} from '../timing.js';
 
+/** The dispatch to abandon. */
 export interface AbandonTarget {
   readonly side: Address;
   readonly dispatchId: DispatchId;
@@ -24,6 +25,7 @@
   readonly organisation?: OrganisationId;
 }
 
+/** The result of an abandon call. */
 export interface AbandonOutcome {
   readonly ran: Ran;
   /** True when the side answered, whatever the answer. */
@@ -39,12 +41,14 @@
   readonly log: Log;
 }
 
+/** What each answered state shows of whether the dispatch ran. */
 const RAN_OF_STATE = {
   'never-started': 'no',
   started: 'yes',
   unknown: 'unknown',
 } as const;
 
+/** Asks the side to abandon the dispatch and logs the result. */
 export async function abandonDispatch(
   deps: AbandonDeps,
   target: AbandonTarget,
--- a/src/entry/run/answer_log.ts
+++ b/src/entry/run/answer_log.ts
@@ -23,6 +23,7 @@
  */
 const MAX_RETAINED_BYTES = 1 << 20;
 
+/** The ordered chunks and the final event of one answer. */
 export interface AnswerLog {
   /** Sequence number of the next chunk expected. */
   nextSeq(): number;
@@ -59,6 +60,7 @@
   ): void;
 }
 
+/** What a listener wants to receive. */
 interface Subscription {
   /** Sequence number of the first chunk wanted. */
   readonly fromSeq: number;
@@ -178,6 +180,7 @@
   };
 }
 
+/** The error for a caller that asks for a chunk no longer retained. */
 function chunkNotRetained(
   id: RequestId,
   fromSeq: number,
--- a/src/entry/run/answer_verifier.ts
+++ b/src/entry/run/answer_verifier.ts
@@ -18,6 +18,7 @@
  */
 export type EndStatus = 'whole' | 'short' | 'changed' | 'foreign';
 
+/** Verifies chunks and end frame of one dispatch. */
 export interface AnswerVerifier {
   nextSeq(): number;
   /** Adds the chunk to count and digest when it is the next one. */
--- a/src/entry/run/attempt.ts
+++ b/src/entry/run/attempt.ts
@@ -39,6 +39,7 @@
  */
 const ACK_LAG_CHUNKS = 256;
 
+/** How an attempt ended. */
 export type AttemptOutcome =
   | {readonly kind: 'end'; readonly end: RunEnd}
   /** The side reported the failure. */
@@ -55,6 +56,7 @@
   readonly node: NodeId;
 }
 
+/** The dispatch to run or to attach to. */
 export interface AttemptSpec {
   readonly side: Address;
   readonly dispatchId: DispatchId;
@@ -79,6 +81,7 @@
   ) => void;
 }
 
+/** A running attempt. */
 export interface Attempt {
   readonly outcome: Promise<AttemptOutcome>;
   /** Whether the work ran, as far as is known now. */
--- a/src/entry/run/attempt_decision.ts
+++ b/src/entry/run/attempt_decision.ts
@@ -7,6 +7,7 @@
 import type {RunFailed} from '../../types/peer_messages.js';
 import type {AttemptOutcome} from './attempt.js';
 
+/** What the decision takes into account besides the outcome. */
 export interface AttemptContext {
   readonly side: Address;
   readonly repeatable: boolean;
@@ -16,6 +17,7 @@
   readonly deliveredChunks: number;
 }
 
+/** What follows an attempt: the end, a failure or a retry. */
 export type AttemptDecision =
   | {readonly kind: 'end'; readonly outcome: AttemptOutcome & {kind: 'end'}}
   | {readonly kind: 'fail'; readonly details: ErrorDetails; readonly ran: Ran}
@@ -50,6 +52,7 @@
   'upstream-lost',
 ]);
 
+/** Codes of a side that callers get unchanged. */
 const FORWARDED_CODES: ReadonlySet<string> = new Set<ErrorCode>([
   'bad-request',
   'too-large',
@@ -62,8 +65,8 @@
 ]);
 
 /**
- * Undefined when the attempt was stopped, since its request is then already
- * over.
+ * Returns what follows the attempt; undefined when it was stopped, since its
+ * request is then already over.
  */
 export function decideAfterAttempt(
   outcome: AttemptOutcome,
@@ -97,6 +100,7 @@
   }
 }
 
+/** Decides what follows a failure that the side reported. */
 function decideAfterFailure(
   failed: RunFailed,
   context: AttemptContext,
@@ -120,6 +124,7 @@
   return LOST_CODES.has(code) ? 'upstream-lost' : 'upstream-failed';
 }
 
+/** Decides between a retry and a failure. */
 function retryOrFail(
   reportedRan: Ran,
   context: AttemptContext,
--- a/src/entry/run/caller_link.ts
+++ b/src/entry/run/caller_link.ts
@@ -55,6 +55,7 @@
   readonly deadlineGraceMs: number;
 }
 
+/** The connection between one request and one caller's connection. */
 export interface CallerLink {
   readonly listener: RequestListener;
   /** Ends this link because another connection of the caller replaces it. */
@@ -214,6 +215,7 @@
   };
 }
 
+/** The error for a missing or repeated chunk. */
 function sequenceError(
   id: RequestId,
   seq: number,
--- a/src/entry/run/execute_request.ts
+++ b/src/entry/run/execute_request.ts
@@ -79,6 +79,7 @@
   }
 }
 
+/** The result of reserving engines. `over`: the request ended meanwhile. */
 type PlacementResult =
   | AcceptedOffer
   | {readonly kind: 'reserved'; readonly parts: readonly ReservedPart[]}
@@ -108,6 +109,7 @@
     : reserveGroup(deps, open, spec, rankCandidates);
 }
 
+/** Runs the request on one side and waits for the attempt's outcome. */
 async function runOnSide(
   deps: ExecuteDeps,
   open: OpenRequest,
@@ -145,6 +147,10 @@
   return outcome;
 }
 
+/**
+ * Checks that a request that must not be repeated has not run, and that no
+ * chunk of an earlier attempt is left.
+ */
 function checkMayRun(
   deps: ExecuteDeps,
   open: OpenRequest,
@@ -209,6 +215,7 @@
   return false;
 }
 
+/** True when attempts, time and retry budget allow a retry. */
 function mayRetry(
   deps: ExecuteDeps,
   spec: RequestSpec,
--- a/src/entry/run/prompt_sender.ts
+++ b/src/entry/run/prompt_sender.ts
@@ -9,6 +9,7 @@
 /** Maximum size of a prompt frame, in bytes. Longer pieces are split. */
 export const PROMPT_FRAME_BYTES = 64 * 1024;
 
+/** The channel that the prompt is sent to. */
 export interface PromptTarget {
   send(frame: RunUp): Promise<void>;
   isClosed(): boolean;
@@ -29,6 +30,7 @@
   return !target.isClosed();
 }
 
+/** Splits the body into frames without copying it. */
 function* framesOf(body: Body): Generator<Uint8Array> {
   for (const piece of body.pieces) {
     for (let offset = 0; offset < piece.length; offset += PROMPT_FRAME_BYTES) {
--- a/src/entry/run/run_link.ts
+++ b/src/entry/run/run_link.ts
@@ -9,8 +9,10 @@
 import type {Transport} from '../../types/transport.js';
 import type {RequestTiming} from '../timing.js';
 
+/** Why a link was lost: no frames for too long, or closed by the other end. */
 export type LinkLoss = 'silent' | 'closed';
 
+/** An open connection to a run. */
 export interface RunLink {
   send(frame: RunUp): Promise<void>;
   /** Closes the link without calling `onLost`. */
--- a/test/claims.test.ts
+++ b/test/claims.test.ts
@@ -10,6 +10,7 @@
 import {createObjectStoreCore} from '../standins/object_store_core.js';
 import {createTestRuntime} from './support/test_runtime.js';
 
+/** An implementation of the claims service under test. */
 interface ClaimsVariant {
   readonly name: string;
   readonly create: typeof createClaimsService;
--- a/test/entry_attempts.test.ts
+++ b/test/entry_attempts.test.ts
@@ -58,7 +58,7 @@
   });
 
   // Every side refuses at once. The caller must get the earliest retry time
-  // that a side named now, and not wait for its deadline of 30 s.
+  // named by a side now, not wait for its deadline of 30 s.
   it('end the request at once when all sides refuse', async () => {
     const entry = await startEntry({
       sides: [
--- a/test/retry_storm.test.ts
+++ b/test/retry_storm.test.ts
@@ -9,6 +9,7 @@
 const RETRY_RATIO = 0.2;
 /** Number of retries that each entry may make at once after a quiet period. */
 const RETRY_BURST = 10;
+/** Allowed delay of a final event after the deadline, in milliseconds. */
 const LATE_SLACK_MS = 50;
 
 const REQUEST: Ask = {
--- a/test/support/entry_fixture.ts
+++ b/test/support/entry_fixture.ts
@@ -24,6 +24,7 @@
 import {startScriptedSide} from './scripted_side.js';
 import type {SideScript} from './scripted_side.js';
 
+/** A caller that records the events of its request. */
 export interface Caller {
   readonly events: RequestEvent[];
   /** Text of the chunks received so far, without those that were discarded. */
@@ -47,6 +48,7 @@
 /** Address of the entry on the network. */
 export const ENTRY = 'e1';
 
+/** Starts the service with one scripted side per script. */
 export async function startEntry(options: EntryFixtureOptions) {
   const recording = createRecordingRuntime({seed: options.seed ?? 1});
   const {clock, runtime} = recording;
@@ -175,6 +177,7 @@
 
 let lastRequestNumber = 0;
 
+/** Creates the spec of a short completion, with the given changes. */
 export function createRequestSpec(
   now: number,
   changes: Partial<RequestSpec> = {},
--- a/test/support/session_fleet.ts
+++ b/test/support/session_fleet.ts
@@ -24,7 +24,9 @@
 
 const TOKEN = 'operators-token';
 const SALT = '00112233445566778899aabbccddeeff';
+/** Interval between polls of `waitUntil`, in milliseconds. */
 const POLL_MS = 25;
+/** Maximum number of polls of `waitUntil`; beyond it, it throws. */
 const MAX_POLLS = 800;
 /** API keys of the callers, by organisation. */
 export const KEYS = {
@@ -50,6 +52,7 @@
   close(): Promise<void>;
 }
 
+/** Returns a local address with a port that was free when asked. */
 async function findFreeAddress(): Promise<string> {
   const server = createServer();
   await new Promise<void>(done => server.listen(0, '127.0.0.1', done));
--- a/test/support/session_text.ts
+++ b/test/support/session_text.ts
@@ -22,7 +22,9 @@
   readonly body: string;
 }
 
+/** Longest request body shown in full, in characters. */
 const MAX_SHOWN_BODY = 200;
+/** Ends each event of an event stream. */
 const EVENT_END = '\n\n';
 
 /**
