--- a/test/entry_attempts.test.ts
+++ b/test/entry_attempts.test.ts
@@ -285,8 +285,8 @@
   });
 });
 
-describe('ownership of dispatches', () => {
-  it('is reported to the membership at the start and the end of a run', async () => {
+describe('ownership', () => {
+  it('of each dispatch is reported to the membership and withdrawn', async () => {
     const entry = await startEntry({
       sides: [
         {
