--- a/src/entry/request_table.ts
+++ b/src/entry/request_table.ts
@@ -33,7 +33,7 @@
 
 export function createRequestTable(
   clock: Clock,
-  keepEndedMs: number,
+  endedRetentionMs: number,
 ): RequestTable {
   const open = new Map<RequestId, OpenRequest>();
   const ended = new Map<RequestId, {request: OpenRequest; at: number}>();
@@ -41,7 +41,7 @@
   let endedBytes = 0;
 
   const evictEnded = () => {
-    const expireBefore = clock.now() - keepEndedMs;
+    const expireBefore = clock.now() - endedRetentionMs;
     for (const [id, {at}] of ended) {
       const fits =
         ended.size <= MAX_ENDED_REQUESTS && endedBytes <= MAX_ENDED_BYTES;
--- a/src/entry/run/attempt.ts
+++ b/src/entry/run/attempt.ts
@@ -33,7 +33,7 @@
 /** Number of chunks between acknowledgements. */
 const ACK_INTERVAL_CHUNKS = 32;
 /**
- * Number of chunks by which acknowledgements lag behind. When this entry dies,
+ * Number of chunks by which acknowledgements lag behind. When this entry fails,
  * chunks that it wrote to the caller's socket may be lost. A caller that
  * resumes at another entry can still get them from the side.
  */
--- a/src/entry/run/attempt_decision.ts
+++ b/src/entry/run/attempt_decision.ts
@@ -27,7 +27,7 @@
   | {readonly kind: 'retry'; readonly details: ErrorDetails; readonly ran: Ran};
 
 /**
- * Codes with which a side ends a run for good, so that another attempt would
+ * Codes with which a side ends a run permanently, so that another attempt would
  * not help.
  */
 const FINAL_CODES: ReadonlySet<string> = new Set<ErrorCode | 'superseded'>([
--- a/src/entry/run/run_link.ts
+++ b/src/entry/run/run_link.ts
@@ -1,7 +1,7 @@
 /**
  * One connection of a run's channel, monitored for silence. A connection may go
- * silent for good while new ones work. Without the monitoring, such a run would
- * look slow until its deadline.
+ * silent permanently while new ones work. Without the monitoring, such a run
+ * would look slow until its deadline.
  */
 import type {Address} from '../../types/ids.js';
 import type {RunDown, RunUp} from '../../types/peer_messages.js';
--- a/test/entry_groups.test.ts
+++ b/test/entry_groups.test.ts
@@ -161,8 +161,8 @@
     expect(still).toEqual([member?.offers[0].dispatchId]);
   });
 
-  // The caller cancels at another entry and this entry hears it first from a
-  // member. Treated as a lost member, the group would be run again.
+  // The caller cancels at another entry, and a member reports it here first.
+  // Treated as a lost member, the group would be run again.
   it('is not run again when the caller cancelled it at another entry', async () => {
     const script = groupSideScript(() => entry);
     const entry = await startEntry({sides: [script, script, script]});
