--- a/src/cli/config_commands.ts
+++ b/src/cli/config_commands.ts
@@ -13,8 +13,8 @@
 import {
   EXIT_OK,
   OperatorCommand,
-  WrongUsage,
-  countOf,
+  UsageError,
+  parseCount,
 } from './operator_command.js';
 import {renderTable} from './render.js';
 
@@ -36,7 +36,7 @@
   });
 
   protected override async perform(): Promise<number> {
-    return this.finish(await this.client().config(), renderDeclarations);
+    return this.printOutcome(await this.client().config(), renderDeclarations);
   }
 }
 
@@ -52,8 +52,8 @@
   number = Option.String({name: 'N'});
 
   protected override async perform(): Promise<number> {
-    const number = countOf(this.number, 'N');
-    return this.finish(
+    const number = parseCount(this.number, 'N');
+    return this.printOutcome(
       await this.client().configAt(number),
       renderDeclarations,
     );
@@ -72,8 +72,8 @@
   limit = Option.String('--limit', '20', {description: 'Most lines to print'});
 
   protected override async perform(): Promise<number> {
-    const limit = countOf(this.limit, '--limit');
-    return this.finish(await this.client().history(limit), renderHistory);
+    const limit = parseCount(this.limit, '--limit');
+    return this.printOutcome(await this.client().history(limit), renderHistory);
   }
 }
 
@@ -91,44 +91,51 @@
 
   file = Option.String({name: 'FILE'});
 
-  protected async send(patchId: string, dryRun: boolean): Promise<number> {
-    const base = countOf(this.base, '--base');
-    const read = readPatch(this.file);
+  protected async sendPatch(patchId: string, dryRun: boolean): Promise<number> {
+    const base = parseCount(this.base, '--base');
+    const read = readPatchFile(this.file);
     const operator = this.operator ?? '';
     const patch: ConfigPatch = {...read, patchId, base, dryRun, operator};
     const outcome = await this.client().patch(patch);
     return outcome.caseOf({
-      Left: rejection => this.rejected(patch, rejection),
-      Right: accepted => this.accepted(accepted),
+      Left: rejection => this.printRejection(patch, rejection),
+      Right: accepted => this.printAccepted(accepted),
     });
   }
 
-  private accepted(accepted: ConfigAccepted): number {
+  private printAccepted(accepted: ConfigAccepted): number {
     if (this.json) {
       this.print(JSON.stringify(accepted, null, 2));
       return EXIT_OK;
     }
-    const head = accepted.dryRun
+    const heading = accepted.dryRun
       ? `would be accepted as ${accepted.number}; changes:`
       : `accepted as ${accepted.number}; changed:`;
     const paths = accepted.changedPaths.map(path => `  ${path}`);
-    this.print([head, ...paths].join('\n'));
+    this.print([heading, ...paths].join('\n'));
     return EXIT_OK;
   }
 
-  private rejected(patch: ConfigPatch, rejection: ConfigRejection): number {
+  private printRejection(
+    patch: ConfigPatch,
+    rejection: ConfigRejection,
+  ): number {
     const {error, head, faults} = rejection;
-    const code = this.failed(error, {head, faults, patchId: patch.patchId});
+    const code = this.printFailure(error, {
+      head,
+      faults,
+      patchId: patch.patchId,
+    });
     for (const fault of faults) {
-      this.complain(`${fault.path}: ${fault.message}; ${fault.mend}`);
+      this.printError(`${fault.path}: ${fault.message}; ${fault.mend}`);
     }
     if (error.code === 'conflict') {
-      this.complain(
+      this.printError(
         `the patch is based on ${patch.base}, the head is ${head}; look at "config history", then apply it with --base ${head}`,
       );
     }
     if (error.ran === 'unknown' && !patch.dryRun) {
-      this.complain(
+      this.printError(
         `it may have been accepted; repeat it with --patch-id ${patch.patchId}, which never applies it twice`,
       );
     }
@@ -148,7 +155,7 @@
   });
 
   protected override perform(): Promise<number> {
-    return this.send(this.randomHex(PATCH_ID_BYTES), true);
+    return this.sendPatch(this.randomHex(PATCH_ID_BYTES), true);
   }
 }
 
@@ -174,22 +181,27 @@
   });
 
   protected override perform(): Promise<number> {
-    return this.send(this.patchId ?? this.randomHex(PATCH_ID_BYTES), false);
+    return this.sendPatch(
+      this.patchId ?? this.randomHex(PATCH_ID_BYTES),
+      false,
+    );
   }
 }
 
-function readPatch(file: string): Pick<ConfigPatch, 'form' | 'patch'> {
+function readPatchFile(file: string): Pick<ConfigPatch, 'form' | 'patch'> {
   const text = readText(file);
   const errors: ParseError[] = [];
   const value: unknown = parse(text, errors, {allowTrailingComma: true});
   const [error] = errors;
   if (error !== undefined) {
     const line = text.slice(0, error.offset).split('\n').length;
-    const what = printParseErrorCode(error.error);
-    throw new WrongUsage(`${file}:${line}: is not JSON with comments: ${what}`);
+    const problem = printParseErrorCode(error.error);
+    throw new UsageError(
+      `${file}:${line}: is not JSON with comments: ${problem}`,
+    );
   }
   if (typeof value !== 'object' || value === null) {
-    throw new WrongUsage(
+    throw new UsageError(
       `${file}: write an array (JSON Patch) or an object (merge patch)`,
     );
   }
@@ -201,7 +213,7 @@
   try {
     return readFileSync(file, 'utf8');
   } catch (err) {
-    throw new WrongUsage(`${file}: cannot be read: ${(err as Error).message}`);
+    throw new UsageError(`${file}: cannot be read: ${(err as Error).message}`);
   }
 }
 
--- a/src/cli/explain_logs.ts
+++ b/src/cli/explain_logs.ts
@@ -14,18 +14,25 @@
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-const HEAD = new Set(['time', 'level', 'event', 'name', 'node', 'requestId']);
+const COMMON_FIELDS = new Set([
+  'time',
+  'level',
+  'event',
+  'name',
+  'node',
+  'requestId',
+]);
 
 /**
  * The lines about a request, oldest first. Other text is passed over. Where it
  * was refused as one that crashes replicas, those about its like come as well.
  */
-export function linesOf(
+export function linesAboutRequest(
   text: string,
   requestId: string,
 ): readonly RequestLine[] {
   const own = linesByRequest(text).get(requestId) ?? [];
-  const refused = own.find(isOf(DIRECT_EVENTS.quarantineRefused));
+  const refused = own.find(isEvent(DIRECT_EVENTS.quarantineRefused));
   if (refused === undefined) return own;
   const digest = refused.fields['digest'];
   return [...digestLines(text, digest), ...own].sort(byTime);
@@ -39,13 +46,15 @@
     .map(parseLine)
     .filter(line => line !== undefined)
     .filter(line => line['digest'] === digest)
-    .map(lineOf)
+    .map(toRequestLine)
     .filter(line =>
-      [replicaEnded, quarantined, quarantineEnded].some(it => isOf(it)(line)),
+      [replicaEnded, quarantined, quarantineEnded].some(it =>
+        isEvent(it)(line),
+      ),
     );
 }
 
-function isOf({number}: EventSpec) {
+function isEvent({number}: EventSpec) {
   return ({event}: RequestLine): boolean => event === number;
 }
 
@@ -63,7 +72,7 @@
     const id = parsed?.['requestId'];
     if (parsed === undefined || typeof id !== 'string') continue;
     const lines = requests.get(id) ?? [];
-    lines.push(lineOf(parsed));
+    lines.push(toRequestLine(parsed));
     requests.set(id, lines);
   }
   for (const lines of requests.values()) {
@@ -84,8 +93,10 @@
   }
 }
 
-function lineOf(line: Readonly<Record<string, unknown>>): RequestLine {
-  const fields = Object.entries(line).filter(([name]) => !HEAD.has(name));
+function toRequestLine(line: Readonly<Record<string, unknown>>): RequestLine {
+  const fields = Object.entries(line).filter(
+    ([name]) => !COMMON_FIELDS.has(name),
+  );
   return {
     time: String(line['time']),
     event: Number(line['event']),
@@ -96,29 +107,33 @@
 }
 
 /** What became of the request, and why. */
-export function causeOf(lines: readonly RequestLine[]): string {
-  const last = (event: number) => lines.filter(it => it.event === event).at(-1);
-  const refused = last(DIRECT_EVENTS.refused.number);
-  const givenUp = last(DIRECT_EVENTS.givenUp.number);
-  const answered = last(DIRECT_EVENTS.answered.number);
-  const left = last(DIRECT_EVENTS.callerLeft.number);
-  const failed = last(DIRECT_EVENTS.tryFailed.number);
-  const quarantined = last(DIRECT_EVENTS.quarantineRefused.number);
-  const tried = failed === undefined ? '' : `; ${triedText(failed)}`;
-  if (refused !== undefined) return refusedText(refused);
-  if (quarantined !== undefined) return quarantinedText(quarantined, lines);
-  if (givenUp !== undefined) return `${givenUpText(givenUp)}${tried}.`;
-  if (left !== undefined) {
-    const {waitedMs} = left.fields;
-    return `The caller left after ${waitedMs} ms${tried}.`;
+export function describeCause(lines: readonly RequestLine[]): string {
+  const lastLineOf = (event: number) =>
+    lines.filter(it => it.event === event).at(-1);
+  const refused = lastLineOf(DIRECT_EVENTS.refused.number);
+  const givenUp = lastLineOf(DIRECT_EVENTS.givenUp.number);
+  const answered = lastLineOf(DIRECT_EVENTS.answered.number);
+  const callerLeft = lastLineOf(DIRECT_EVENTS.callerLeft.number);
+  const failed = lastLineOf(DIRECT_EVENTS.tryFailed.number);
+  const quarantined = lastLineOf(DIRECT_EVENTS.quarantineRefused.number);
+  const failedAttempt =
+    failed === undefined ? '' : `; ${describeFailedAttempt(failed)}`;
+  if (refused !== undefined) return describeRefused(refused);
+  if (quarantined !== undefined) return describeQuarantined(quarantined, lines);
+  if (givenUp !== undefined)
+    return `${describeGivenUp(givenUp)}${failedAttempt}.`;
+  if (callerLeft !== undefined) {
+    const {waitedMs} = callerLeft.fields;
+    return `The caller left after ${waitedMs} ms${failedAttempt}.`;
   }
-  if (answered !== undefined) return `${answeredText(answered)}${tried}.`;
+  if (answered !== undefined)
+    return `${describeAnswered(answered)}${failedAttempt}.`;
   return lines.length === 0
     ? 'No line is about this request.'
     : 'The lines end before the request did: its process ended, or lines are missing.';
 }
 
-function refusedText({node, fields}: RequestLine): string {
+function describeRefused({node, fields}: RequestLine): string {
   const {status, message, config, evidenceAgeMs} = fields;
   return (
     `${node} refused it with ${status} before any replica was asked: ${message} ` +
@@ -126,31 +141,31 @@
   );
 }
 
-function quarantinedText(
+function describeQuarantined(
   {node}: RequestLine,
   lines: readonly RequestLine[],
 ): string {
-  const told = lines
-    .filter(isOf(DIRECT_EVENTS.replicaEnded))
+  const endedReplicas = lines
+    .filter(isEvent(DIRECT_EVENTS.replicaEnded))
     .map(({fields}) => String(fields['replica']));
-  const replicas = [...new Set(told)].join(', ') || 'replicas';
+  const replicas = [...new Set(endedReplicas)].join(', ') || 'replicas';
   return (
     `${node} refused it and did not send it on: ${replicas} had ended under ` +
     'requests with the same host, path, organisation and body.'
   );
 }
 
-function givenUpText({node, fields}: RequestLine): string {
+function describeGivenUp({node, fields}: RequestLine): string {
   const {reason, ran, sent, elapsedMs} = fields;
   const run = ran === 'no' ? 'it did not run' : 'it may have run';
   return `${node} gave it up after ${elapsedMs} ms and ${sent} tries: ${reason}; ${run}`;
 }
 
-function triedText({fields}: RequestLine): string {
+function describeFailedAttempt({fields}: RequestLine): string {
   return `replica ${fields['replica']} had failed it at ${fields['elapsedMs']} ms: ${fields['reason']}`;
 }
 
-function answeredText({fields}: RequestLine): string {
+function describeAnswered({fields}: RequestLine): string {
   const {status, elapsedMs, firstEventMs, longestPauseMs} = fields;
   const stream =
     firstEventMs === undefined
@@ -160,9 +175,9 @@
 }
 
 /** The lines and the cause, for a terminal. */
-export function renderExplained(lines: readonly RequestLine[]): string {
+export function renderExplanation(lines: readonly RequestLine[]): string {
   const rows = lines.map(({time, node, name, fields}) =>
     [time, node, name, JSON.stringify(fields)].join('  '),
   );
-  return [...rows, causeOf(lines)].join('\n');
+  return [...rows, describeCause(lines)].join('\n');
 }
--- a/src/cli/fleet_commands.ts
+++ b/src/cli/fleet_commands.ts
@@ -2,12 +2,16 @@
 import {readFile} from 'node:fs/promises';
 import {text} from 'node:stream/consumers';
 import {Command, Option} from 'clipanion';
-import {causeOf, linesOf, renderExplained} from './explain_logs.js';
+import {
+  describeCause,
+  linesAboutRequest,
+  renderExplanation,
+} from './explain_logs.js';
 import {
   EXIT_OK,
   EXIT_USAGE,
   OperatorCommand,
-  WrongUsage,
+  UsageError,
 } from './operator_command.js';
 
 const CATEGORY = 'Fleet';
@@ -22,7 +26,7 @@
   });
 
   protected override async perform(): Promise<number> {
-    return this.finish(await this.client().status());
+    return this.printOutcome(await this.client().status());
   }
 }
 
@@ -36,7 +40,7 @@
   });
 
   protected override async perform(): Promise<number> {
-    return this.finish(await this.client().hosts());
+    return this.printOutcome(await this.client().hosts());
   }
 }
 
@@ -63,17 +67,17 @@
 
   protected override async perform(): Promise<number> {
     if (this.logs !== undefined) return this.explainLogs(this.logs);
-    return this.finish(await this.client().explain(this.request));
+    return this.printOutcome(await this.client().explain(this.request));
   }
 
   private async explainLogs(files: readonly string[]): Promise<number> {
     const texts = await Promise.all(files.map(file => this.readLog(file)));
-    const lines = linesOf(texts.join('\n'), this.request);
-    const cause = causeOf(lines);
+    const lines = linesAboutRequest(texts.join('\n'), this.request);
+    const cause = describeCause(lines);
     this.print(
       this.json
         ? JSON.stringify({cause, lines}, null, 2)
-        : renderExplained(lines),
+        : renderExplanation(lines),
     );
     return lines.length > 0 ? EXIT_OK : EXIT_USAGE;
   }
@@ -83,7 +87,7 @@
     try {
       return await readFile(file, 'utf8');
     } catch {
-      throw new WrongUsage(`${file} cannot be read; give a file of log lines`);
+      throw new UsageError(`${file} cannot be read; give a file of log lines`);
     }
   }
 }
@@ -102,6 +106,8 @@
   nodeUrl = Option.String({name: 'NODE-URL'});
 
   protected override async perform(): Promise<number> {
-    return this.finish(await this.client(this.nodeUrl, 'NODE-URL').drain());
+    return this.printOutcome(
+      await this.client(this.nodeUrl, 'NODE-URL').drain(),
+    );
   }
 }
--- a/src/cli/local_commands.ts
+++ b/src/cli/local_commands.ts
@@ -9,7 +9,7 @@
 import {EXIT_OK, EXIT_USAGE, ToolCommand} from './operator_command.js';
 
 /** A direct entry's file names that role, and has options of its own. */
-function faultsOf(file: string): readonly SettingsFault[] {
+function checkSettingsFile(file: string): readonly SettingsFault[] {
   const text = existsSync(file) ? readFileSync(file, 'utf8') : '';
   if (!isDirectSettings(text)) return loadSettings(file).swap().orDefault([]);
   return parseDirectSettings(text)
@@ -43,7 +43,7 @@
   protected override async perform(): Promise<number> {
     const checked = this.files.map(file => ({
       file,
-      faults: faultsOf(file),
+      faults: checkSettingsFile(file),
     }));
     const faults = checked.flatMap(each => each.faults);
     if (this.json) {
@@ -52,7 +52,7 @@
       for (const {file, faults: own} of checked) {
         if (own.length === 0) this.print(`${file}: right`);
       }
-      for (const fault of faults) this.complain(formatFault(fault));
+      for (const fault of faults) this.printError(formatFault(fault));
     }
     return faults.length === 0 ? EXIT_OK : EXIT_USAGE;
   }
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -20,8 +20,8 @@
 
 const DEFAULT_TIMEOUT_MS = 30_000;
 /** First attempt and repeats of a call that is safe to repeat. */
-const ATTEMPTS = 3;
-const LEAST_ERROR_STATUS = 400;
+const MAX_ATTEMPTS = 3;
+const MIN_ERROR_STATUS = 400;
 
 /** Where the operators' API is, and the token for it. */
 export interface OperatorClientOptions {
@@ -53,7 +53,7 @@
 }
 
 /** Answer of the API, whatever its status. */
-interface Answer {
+interface ApiResponse {
   readonly status: number;
   readonly body: unknown;
 }
@@ -67,8 +67,8 @@
   const call = (method: Method, path: string, body?: unknown) =>
     callOnce(options, method, path, body);
   const get = async <T>(path: string) =>
-    (await repeated(() => call('GET', path))).chain(answer =>
-      bodyOf<T>(options.url, answer),
+    (await withRetries(() => call('GET', path))).chain(answer =>
+      toResult<T>(options.url, answer),
     );
   return {
     config: () => get('/config'),
@@ -77,28 +77,28 @@
     patch: async patch => {
       // An answer may be lost after the patch took effect. Repeating it is
       // safe: the patch id makes the repeat the same patch, never a second.
-      const answer = await repeated(() =>
+      const answer = await withRetries(() =>
         call('POST', '/config/patches', patch),
       );
       return answer
         .mapLeft(error => ({error, head: 0, faults: []}))
-        .chain(found => patchOutcome(options.url, found));
+        .chain(found => toPatchResult(options.url, found));
     },
     status: () => get('/status'),
     hosts: () => get('/hosts'),
     explain: id => get(`/requests/${encodeURIComponent(id)}/explain`),
     drain: async () =>
       (await call('POST', '/drain', {})).chain(answer =>
-        bodyOf(options.url, answer),
+        toResult(options.url, answer),
       ),
   };
 }
 
-async function repeated(
-  attempt: () => OperatorResult<Answer>,
-): OperatorResult<Answer> {
+async function withRetries(
+  attempt: () => OperatorResult<ApiResponse>,
+): OperatorResult<ApiResponse> {
   let outcome = await attempt();
-  for (let i = 1; i < ATTEMPTS && outcome.isLeft(); i++) {
+  for (let i = 1; i < MAX_ATTEMPTS && outcome.isLeft(); i++) {
     outcome = await attempt();
   }
   return outcome;
@@ -109,7 +109,7 @@
   method: Method,
   path: string,
   body: unknown,
-): OperatorResult<Answer> {
+): OperatorResult<ApiResponse> {
   const timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
   const dispatcher = new Agent();
   const base = options.url.replace(/\/+$/, '');
@@ -124,26 +124,33 @@
       body: body === undefined ? null : JSON.stringify(body),
       signal: AbortSignal.timeout(timeoutMs),
     });
-    return Right({status: res.statusCode, body: parsed(await res.body.text())});
+    return Right({
+      status: res.statusCode,
+      body: parseJson(await res.body.text()),
+    });
   } catch (err) {
-    return Left(unreachable(options.url, timeoutMs, err as Error));
+    return Left(createUnreachableError(options.url, timeoutMs, err as Error));
   } finally {
     void dispatcher.destroy();
   }
 }
 
-function unreachable(url: string, timeoutMs: number, err: Error): OnyxError {
-  const late = err.name === 'TimeoutError';
+function createUnreachableError(
+  url: string,
+  timeoutMs: number,
+  err: Error,
+): OnyxError {
+  const isTimeout = err.name === 'TimeoutError';
   return new OnyxError({
-    code: late ? 'timeout' : 'peer-unreachable',
+    code: isTimeout ? 'timeout' : 'peer-unreachable',
     step: 'read',
     peer: url,
-    message: late ? `no answer within ${timeoutMs} ms` : err.message,
+    message: isTimeout ? `no answer within ${timeoutMs} ms` : err.message,
     ran: 'unknown',
   });
 }
 
-function parsed(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
   } catch {
@@ -151,32 +158,34 @@
   }
 }
 
-function bodyOf<T>(url: string, answer: Answer): Either<OnyxError, T> {
+function toResult<T>(url: string, answer: ApiResponse): Either<OnyxError, T> {
   const {status, body} = answer;
-  if (status >= LEAST_ERROR_STATUS) return Left(errorOf(url, answer));
-  if (body === undefined) return Left(notOurs(url, status));
+  if (status >= MIN_ERROR_STATUS) return Left(toOnyxError(url, answer));
+  if (body === undefined)
+    return Left(createUnexpectedResponseError(url, status));
   return Right(body as T);
 }
 
-function patchOutcome(
+function toPatchResult(
   url: string,
-  answer: Answer,
+  answer: ApiResponse,
 ): Either<ConfigRejection, ConfigAccepted> {
   const rejected = (answer.body ?? {}) as {
     readonly head?: number;
     readonly faults?: readonly ConfigFault[];
   };
-  return bodyOf<ConfigAccepted>(url, answer).mapLeft(error => ({
+  return toResult<ConfigAccepted>(url, answer).mapLeft(error => ({
     error,
     head: rejected.head ?? 0,
     faults: rejected.faults ?? [],
   }));
 }
 
-function errorOf(url: string, {status, body}: Answer): OnyxError {
+function toOnyxError(url: string, {status, body}: ApiResponse): OnyxError {
   const error = (body as {readonly error?: Partial<ErrorDetails>} | undefined)
     ?.error;
-  if (typeof error?.message !== 'string') return notOurs(url, status);
+  if (typeof error?.message !== 'string')
+    return createUnexpectedResponseError(url, status);
   return new OnyxError({
     code: error.code ?? codeOf(status),
     step: error.step ?? stepOf(status),
@@ -188,7 +197,7 @@
 }
 
 /** Something else than an entry answered, or answered half. */
-function notOurs(url: string, status: number): OnyxError {
+function createUnexpectedResponseError(url: string, status: number): OnyxError {
   return new OnyxError({
     code: codeOf(status),
     step: stepOf(status),
--- a/src/cli/operator_command.ts
+++ b/src/cli/operator_command.ts
@@ -20,7 +20,7 @@
 export const EXIT_USAGE = 2;
 
 /** Wrong usage found after the options were read. */
-export class WrongUsage extends Error {}
+export class UsageError extends Error {}
 
 /** What commands ask of the platform's store. */
 export type QuarantineStore = Pick<
@@ -40,8 +40,8 @@
     try {
       return await this.perform();
     } catch (err) {
-      if (!(err instanceof WrongUsage)) throw err;
-      this.complain(err.message);
+      if (!(err instanceof UsageError)) throw err;
+      this.printError(err.message);
       return EXIT_USAGE;
     }
   }
@@ -52,7 +52,7 @@
     this.context.stdout.write(`${text}\n`);
   }
 
-  protected complain(text: string): void {
+  protected printError(text: string): void {
     this.context.stderr.write(`onyxloft: ${text}\n`);
   }
 
@@ -84,23 +84,23 @@
     source = '--url or ONYXLOFT_URL',
   ): OperatorClient {
     if (url === undefined || !/^https?:/.test(url) || !URL.canParse(url)) {
-      throw new WrongUsage(
+      throw new UsageError(
         `give ${source}, an http(s) URL such as http://10.0.0.5:7200`,
       );
     }
     if (this.token === undefined || this.token === '') {
-      throw new WrongUsage('give --token or ONYXLOFT_TOKEN');
+      throw new UsageError('give --token or ONYXLOFT_TOKEN');
     }
     return createOperatorClient({url, token: this.token});
   }
 
   /** Prints the outcome, as JSON or by `render`. */
-  protected finish<T>(
+  protected printOutcome<T>(
     outcome: Either<OnyxError, T>,
     render: (value: T) => string = renderValue,
   ): number {
     return outcome.caseOf({
-      Left: err => this.failed(err),
+      Left: err => this.printFailure(err),
       Right: value => {
         this.print(this.json ? JSON.stringify(value, null, 2) : render(value));
         return EXIT_OK;
@@ -108,22 +108,23 @@
     });
   }
 
-  protected failed(err: OnyxError, more: object = {}): number {
-    if (this.json) this.print(JSON.stringify({error: errorJson(err), ...more}));
-    this.complain(`${err.message} (${err.code} at ${err.step}, ${err.peer})`);
+  protected printFailure(err: OnyxError, extra: object = {}): number {
+    if (this.json)
+      this.print(JSON.stringify({error: toErrorJson(err), ...extra}));
+    this.printError(`${err.message} (${err.code} at ${err.step}, ${err.peer})`);
     return EXIT_FAILED;
   }
 }
 
 /** A count given as an argument or option. */
-export function countOf(text: string, name: string): number {
+export function parseCount(text: string, name: string): number {
   if (!/^\d{1,15}$/.test(text)) {
-    throw new WrongUsage(`${name} is not a whole number: "${text}"`);
+    throw new UsageError(`${name} is not a whole number: "${text}"`);
   }
   return Number(text);
 }
 
-function errorJson(err: OnyxError) {
+function toErrorJson(err: OnyxError) {
   const {code, step, peer, message, requestId, ran} = err;
   return {code, step, peer, message, requestId, ran};
 }
--- a/src/cli/quarantine_commands.ts
+++ b/src/cli/quarantine_commands.ts
@@ -7,22 +7,25 @@
   EXIT_FAILED,
   EXIT_OK,
   ToolCommand,
-  WrongUsage,
+  UsageError,
 } from './operator_command.js';
 import type {QuarantineStore} from './operator_command.js';
 import {renderTable} from './render.js';
 
 const CATEGORY = 'Quarantine';
 /** Beginnings of digests in logs are as long. */
-const ID_FORM = /^[0-9a-f]{4,32}$/;
+const ID_PATTERN = /^[0-9a-f]{4,32}$/;
 
 /** As scripts read it. */
-interface Quarantined extends Omit<QuarantineRecord, 'writtenAt'> {
+interface QuarantineJson extends Omit<QuarantineRecord, 'writtenAt'> {
   /** When the record was written, in ISO 8601. */
   readonly since: string;
 }
 
-function shown({writtenAt, ...report}: QuarantineRecord): Quarantined {
+function toQuarantineJson({
+  writtenAt,
+  ...report
+}: QuarantineRecord): QuarantineJson {
   return {...report, since: new Date(writtenAt).toISOString()};
 }
 
@@ -36,9 +39,9 @@
     description: 'Print JSON for scripts',
   });
 
-  protected open(): QuarantineStore {
+  protected openStore(): QuarantineStore {
     if (this.store === undefined || splitAddress(this.store) === undefined) {
-      throw new WrongUsage(
+      throw new UsageError(
         'give --store or ONYXLOFT_STORE, such as 10.0.0.9:8223',
       );
     }
@@ -51,20 +54,20 @@
   ): Promise<readonly QuarantineRecord[] | undefined> {
     const listed = await store.quarantine.list();
     return listed
-      .ifLeft(fault => this.failed(fault))
+      .ifLeft(fault => this.printFailure(fault))
       .map(({items}) => [...items.values()].sort(byDigest))
       .toMaybe()
       .extract();
   }
 
   /** The one record whose digest begins so; undefined where it is not one. */
-  protected pick(
+  protected findByPrefix(
     records: readonly QuarantineRecord[],
     id: string,
   ): QuarantineRecord | undefined {
     const found = records.filter(({digest}) => digest.startsWith(id));
     if (found.length === 1) return found[0];
-    this.complain(
+    this.printError(
       found.length === 0
         ? `no request "${id}" is quarantined; see quarantine list`
         : `"${id}" begins ${found.length} digests; give more of it`,
@@ -76,14 +79,14 @@
     this.print(JSON.stringify(value, null, 2));
   }
 
-  protected failed({step, message}: StoreFault): void {
+  protected printFailure({step, message}: StoreFault): void {
     if (this.json) this.printJson({error: {step, message, peer: this.store}});
-    this.complain(`${message} (at ${step}, ${this.store})`);
+    this.printError(`${message} (at ${step}, ${this.store})`);
   }
 
-  protected checked(id: string): string {
-    if (!ID_FORM.test(id)) {
-      throw new WrongUsage(`ID is no beginning of a digest: "${id}"`);
+  protected validateId(id: string): string {
+    if (!ID_PATTERN.test(id)) {
+      throw new UsageError(`ID is no beginning of a digest: "${id}"`);
     }
     return id;
   }
@@ -105,14 +108,14 @@
   });
 
   protected override async perform(): Promise<number> {
-    const records = await this.readAll(this.open());
+    const records = await this.readAll(this.openStore());
     if (records === undefined) return EXIT_FAILED;
     if (this.json) {
-      this.printJson(records.map(shown));
+      this.printJson(records.map(toQuarantineJson));
       return EXIT_OK;
     }
     const rows = records
-      .map(shown)
+      .map(toQuarantineJson)
       .map(({digest, ended, since}) => [digest, String(ended.length), since]);
     this.print(renderTable(['DIGEST', 'REPLICAS ENDED', 'SINCE'], rows));
     return EXIT_OK;
@@ -132,11 +135,11 @@
   id = Option.String({name: 'ID'});
 
   protected override async perform(): Promise<number> {
-    const id = this.checked(this.id);
-    const records = await this.readAll(this.open());
-    const record = records && this.pick(records, id);
+    const id = this.validateId(this.id);
+    const records = await this.readAll(this.openStore());
+    const record = records && this.findByPrefix(records, id);
     if (record === undefined) return EXIT_FAILED;
-    const {digest, ended, good, since} = shown(record);
+    const {digest, ended, good, since} = toQuarantineJson(record);
     if (this.json) {
       this.printJson({digest, ended, good, since});
       return EXIT_OK;
@@ -168,16 +171,16 @@
   id = Option.String({name: 'ID'});
 
   protected override async perform(): Promise<number> {
-    const id = this.checked(this.id);
-    const store = this.open();
+    const id = this.validateId(this.id);
+    const store = this.openStore();
     const records = await this.readAll(store);
-    const record = records && this.pick(records, id);
+    const record = records && this.findByPrefix(records, id);
     if (record === undefined) return EXIT_FAILED;
     const {digest} = record;
     const removed = await store.removeQuarantine(digest);
     return removed.caseOf({
       Left: fault => {
-        this.failed(fault);
+        this.printFailure(fault);
         return EXIT_FAILED;
       },
       Right: () => {
--- a/src/cli/render.ts
+++ b/src/cli/render.ts
@@ -6,16 +6,16 @@
 
 /** Text of any JSON value. */
 export function renderValue(value: unknown): string {
-  return linesOf(value, '').join('\n');
+  return renderLines(value, '').join('\n');
 }
 
 /** Columns padded to their widest cell. */
 export function renderTable(
-  heads: readonly string[],
+  headers: readonly string[],
   rows: ReadonlyArray<readonly string[]>,
 ): string {
-  const all = [heads, ...rows];
-  const widths = heads.map((_, column) =>
+  const all = [headers, ...rows];
+  const widths = headers.map((_, column) =>
     Math.max(...all.map(row => (row[column] ?? '').length)),
   );
   return all
@@ -28,29 +28,30 @@
     .join('\n');
 }
 
-function linesOf(value: unknown, indent: string): readonly string[] {
-  if (Array.isArray(value)) return listLines(value, indent);
-  if (!isObject(value)) return [indent + scalar(value)];
+function renderLines(value: unknown, indent: string): readonly string[] {
+  if (Array.isArray(value)) return renderList(value, indent);
+  if (!isObject(value)) return [indent + renderScalar(value)];
   return Object.entries(value).flatMap(([name, inner]) =>
     isNested(inner)
-      ? [`${indent}${name}:`, ...linesOf(inner, indent + INDENT)]
-      : [`${indent}${name}: ${scalar(inner)}`],
+      ? [`${indent}${name}:`, ...renderLines(inner, indent + INDENT)]
+      : [`${indent}${name}: ${renderScalar(inner)}`],
   );
 }
 
-function listLines(list: readonly unknown[], indent: string) {
-  if (list.every(isFlat) && list.length > 0) return tableLines(list, indent);
+function renderList(list: readonly unknown[], indent: string) {
+  if (list.every(isFlatObject) && list.length > 0)
+    return renderObjectTable(list, indent);
   return list.flatMap(item =>
     isNested(item)
-      ? [`${indent}-`, ...linesOf(item, indent + INDENT)]
-      : [`${indent}- ${scalar(item)}`],
+      ? [`${indent}-`, ...renderLines(item, indent + INDENT)]
+      : [`${indent}- ${renderScalar(item)}`],
   );
 }
 
-function tableLines(list: readonly JsonObject[], indent: string) {
-  const heads = [...new Set(list.flatMap(item => Object.keys(item)))];
-  const rows = list.map(item => heads.map(head => scalar(item[head])));
-  return renderTable(heads, rows)
+function renderObjectTable(list: readonly JsonObject[], indent: string) {
+  const headers = [...new Set(list.flatMap(item => Object.keys(item)))];
+  const rows = list.map(item => headers.map(head => renderScalar(item[head])));
+  return renderTable(headers, rows)
     .split('\n')
     .map(line => indent + line);
 }
@@ -65,7 +66,7 @@
 }
 
 /** Fits one row of a table. */
-function isFlat(value: unknown): value is JsonObject {
+function isFlatObject(value: unknown): value is JsonObject {
   return (
     isNested(value) &&
     !Array.isArray(value) &&
@@ -73,7 +74,7 @@
   );
 }
 
-function scalar(value: unknown): string {
+function renderScalar(value: unknown): string {
   if (value === undefined || value === null || isObject(value)) return '-';
   return String(value);
 }
--- a/src/config/apply_patch.ts
+++ b/src/config/apply_patch.ts
@@ -28,22 +28,22 @@
 import type {Manifest, NamedDocument} from './documents.js';
 import {patchDeclarations} from './patch.js';
 import type {PatchedDeclarations} from './patch.js';
-import type {KnownFleet} from './validate.js';
+import type {LiveHostCounts} from './validate.js';
 
 /** Pause before a store call is repeated, drawn between half and all of it. */
-const RETRY_PAUSE_MS = 200;
+const MAX_RETRY_PAUSE_MS = 200;
 
 /** What the check and the acceptance of a patch need. */
-export interface ApplyOptions {
+export interface ApplyPatchOptions {
   readonly store: ConfigStore;
   readonly clock: Clock;
   readonly random: Random;
   /** The highest number that this process has seen. */
-  readonly seenNumber: () => ConfigNumber;
+  readonly highestSeenNumber: () => ConfigNumber;
   /** Documents at hand, by hash. */
-  readonly documents: () => ReadonlyMap<string, string>;
+  readonly knownDocuments: () => ReadonlyMap<string, string>;
   /** Live hosts, for limits that no fleet can meet. */
-  readonly knownFleet: () => Promise<Maybe<KnownFleet>>;
+  readonly liveHostCounts: () => Promise<Maybe<LiveHostCounts>>;
   /** How long store calls are repeated before giving up. */
   readonly timeoutMs: number;
 }
@@ -55,52 +55,52 @@
   readonly config: AcceptedConfig | undefined;
 }
 
-type Outcome<T> = Promise<Either<ConfigRejection, T>>;
+type PatchResult<T> = Promise<Either<ConfigRejection, T>>;
 
 /** Applies a patch. Left: why not; nothing changed unless `ran` is unknown. */
 export async function applyConfigPatch(
-  options: ApplyOptions,
+  options: ApplyPatchOptions,
   patch: ConfigPatch,
-): Outcome<AppliedPatch> {
-  const attempt = new PatchAttempt(options, patch);
+): PatchResult<AppliedPatch> {
+  const attempt = new PatchApplier(options, patch);
   return attempt.run();
 }
 
 /** One patch on its way through the store. */
-class PatchAttempt {
+class PatchApplier {
   private readonly deadline: number;
-  private head: ConfigNumber;
+  private headNumber: ConfigNumber;
   /** Whether the patch may have become a number. */
   private ran: Ran = 'no';
 
   constructor(
-    private readonly options: ApplyOptions,
+    private readonly options: ApplyPatchOptions,
     private readonly patch: ConfigPatch,
   ) {
     this.deadline = options.clock.now() + options.timeoutMs;
-    this.head = options.seenNumber();
+    this.headNumber = options.highestSeenNumber();
   }
 
-  run(): Outcome<AppliedPatch> {
+  run(): PatchResult<AppliedPatch> {
     return EitherAsync<ConfigRejection, AppliedPatch>(
       async ({fromPromise, liftEither}) => {
         const head = await fromPromise(this.readFreshHead());
-        const earlier = await fromPromise(this.findEarlier(head));
-        if (earlier !== undefined) return this.repeatOf(earlier);
-        if (this.head !== this.patch.base) {
-          return liftEither(this.reject(this.conflict()));
+        const earlier = await fromPromise(this.findEarlierResult(head));
+        if (earlier !== undefined) return this.toRepeatedResult(earlier);
+        if (this.headNumber !== this.patch.base) {
+          return liftEither(this.reject(this.createConflictError()));
         }
-        const base = await fromPromise(this.loadBase(head));
-        const patched = await fromPromise(this.patchBase(base));
+        const base = await fromPromise(this.readBaseConfig(head));
+        const patched = await fromPromise(this.applyToBase(base));
         const documents = splitDeclarations(patched.declarations);
         await liftEither(this.checkSizes(documents));
-        if (this.patch.dryRun) return this.accept(patched, undefined);
-        const manifest = this.manifestOf(patched, documents);
-        await fromPromise(this.writeBeforeHead(base, documents));
-        await fromPromise(this.moveHead(manifest, head?.version ?? 0));
-        return this.accept(
+        if (this.patch.dryRun) return this.toAppliedPatch(patched, undefined);
+        const manifest = this.buildManifest(patched, documents);
+        await fromPromise(this.writeDocumentsAndHistory(base, documents));
+        await fromPromise(this.updateHead(manifest, head?.version ?? 0));
+        return this.toAppliedPatch(
           patched,
-          acceptedConfig(manifest, patched, documents),
+          toAcceptedConfig(manifest, patched, documents),
         );
       },
     ).run();
@@ -110,21 +110,21 @@
    * Reads the head until it is as new as what this process has seen. A stale
    * read would else make a patch based on the newest number a conflict.
    */
-  private async readFreshHead(): Outcome<ConfigHead | undefined> {
+  private async readFreshHead(): PatchResult<ConfigHead | undefined> {
     for (;;) {
       const read = await this.options.store.readHead('operator');
       const head = read.map(found => found.extract());
       if (head.isRight()) {
         const found = head.extract() as ConfigHead | undefined;
         const number = found?.manifest.number ?? 0;
-        if (number >= this.options.seenNumber()) {
-          this.head = number;
+        if (number >= this.options.highestSeenNumber()) {
+          this.headNumber = number;
           return Right(found);
         }
       }
-      if (!(await this.pause())) {
+      if (!(await this.waitBeforeRetry())) {
         return this.reject(
-          this.storeError(
+          this.createStoreError(
             read.isLeft()
               ? (read.extract() as OnyxError).message
               : 'the object API answers with an old head',
@@ -135,9 +135,9 @@
   }
 
   /** The manifest under base + 1 if this very patch made it. */
-  private async findEarlier(
+  private async findEarlierResult(
     head: ConfigHead | undefined,
-  ): Outcome<Manifest | undefined> {
+  ): PatchResult<Manifest | undefined> {
     const {patchId, base} = this.patch;
     const newest = head?.manifest;
     if (newest === undefined || this.patch.dryRun) return Right(undefined);
@@ -148,31 +148,31 @@
       Left: err => {
         if (err.code === 'not-found') return Right(undefined);
         this.ran = 'unknown';
-        return this.reject(this.storeError(err.message));
+        return this.reject(this.createStoreError(err.message));
       },
       Right: manifest =>
         Right(manifest.patchId === patchId ? manifest : undefined),
     });
   }
 
-  private async loadBase(
+  private async readBaseConfig(
     head: ConfigHead | undefined,
-  ): Outcome<AcceptedConfig | undefined> {
+  ): PatchResult<AcceptedConfig | undefined> {
     if (head === undefined) return Right(undefined);
     const read = await this.options.store.readDocuments(
       head.manifest.documents,
-      this.options.documents(),
+      this.options.knownDocuments(),
       'operator',
     );
     return read
       .chain(known => assembleConfig(head.manifest, known))
-      .chainLeft(err => this.reject(this.storeError(err.message)));
+      .chainLeft(err => this.reject(this.createStoreError(err.message)));
   }
 
-  private async patchBase(
+  private async applyToBase(
     base: AcceptedConfig | undefined,
-  ): Outcome<PatchedDeclarations> {
-    const fleet = await this.options.knownFleet();
+  ): PatchResult<PatchedDeclarations> {
+    const fleet = await this.options.liveHostCounts();
     return patchDeclarations(
       base?.declarations ?? createInitialDeclarations(),
       this.patch,
@@ -193,7 +193,7 @@
     return faults.length === 0 ? Right(undefined) : this.rejectFaults(faults);
   }
 
-  private manifestOf(
+  private buildManifest(
     patched: PatchedDeclarations,
     documents: readonly NamedDocument[],
   ): Manifest {
@@ -204,33 +204,33 @@
   }
 
   /** Writes new documents and the history of the number that is left. */
-  private async writeBeforeHead(
+  private async writeDocumentsAndHistory(
     base: AcceptedConfig | undefined,
     documents: readonly NamedDocument[],
-  ): Outcome<void> {
+  ): PatchResult<void> {
     const {store} = this.options;
     const added = new Map(
       documents
         .filter(({hash}) => !base?.jsonByHash.has(hash))
         .map(document => [document.hash, document]),
     );
-    const written = await this.persist(() =>
+    const written = await this.retryWrite(() =>
       store.writeDocuments([...added.values()]),
     );
     if (written.isLeft() || base === undefined) return written;
-    return this.persist(() => store.writeHistory(base.manifest));
+    return this.retryWrite(() => store.writeHistory(base.manifest));
   }
 
   /** Repeats an idempotent write until it is through or time is up. */
-  private async persist(
+  private async retryWrite(
     write: () => Promise<Either<StoreError, void>>,
-  ): Outcome<void> {
+  ): PatchResult<void> {
     for (;;) {
       const outcome = await write();
       if (outcome.isRight()) return Right(undefined);
-      if (!(await this.pause())) {
+      if (!(await this.waitBeforeRetry())) {
         const err = outcome.extract() as StoreError;
-        return this.reject(this.storeError(err.message));
+        return this.reject(this.createStoreError(err.message));
       }
     }
   }
@@ -242,44 +242,47 @@
    * has the same condition, so it cannot take effect twice; a conflict is
    * judged by the patch id found under the new number.
    */
-  private async moveHead(manifest: Manifest, version: number): Outcome<void> {
+  private async updateHead(
+    manifest: Manifest,
+    version: number,
+  ): PatchResult<void> {
     for (;;) {
       const written = await this.options.store.writeHead(manifest, version);
       if (written.isRight()) return Right(undefined);
       const err = written.extract() as StoreError;
-      if (err.kind === 'conflict') return this.settleConflict(err.version);
+      if (err.kind === 'conflict') return this.resolveConflict(err.version);
       if (err.effect === 'unknown') this.ran = 'unknown';
-      if (!(await this.pause())) {
-        return this.reject(this.storeError(err.message));
+      if (!(await this.waitBeforeRetry())) {
+        return this.reject(this.createStoreError(err.message));
       }
     }
   }
 
   /** Someone moved the head to `version` or further: us, or another. */
-  private async settleConflict(version: number): Outcome<void> {
+  private async resolveConflict(version: number): PatchResult<void> {
     // Until it is read, the winner may be an earlier try of this patch.
     this.ran = 'unknown';
     for (;;) {
       const read = await this.options.store.readHead('operator');
       const head = read.map(found => found.extract()).orDefault(undefined);
       if (head !== undefined && head.version >= version) {
-        this.head = head.manifest.number;
-        const earlier = await this.findEarlier(head);
+        this.headNumber = head.manifest.number;
+        const earlier = await this.findEarlierResult(head);
         if (earlier.isRight()) {
           if (earlier.extract() !== undefined) return Right(undefined);
           this.ran = 'no';
-          return this.reject(this.conflict());
+          return this.reject(this.createConflictError());
         }
       }
-      if (!(await this.pause())) {
+      if (!(await this.waitBeforeRetry())) {
         return this.reject(
-          this.storeError('the head could not be read after a conflict'),
+          this.createStoreError('the head could not be read after a conflict'),
         );
       }
     }
   }
 
-  private accept(
+  private toAppliedPatch(
     patched: PatchedDeclarations,
     config: AcceptedConfig | undefined,
   ): AppliedPatch {
@@ -291,41 +294,41 @@
     return {accepted, config};
   }
 
-  private repeatOf(manifest: Manifest): AppliedPatch {
+  private toRepeatedResult(manifest: Manifest): AppliedPatch {
     const {number, changedPaths} = manifest;
     const accepted = {number, changedPaths, dryRun: false};
     return {accepted, config: undefined};
   }
 
   /** Waits before a repeat; false when time is up. */
-  private async pause(): Promise<boolean> {
+  private async waitBeforeRetry(): Promise<boolean> {
     const {clock, random} = this.options;
-    const ms = RETRY_PAUSE_MS * (0.5 + 0.5 * random.next());
+    const ms = MAX_RETRY_PAUSE_MS * (0.5 + 0.5 * random.next());
     if (clock.now() + ms >= this.deadline) return false;
     await new Promise<void>(resolve => void clock.after(ms, resolve));
     return true;
   }
 
-  private conflict(): OnyxError {
-    const head = Math.max(this.head, this.options.seenNumber());
-    return this.error(
+  private createConflictError(): OnyxError {
+    const head = Math.max(this.headNumber, this.options.highestSeenNumber());
+    return this.createError(
       'conflict',
       `the patch is based on number ${this.patch.base}, but number ${head} is in force; nothing changed. Look at the changes with: onyxloft config diff --base ${head} FILE`,
     );
   }
 
-  private storeError(cause: string): OnyxError {
+  private createStoreError(cause: string): OnyxError {
     const effect =
       this.ran === 'no'
         ? 'Nothing changed'
         : `The patch may have been accepted as number ${this.patch.base + 1}`;
-    return this.error(
+    return this.createError(
       'store-unavailable',
       `the object API could not be used (${cause}). ${effect}. Send the same patch with the same id again: it is accepted once at most`,
     );
   }
 
-  private error(code: ErrorCode, message: string): OnyxError {
+  private createError(code: ErrorCode, message: string): OnyxError {
     const peer = code === 'store-unavailable' ? 'object-api' : '';
     return new OnyxError({code, step: 'config', peer, message, ran: this.ran});
   }
@@ -334,19 +337,19 @@
     faults: readonly ConfigFault[],
   ): Either<ConfigRejection, never> {
     const message = `the patch has ${faults.length} fault(s); nothing changed`;
-    return this.reject(this.error('invalid-config', message), faults);
+    return this.reject(this.createError('invalid-config', message), faults);
   }
 
   private reject(
     error: OnyxError,
     faults: readonly ConfigFault[] = [],
   ): Either<ConfigRejection, never> {
-    const head = Math.max(this.head, this.options.seenNumber());
+    const head = Math.max(this.headNumber, this.options.highestSeenNumber());
     return Left({error, head, faults});
   }
 }
 
-function acceptedConfig(
+function toAcceptedConfig(
   manifest: Manifest,
   patched: PatchedDeclarations,
   documents: readonly NamedDocument[],
--- a/src/config/config_history.ts
+++ b/src/config/config_history.ts
@@ -8,7 +8,7 @@
 import type {Manifest} from './documents.js';
 
 /** Most lines of one answer; each is a call to the store. */
-const MAX_LINES = 100;
+const MAX_HISTORY_LINES = 100;
 
 /** Newest first. The store is read, since this process may be behind. */
 export async function readHistory(
@@ -19,26 +19,26 @@
   const head = await store.readHead('operator');
   if (head.isLeft()) return head;
   const atHead = head.toMaybe().join().extract()?.manifest;
-  const newest = newerOf(atHead, state.current()?.manifest);
+  const newest = newerManifest(atHead, state.current()?.manifest);
   if (newest === undefined) return Right([]);
-  const lines = [toLine(newest)];
-  const most = Math.min(limit, MAX_LINES);
-  while (lines.length < most && (lines.at(-1)?.number ?? 0) > 1) {
+  const lines = [toHistoryLine(newest)];
+  const lineLimit = Math.min(limit, MAX_HISTORY_LINES);
+  while (lines.length < lineLimit && (lines.at(-1)?.number ?? 0) > 1) {
     const read = await store.readManifest((lines.at(-1)?.number ?? 0) - 1);
     if (read.isLeft()) return read;
-    read.ifRight(manifest => lines.push(toLine(manifest)));
+    read.ifRight(manifest => lines.push(toHistoryLine(manifest)));
   }
   return Right(lines);
 }
 
-function newerOf(
+function newerManifest(
   a: Manifest | undefined,
   b: Manifest | undefined,
 ): Manifest | undefined {
   return (a?.number ?? 0) >= (b?.number ?? 0) ? a : b;
 }
 
-function toLine(manifest: Manifest): ConfigHistoryLine {
+function toHistoryLine(manifest: Manifest): ConfigHistoryLine {
   const {number, patchId, operator, changedPaths, morePaths} = manifest;
   const more = morePaths > 0 ? [`(${morePaths} more)`] : [];
   return {number, patchId, operator, changedPaths: [...changedPaths, ...more]};
--- a/src/config/config_home.ts
+++ b/src/config/config_home.ts
@@ -7,7 +7,7 @@
 import type {EntryPeer} from '../types/services.js';
 import {rendezvousFirst} from '../utils/rendezvous.js';
 
-const HOME_KEY = 'config';
+const HOME_HASH_KEY = 'config';
 
 /** True when `self` is the home among itself and the live entries. */
 export function isConfigHome(
@@ -17,5 +17,5 @@
   const others = entries
     .filter(({node, state}) => node !== self && state === 'live')
     .map(({node}) => ({id: node}));
-  return rendezvousFirst(HOME_KEY, [{id: self}, ...others])?.id === self;
+  return rendezvousFirst(HOME_HASH_KEY, [{id: self}, ...others])?.id === self;
 }
--- a/src/config/config_service.ts
+++ b/src/config/config_service.ts
@@ -33,8 +33,8 @@
 import {createInitialDeclarations} from './declarations_schema.js';
 import {startHeadFollower} from './head_follower.js';
 import type {HeadFollower} from './head_follower.js';
-import {answerFetch, fetchFromPeer} from './peer_exchange.js';
-import type {KnownFleet} from './validate.js';
+import {createFetchReply, fetchFromPeer} from './peer_exchange.js';
+import type {LiveHostCounts} from './validate.js';
 
 /** Who this process is, and where its configuration comes from. */
 export interface ConfigServiceOptions {
@@ -44,13 +44,13 @@
   readonly store: ObjectStore;
   readonly transport: Transport;
   /** Live hosts, if known; for limits that no fleet can meet. */
-  readonly knownFleet?: () => Promise<Maybe<KnownFleet>>;
+  readonly liveHostCounts?: () => Promise<Maybe<LiveHostCounts>>;
   /** Longest wait of the home's watch. @default 25000 */
   readonly watchMs?: number;
   /** Mean pause between reads of the head. @default 30000, a side 300000 */
   readonly pollMs?: number;
   /** The first read comes within this long. @default 1000 */
-  readonly startJitterMs?: number;
+  readonly maxStartDelayMs?: number;
   /** How long an operator's patch may take. @default 5000 */
   readonly applyTimeoutMs?: number;
 }
@@ -77,12 +77,12 @@
 type ApplyMessage = Extract<ConfigMessage, {readonly kind: 'apply'}>;
 
 class ConfigTask {
-  private home = false;
-  private ended = false;
-  private fetching = false;
-  private follower: HeadFollower | undefined;
+  private isHome = false;
+  private isStopped = false;
+  private isFetching = false;
+  private headFollower: HeadFollower | undefined;
   /** Patches are taken one at a time; the store would refuse the rest. */
-  private applying: Promise<void> = Promise.resolve();
+  private patchQueue: Promise<void> = Promise.resolve();
 
   constructor(
     private readonly ctx: ServiceContext<'config'>,
@@ -94,21 +94,21 @@
   start(): void {
     const {ctx, options} = this;
     ctx.own(() => {
-      this.ended = true;
-      this.follower?.stop();
+      this.isStopped = true;
+      this.headFollower?.stop();
     });
     const isEntry = options.role === 'entry';
-    this.follower = startHeadFollower({
+    this.headFollower = startHeadFollower({
       store: this.store,
       clock: ctx.clock,
       random: ctx.random,
-      isHome: () => this.home,
+      isHome: () => this.isHome,
       watchMs: options.watchMs ?? 25_000,
       pollMs: options.pollMs ?? (isEntry ? 30_000 : 300_000),
-      startJitterMs: options.startJitterMs ?? 1_000,
-      onHead: head => this.takeHead(head),
-      onCrash: cause => ctx.fail(cause),
-      onFailure: (err, retryMs) =>
+      maxStartDelayMs: options.maxStartDelayMs ?? 1_000,
+      onHead: head => this.handleHead(head),
+      onError: cause => ctx.fail(cause),
+      onReadFailure: (err, retryMs) =>
         ctx.log(CONFIG_EVENTS.storeUnreachable, {
           cause: err.message,
           step: err.step,
@@ -117,11 +117,11 @@
         }),
     });
     if (isEntry) {
-      let known: readonly EntryPeer[] | undefined;
+      let lastEntries: readonly EntryPeer[] | undefined;
       followMembership(ctx, ({entries}) => {
         // Views come many times a second, and the entries seldom change.
-        if (entries === known) return;
-        known = entries;
+        if (entries === lastEntries) return;
+        lastEntries = entries;
         this.setHome(isConfigHome(options.node, entries));
       });
     }
@@ -133,15 +133,18 @@
       case 'subscribe':
         return this.state.subscribe(message.listener);
       case 'peer-number':
-        return this.hearNumber(message.peer, message.number);
+        return this.handlePeerNumber(message.peer, message.number);
       case 'fetch':
-        return message.reply(answerFetch(this.state, message.req));
+        return message.reply(createFetchReply(this.state, message.req));
       case 'apply':
-        return this.queuePatch(message);
+        return this.enqueuePatch(message);
       case 'show':
-        return this.settle(this.show(message.number), message.reply);
+        return this.replyWhenSettled(
+          this.readDeclarations(message.number),
+          message.reply,
+        );
       case 'history':
-        return this.settle(
+        return this.replyWhenSettled(
           readHistory(this.store, this.state, message.limit),
           message.reply,
         );
@@ -149,59 +152,65 @@
   }
 
   /** Gives an answer when it is there; a throw ends the task. */
-  private settle<T>(answer: Promise<T>, reply: (value: T) => void): void {
+  private replyWhenSettled<T>(
+    answer: Promise<T>,
+    reply: (value: T) => void,
+  ): void {
     answer.then(reply).catch(cause => this.ctx.fail(cause));
   }
 
   private setHome(home: boolean): void {
-    if (home === this.home || this.ended) return;
-    this.home = home;
+    if (home === this.isHome || this.isStopped) return;
+    this.isHome = home;
     this.ctx.log(CONFIG_EVENTS.homeChanged, {home});
-    if (home) this.follower?.poke();
+    if (home) this.headFollower?.wake();
   }
 
-  private async takeHead(
+  private async handleHead(
     found: Maybe<ConfigHead>,
   ): Promise<Either<OnyxError, void>> {
     const head = found.extract();
     if (head === undefined) {
-      if (this.state.number() > 0) this.state.noteOlder(0, 'store');
-      else this.state.offerInitial(createInitialDeclarations());
+      if (this.state.number() > 0) this.state.reportOlder(0, 'store');
+      else this.state.adoptInitial(createInitialDeclarations());
       return Right(undefined);
     }
     const {manifest} = head;
     if (manifest.number === this.state.number()) return Right(undefined);
     if (manifest.number < this.state.number()) {
-      this.state.noteOlder(manifest.number, 'store');
+      this.state.reportOlder(manifest.number, 'store');
       return Right(undefined);
     }
     const read = await this.store.readDocuments(
       manifest.documents,
-      this.state.documents(),
+      this.state.knownDocuments(),
       'config',
     );
     return read
       .chain(known => assembleConfig(manifest, known))
-      .map(config => void this.state.offer(config, 'store'));
+      .map(config => void this.state.adoptIfNewer(config, 'store'));
   }
 
-  private hearNumber(peer: Address, number: ConfigNumber): void {
-    if (number <= this.state.number() || this.fetching) return;
-    this.fetching = true;
-    this.fetch(peer, number)
+  private handlePeerNumber(peer: Address, number: ConfigNumber): void {
+    if (number <= this.state.number() || this.isFetching) return;
+    this.isFetching = true;
+    this.fetchConfig(peer, number)
       .catch(cause => this.ctx.fail(cause))
       .finally(() => {
-        this.fetching = false;
+        this.isFetching = false;
       });
   }
 
-  private async fetch(peer: Address, number: ConfigNumber): Promise<void> {
+  private async fetchConfig(
+    peer: Address,
+    number: ConfigNumber,
+  ): Promise<void> {
     const fetched = await fetchFromPeer(
       {
         transport: this.options.transport,
         haveNumber: this.state.number(),
-        known: this.state.documents(),
-        onCorrupt: hash =>
+        knownDocuments: this.state.knownDocuments(),
+        onCorruptDocument: hash =>
           this.ctx.log(CONFIG_EVENTS.documentCorrupt, {peer, hash}),
       },
       peer,
@@ -223,7 +232,7 @@
       Right: newer => {
         if (newer === undefined) return this.countFetch('none-newer');
         this.countFetch('taken');
-        this.state.offer(newer, 'peer');
+        this.state.adoptIfNewer(newer, 'peer');
       },
     });
   }
@@ -232,8 +241,8 @@
     this.ctx.metrics.count('onyxloft_config_peer_fetch_total', {outcome});
   }
 
-  private queuePatch(message: ApplyMessage): void {
-    this.applying = this.applying
+  private enqueuePatch(message: ApplyMessage): void {
+    this.patchQueue = this.patchQueue
       .then(() => this.apply(message.patch))
       .then(message.reply)
       .catch(cause => this.ctx.fail(cause));
@@ -248,28 +257,28 @@
         store: this.store,
         clock: ctx.clock,
         random: ctx.random,
-        seenNumber: state.number,
-        documents: state.documents,
-        knownFleet:
-          options.knownFleet ?? (() => Promise.resolve(Maybe.empty())),
+        highestSeenNumber: state.number,
+        knownDocuments: state.knownDocuments,
+        liveHostCounts:
+          options.liveHostCounts ?? (() => Promise.resolve(Maybe.empty())),
         timeoutMs: options.applyTimeoutMs ?? 5_000,
       },
       patch,
     );
     return outcome.bimap(
-      rejection => this.noteRejected(patch, rejection),
-      applied => this.noteAccepted(patch, applied),
+      rejection => this.recordRejected(patch, rejection),
+      applied => this.recordAccepted(patch, applied),
     );
   }
 
-  private noteAccepted(
+  private recordAccepted(
     patch: ConfigPatch,
     {accepted, config}: AppliedPatch,
   ): ConfigAccepted {
     const {ctx} = this;
-    if (config !== undefined) this.state.offer(config, 'patch');
+    if (config !== undefined) this.state.adoptIfNewer(config, 'patch');
     // A repeat finds its number made: read it, if it has not come here yet.
-    else if (!accepted.dryRun) this.follower?.poke();
+    else if (!accepted.dryRun) this.headFollower?.wake();
     ctx.metrics.count('onyxloft_config_patches_total', {outcome: 'accepted'});
     ctx.log(CONFIG_EVENTS.patchAccepted, {
       number: accepted.number,
@@ -282,7 +291,7 @@
     return accepted;
   }
 
-  private noteRejected(
+  private recordRejected(
     patch: ConfigPatch,
     rejection: ConfigRejection,
   ): ConfigRejection {
@@ -305,20 +314,20 @@
     return rejection;
   }
 
-  private async show(
+  private async readDeclarations(
     number: ConfigNumber,
   ): Promise<Either<OnyxError, NumberedDeclarations>> {
     const inForce = this.state.inForce();
     if (inForce !== undefined && (number === 0 || number === inForce.number)) {
       return Right(inForce);
     }
-    if (number === 0) return Left(nothingKnown());
+    if (number === 0) return Left(createNoConfigError());
     const manifest = await this.store.readManifest(number);
     if (manifest.isLeft()) return manifest;
     const {documents} = manifest.unsafeCoerce();
     const read = await this.store.readDocuments(
       documents,
-      this.state.documents(),
+      this.state.knownDocuments(),
       'operator',
     );
     return manifest.chain(found =>
@@ -329,7 +338,7 @@
   }
 }
 
-function nothingKnown(): OnyxError {
+function createNoConfigError(): OnyxError {
   return new OnyxError({
     code: 'store-unavailable',
     step: 'config',
--- a/src/config/config_state.ts
+++ b/src/config/config_state.ts
@@ -35,13 +35,13 @@
   /** What is in force; undefined while nothing is known. */
   inForce(): NumberedDeclarations | undefined;
   /** Takes the configuration if it is newer. True when it was. */
-  offer(config: AcceptedConfig, source: ConfigSource): boolean;
+  adoptIfNewer(config: AcceptedConfig, source: ConfigSource): boolean;
   /** Counts and logs a number that is older than the one in force. */
-  noteOlder(offered: ConfigNumber, source: ConfigSource): void;
+  reportOlder(offered: ConfigNumber, source: ConfigSource): void;
   /** The store was read and holds no head: number 0 is in force. */
-  offerInitial(initial: Declarations): void;
+  adoptInitial(initial: Declarations): void;
   /** Documents at hand, of the number in force and the one before. */
-  documents(): ReadonlyMap<string, string>;
+  knownDocuments(): ReadonlyMap<string, string>;
   /** Calls it at once and at each number; a known one is kept once. */
   subscribe(listener: ConfigListener): void;
 }
@@ -52,18 +52,18 @@
 ): ConfigState {
   const listeners = new Set<ConfigListener>();
   let current: AcceptedConfig | undefined;
-  let before: AcceptedConfig | undefined;
+  let previous: AcceptedConfig | undefined;
   let inForce: NumberedDeclarations | undefined;
 
   const number = () => current?.manifest.number ?? 0;
 
-  const noteOlder = (offered: ConfigNumber, source: ConfigSource) => {
+  const reportOlder = (offered: ConfigNumber, source: ConfigSource) => {
     const fields = {offered, inForce: number(), source};
     runtime().log(CONFIG_EVENTS.olderOffered, fields);
     runtime().metrics.count('onyxloft_config_older_offered_total', {source});
   };
 
-  const putInForce = (next: NumberedDeclarations) => {
+  const setInForce = (next: NumberedDeclarations) => {
     // The safeguard is the comparison in `offer`; a path that goes round it
     // would let a revoked key or an old limit come back without a trace.
     runtime().invariant(
@@ -76,12 +76,12 @@
     for (const listener of listeners) listener(next);
   };
 
-  const offer = (config: AcceptedConfig, source: ConfigSource) => {
+  const adoptIfNewer = (config: AcceptedConfig, source: ConfigSource) => {
     const {manifest, declarations} = config;
-    if (manifest.number < number()) noteOlder(manifest.number, source);
-    if (manifest.number === number()) noteSame(manifest);
+    if (manifest.number < number()) reportOlder(manifest.number, source);
+    if (manifest.number === number()) checkSamePatch(manifest);
     if (manifest.number <= number()) return false;
-    before = current;
+    previous = current;
     current = config;
     runtime().log(CONFIG_EVENTS.adopted, {
       number: manifest.number,
@@ -89,12 +89,12 @@
       operator: manifest.operator,
       source,
     });
-    putInForce({number: manifest.number, declarations});
+    setInForce({number: manifest.number, declarations});
     return true;
   };
 
   /** One number is one patch; two would mean a store that lost a write. */
-  const noteSame = (manifest: Manifest) => {
+  const checkSamePatch = (manifest: Manifest) => {
     runtime().invariant(
       manifest.patchId === current?.manifest.patchId,
       'config-number-is-one-patch',
@@ -110,14 +110,17 @@
     number,
     current: () => current,
     inForce: () => inForce,
-    offer,
-    noteOlder,
-    offerInitial: initial => {
+    adoptIfNewer,
+    reportOlder,
+    adoptInitial: initial => {
       if (inForce !== undefined) return;
-      putInForce({number: 0, declarations: initial});
+      setInForce({number: 0, declarations: initial});
     },
-    documents: () =>
-      new Map([...(before?.jsonByHash ?? []), ...(current?.jsonByHash ?? [])]),
+    knownDocuments: () =>
+      new Map([
+        ...(previous?.jsonByHash ?? []),
+        ...(current?.jsonByHash ?? []),
+      ]),
     subscribe: listener => {
       listeners.add(listener);
       if (inForce !== undefined) listener(inForce);
--- a/src/config/config_store.ts
+++ b/src/config/config_store.ts
@@ -18,12 +18,12 @@
   StorePurpose,
   StoredObject,
 } from '../types/platform.js';
-import {isIntact, parseManifest} from './documents.js';
+import {matchesHash, parseManifest} from './documents.js';
 import type {DocumentRef, Manifest, NamedDocument} from './documents.js';
 
 const HEAD_KEY = 'config/head';
 /** Store calls in flight at once when many documents are moved. */
-const PARALLEL_CALLS = 8;
+const MAX_PARALLEL_CALLS = 8;
 
 /** The head with the store's version of it. */
 export interface ConfigHead {
@@ -63,13 +63,13 @@
 
 /** Puts the configuration's objects over the platform's store. */
 export function createConfigStore(store: ObjectStore): ConfigStore {
-  const toHead = (
+  const decodeHead = (
     object: Maybe<StoredObject>,
   ): Either<OnyxError, Maybe<ConfigHead>> =>
     object.caseOf<Either<OnyxError, Maybe<ConfigHead>>>({
       Nothing: () => Right(Maybe.empty()),
       Just: ({value, version}) =>
-        readManifestText(value).map(manifest => Maybe.of({version, manifest})),
+        decodeManifest(value).map(manifest => Maybe.of({version, manifest})),
     });
 
   const readDocument = async (
@@ -80,16 +80,22 @@
     return found
       .mapLeft(toOnyxError)
       .chain(object =>
-        object.toEither(unreadable(`document ${ref.name} is not in the store`)),
+        object.toEither(
+          createUnreadableError(`document ${ref.name} is not in the store`),
+        ),
       )
       .chain(({value}) =>
-        isIntact({hash: ref.hash, json: value})
+        matchesHash({hash: ref.hash, json: value})
           ? Right(value)
-          : Left(unreadable(`document ${ref.name} does not match its hash`)),
+          : Left(
+              createUnreadableError(
+                `document ${ref.name} does not match its hash`,
+              ),
+            ),
       );
   };
 
-  const createOnce = async (
+  const createIfAbsent = async (
     key: string,
     value: string,
   ): Promise<Either<StoreError, void>> => {
@@ -104,33 +110,35 @@
 
   return {
     readHead: async purpose =>
-      (await store.get(HEAD_KEY, purpose)).mapLeft(toOnyxError).chain(toHead),
+      (await store.get(HEAD_KEY, purpose))
+        .mapLeft(toOnyxError)
+        .chain(decodeHead),
     watchHead: async (version, waitMs) =>
       (await store.watch(HEAD_KEY, version, waitMs, 'config'))
         .mapLeft(toOnyxError)
-        .chain(toHead),
+        .chain(decodeHead),
     readManifest: async number => {
       const key = historyKey(number);
       const kept = await store.get(key, 'operator');
       if (kept.isLeft()) return kept.mapLeft(toOnyxError);
       const object = kept.unsafeCoerce();
-      if (object.isJust()) return readManifestText(object.unsafeCoerce().value);
+      if (object.isJust()) return decodeManifest(object.unsafeCoerce().value);
       // The newest number has no history yet: it is the head itself.
       const head = await store.get(HEAD_KEY, 'operator');
       return head
         .mapLeft(toOnyxError)
-        .chain(toHead)
+        .chain(decodeHead)
         .chain(found =>
           found
             .map(({manifest}) => manifest)
             .filter(manifest => manifest.number === number)
-            .toEither(noSuchNumber(number)),
+            .toEither(createNotFoundError(number)),
         );
     },
     readDocuments: async (refs, known, purpose) => {
       const all = new Map(known);
       const missing = refs.filter(({hash}) => !known.has(hash));
-      const outcome = await eachInParallel(missing, async ref =>
+      const outcome = await forEachInBatches(missing, async ref =>
         (await readDocument(ref, purpose)).map(json => {
           all.set(ref.hash, json);
         }),
@@ -138,11 +146,11 @@
       return outcome.map(() => all);
     },
     writeDocuments: documents =>
-      eachInParallel(documents, ({hash, json}) =>
-        createOnce(`config/doc/${hash}`, json),
+      forEachInBatches(documents, ({hash, json}) =>
+        createIfAbsent(`config/doc/${hash}`, json),
       ),
     writeHistory: manifest =>
-      createOnce(historyKey(manifest.number), JSON.stringify(manifest)),
+      createIfAbsent(historyKey(manifest.number), JSON.stringify(manifest)),
     writeHead: async (manifest, version) => {
       const value = JSON.stringify(manifest);
       const written =
@@ -170,7 +178,7 @@
   return `config/history/${number}`;
 }
 
-function noSuchNumber(number: ConfigNumber): OnyxError {
+function createNotFoundError(number: ConfigNumber): OnyxError {
   return new OnyxError({
     code: 'not-found',
     step: 'config',
@@ -178,7 +186,7 @@
   });
 }
 
-function unreadable(message: string): OnyxError {
+function createUnreadableError(message: string): OnyxError {
   return new OnyxError({
     code: 'internal',
     step: 'config',
@@ -187,21 +195,23 @@
   });
 }
 
-function readManifestText(text: string): Either<OnyxError, Manifest> {
+function decodeManifest(text: string): Either<OnyxError, Manifest> {
   try {
     return Right(parseManifest(text));
   } catch (err) {
-    return Left(unreadable(`the manifest is not readable: ${String(err)}`));
+    return Left(
+      createUnreadableError(`the manifest is not readable: ${String(err)}`),
+    );
   }
 }
 
 /** Runs over the items, a few at a time; stops at the first failure. */
-async function eachInParallel<T, E>(
+async function forEachInBatches<T, E>(
   items: readonly T[],
   run: (item: T) => Promise<Either<E, void>>,
 ): Promise<Either<E, void>> {
-  for (let from = 0; from < items.length; from += PARALLEL_CALLS) {
-    const batch = items.slice(from, from + PARALLEL_CALLS);
+  for (let from = 0; from < items.length; from += MAX_PARALLEL_CALLS) {
+    const batch = items.slice(from, from + MAX_PARALLEL_CALLS);
     const outcomes = await Promise.all(batch.map(run));
     const failed = outcomes.find(outcome => outcome.isLeft());
     if (failed !== undefined) return failed;
--- a/src/config/documents.ts
+++ b/src/config/documents.ts
@@ -74,7 +74,7 @@
 }
 
 /** True when the document's text has the hash that it is named by. */
-export function isIntact(document: ConfigDocument): boolean {
+export function matchesHash(document: ConfigDocument): boolean {
   return hashDocument(document.json) === document.hash;
 }
 
@@ -95,7 +95,7 @@
 ): readonly NamedDocument[] {
   const buckets = new Map<string, Organisation[]>();
   for (const organisation of organisations) {
-    const name = bucketOf(organisation.id);
+    const name = bucketNameOf(organisation.id);
     buckets.set(name, [...(buckets.get(name) ?? []), organisation]);
   }
   return [...buckets.entries()]
@@ -103,7 +103,7 @@
     .map(([name, members]) => toDocument(name, members));
 }
 
-function bucketOf(id: string): string {
+function bucketNameOf(id: string): string {
   const bucket = BigInt(`0x${hashText(id)}`) % BigInt(ORGANISATION_BUCKETS);
   return `organisations/${bucket.toString().padStart(2, '0')}`;
 }
--- a/src/config/follow_config.ts
+++ b/src/config/follow_config.ts
@@ -2,7 +2,7 @@
 import type {NumberedDeclarations} from '../types/config.js';
 import type {ServiceContext, ServiceName} from '../types/kernel.js';
 
-const SUBSCRIBE_EVERY_MS = 5_000;
+const RESUBSCRIBE_INTERVAL_MS = 5_000;
 
 /**
  * Subscribes, and again each few seconds. A subscription that is sent while
@@ -14,14 +14,14 @@
   ctx: ServiceContext<N>,
   listener: (config: NumberedDeclarations) => void,
 ): void {
-  let newest = -1;
-  const hear = (config: NumberedDeclarations) => {
-    if (config.number <= newest) return;
-    newest = config.number;
+  let lastDelivered = -1;
+  const deliverOnce = (config: NumberedDeclarations) => {
+    if (config.number <= lastDelivered) return;
+    lastDelivered = config.number;
     listener(config);
   };
   const subscribe = () =>
-    ctx.send('config', {kind: 'subscribe', listener: hear});
+    ctx.send('config', {kind: 'subscribe', listener: deliverOnce});
   subscribe();
-  ctx.own(ctx.clock.every(SUBSCRIBE_EVERY_MS, subscribe));
+  ctx.own(ctx.clock.every(RESUBSCRIBE_INTERVAL_MS, subscribe));
 }
--- a/src/config/head_follower.ts
+++ b/src/config/head_follower.ts
@@ -11,8 +11,8 @@
 import type {ConfigHead, ConfigStore} from './config_store.js';
 
 /** First pause after a failed call; doubles up to the largest. */
-const FIRST_BACKOFF_MS = 500;
-const LARGEST_BACKOFF_MS = 30_000;
+const INITIAL_BACKOFF_MS = 500;
+const MAX_BACKOFF_MS = 30_000;
 
 /** Where the head is read, how often, and who takes it. */
 export interface HeadFollowerOptions {
@@ -25,7 +25,7 @@
   /** Mean pause between reads of a process that is not the home. */
   readonly pollMs: number;
   /** The first read comes within this long. */
-  readonly startJitterMs: number;
+  readonly maxStartDelayMs: number;
   /**
    * Takes a head, or Nothing when the store holds none. Rejecting means that
    * it could not be taken, and it is read again.
@@ -34,14 +34,14 @@
     head: Maybe<ConfigHead>,
   ) => Promise<Either<OnyxError, void>>;
   /** Something threw: following has ended. */
-  readonly onCrash: (cause: unknown) => void;
-  readonly onFailure: (err: OnyxError, retryMs: number) => void;
+  readonly onError: (cause: unknown) => void;
+  readonly onReadFailure: (err: OnyxError, retryMs: number) => void;
 }
 
 /** A running follower. */
 export interface HeadFollower {
   /** Ends a pause early: for when this process has become the home. */
-  poke(): void;
+  wake(): void;
   stop(): void;
 }
 
@@ -51,40 +51,37 @@
   let stopped = false;
   let failures = 0;
   let version = 0;
-  let wake: () => void = () => undefined;
+  let endPause: () => void = () => undefined;
 
   const pause = (ms: number) =>
     new Promise<void>(resolve => {
       const cancel = clock.after(ms, resolve);
-      wake = () => {
+      endPause = () => {
         cancel();
         resolve();
       };
     });
 
   const readOnce = async (): Promise<Either<OnyxError, void>> => {
-    const watching = options.isHome() && version > 0;
-    const read = watching
+    const isWatching = options.isHome() && version > 0;
+    const read = isWatching
       ? await store.watchHead(version, options.watchMs)
       : await store.readHead('config');
     if (read.isLeft()) return read;
     const head = read.extract() as Maybe<ConfigHead>;
-    const taken = await options.onHead(head);
+    const handled = await options.onHead(head);
     // Remembered only once taken: else the watch would wait past a head whose
     // documents could not be read.
-    if (taken.isRight()) {
+    if (handled.isRight()) {
       head.ifJust(found => {
         version = Math.max(version, found.version);
       });
     }
-    return taken;
+    return handled;
   };
 
   const backoffMs = () => {
-    const limit = Math.min(
-      LARGEST_BACKOFF_MS,
-      FIRST_BACKOFF_MS * 2 ** failures,
-    );
+    const limit = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** failures);
     failures += 1;
     return limit * (0.5 + 0.5 * random.next());
   };
@@ -92,7 +89,7 @@
   const nextPauseMs = (outcome: Either<OnyxError, void>) => {
     if (outcome.isLeft()) {
       const retryMs = backoffMs();
-      options.onFailure(outcome.extract() as OnyxError, retryMs);
+      options.onReadFailure(outcome.extract() as OnyxError, retryMs);
       return retryMs;
     }
     failures = 0;
@@ -102,7 +99,7 @@
   };
 
   const run = async () => {
-    await pause(options.startJitterMs * random.next());
+    await pause(options.maxStartDelayMs * random.next());
     while (!stopped) {
       const outcome = await readOnce();
       if (stopped) return;
@@ -111,12 +108,12 @@
     }
   };
 
-  run().catch(options.onCrash);
+  run().catch(options.onError);
   return {
-    poke: () => wake(),
+    wake: () => endPause(),
     stop: () => {
       stopped = true;
-      wake();
+      endPause();
     },
   };
 }
--- a/src/config/json_pointer.ts
+++ b/src/config/json_pointer.ts
@@ -1,7 +1,7 @@
 /** JSON pointers (RFC 6901), made from path segments. */
 
 /** Pointer to the value under the segments; empty for the whole document. */
-export function pointerOf(segments: readonly string[]): string {
+export function toJsonPointer(segments: readonly string[]): string {
   return segments.map(segment => `/${escapeSegment(segment)}`).join('');
 }
 
--- a/src/config/keyed_form.ts
+++ b/src/config/keyed_form.ts
@@ -24,17 +24,17 @@
 /** Objects by id as lists; classes in growing order, the rest by id. */
 export function fromKeyed(keyed: KeyedDeclarations): Declarations {
   return {
-    organisations: listOf(keyed.organisations, 'id'),
-    models: listOf(keyed.models, 'id'),
-    priorityClasses: listOf(keyed.priorityClasses, 'name').sort(
+    organisations: toSortedList(keyed.organisations, 'id'),
+    models: toSortedList(keyed.models, 'id'),
+    priorityClasses: toSortedList(keyed.priorityClasses, 'name').sort(
       (a, b) => a.priority - b.priority,
     ),
-    lengthClasses: listOf(keyed.lengthClasses, 'name').sort(
+    lengthClasses: toSortedList(keyed.lengthClasses, 'name').sort(
       (a, b) => a.maxTokens - b.maxTokens,
     ),
-    services: listOf(keyed.services, 'pool'),
+    services: toSortedList(keyed.services, 'pool'),
     placement: sortedEntries(keyed.placement).flatMap(([pool, models]) =>
-      listOf(models, 'model').map(wish => ({pool, ...wish})),
+      toSortedList(models, 'model').map(wish => ({pool, ...wish})),
     ),
     policy: keyed.policy,
   };
@@ -62,7 +62,7 @@
   return byPool;
 }
 
-function listOf<T extends object, K extends string>(
+function toSortedList<T extends object, K extends string>(
   items: ByKey<T>,
   key: K,
 ): Array<T & Record<K, string>> {
--- a/src/config/patch.ts
+++ b/src/config/patch.ts
@@ -10,8 +10,8 @@
 import {z} from 'zod';
 import type {Declarations} from '../types/config.js';
 import type {ConfigFault, ConfigPatch} from '../types/services.js';
-import type {KnownFleet} from './validate.js';
-import {readKeyed} from './validate.js';
+import type {LiveHostCounts} from './validate.js';
+import {parseKeyedDeclarations} from './validate.js';
 import {toKeyed} from './keyed_form.js';
 
 /** Outcome of a patch that was found sound. */
@@ -44,7 +44,7 @@
 export function patchDeclarations(
   base: Declarations,
   patch: Pick<ConfigPatch, 'form' | 'patch'>,
-  fleet?: KnownFleet,
+  fleet?: LiveHostCounts,
 ): Either<readonly ConfigFault[], PatchedDeclarations> {
   const before = toKeyed(base);
   return parsePatch(patch.patch)
@@ -53,21 +53,23 @@
         ? Right(mergePatch(before as unknown as Json, parsed))
         : applyOperations(before, parsed),
     )
-    .chain(after => readKeyed(after, fleet, base.placement))
+    .chain(after => parseKeyedDeclarations(after, fleet, base.placement))
     .map(declarations => ({
       declarations,
-      changedPaths: changedPaths(base, declarations),
+      changedPaths: findChangedPaths(base, declarations),
     }));
 }
 
 /** Pointers into the keyed form under which two declarations differ. */
-function changedPaths(
+function findChangedPaths(
   before: Declarations,
   after: Declarations,
 ): readonly string[] {
-  const paths = createPatch(toKeyed(before), toKeyed(after), wholeLists).map(
-    operation => operation.path,
-  );
+  const paths = createPatch(
+    toKeyed(before),
+    toKeyed(after),
+    diffListsAsWhole,
+  ).map(operation => operation.path);
   return [...new Set(paths)].sort();
 }
 
@@ -75,7 +77,7 @@
  * A changed list is told as one replaced value: the edit script inside it is
  * quadratic in its length and tells an operator nothing.
  */
-function wholeLists(
+function diffListsAsWhole(
   input: unknown,
   output: unknown,
   at: Pointer,
--- a/src/config/peer_exchange.ts
+++ b/src/config/peer_exchange.ts
@@ -14,17 +14,17 @@
 } from '../types/peer_messages.js';
 import type {Transport} from '../types/transport.js';
 import type {ConfigState} from './config_state.js';
-import {isIntact, parseManifest} from './documents.js';
+import {matchesHash, parseManifest} from './documents.js';
 import type {Manifest} from './documents.js';
 
 const FETCH_TIMEOUT_MS = 2_000;
 /** Documents asked for in one call. */
-const FETCH_BATCH = 64;
+const MAX_DOCUMENTS_PER_FETCH = 64;
 /** Bytes of documents in one answer; keeps messages far below grpc's limit. */
-const MAX_ANSWER_BYTES = 1_000_000;
+const MAX_REPLY_BYTES = 1_000_000;
 
 /** Answers a peer from what is in force here. */
-export function answerFetch(
+export function createFetchReply(
   state: ConfigState,
   req: FetchConfigReq,
 ): FetchConfigRes {
@@ -33,24 +33,24 @@
   return {
     number: state.number(),
     manifest: isNewer ? JSON.stringify(manifest) : '',
-    documents: pickDocuments(state.documents(), req.wantHashes),
+    documents: selectDocuments(state.knownDocuments(), req.wantHashes),
   };
 }
 
-function pickDocuments(
+function selectDocuments(
   known: ReadonlyMap<string, string>,
   hashes: readonly string[],
 ): readonly ConfigDocument[] {
-  const picked: ConfigDocument[] = [];
+  const selected: ConfigDocument[] = [];
   let bytes = 0;
   for (const hash of hashes) {
     const json = known.get(hash);
     if (json === undefined) continue;
     bytes += Buffer.byteLength(json);
-    if (picked.length > 0 && bytes > MAX_ANSWER_BYTES) break;
-    picked.push({hash, json});
+    if (selected.length > 0 && bytes > MAX_REPLY_BYTES) break;
+    selected.push({hash, json});
   }
-  return picked;
+  return selected;
 }
 
 /** What a peer had to give. */
@@ -63,9 +63,9 @@
 export interface PeerFetchOptions {
   readonly transport: Transport;
   readonly haveNumber: ConfigNumber;
-  readonly known: ReadonlyMap<string, string>;
+  readonly knownDocuments: ReadonlyMap<string, string>;
   /** A document came whose text does not match its hash. */
-  readonly onCorrupt: (hash: string) => void;
+  readonly onCorruptDocument: (hash: string) => void;
 }
 
 /**
@@ -77,18 +77,18 @@
   peer: Address,
 ): Promise<Either<OnyxError, FetchedConfig | undefined>> {
   const {transport, haveNumber} = options;
-  const first = await transport.call(
+  const manifestReply = await transport.call(
     peer,
     'fetchConfig',
     {haveNumber, wantHashes: []},
     FETCH_TIMEOUT_MS,
   );
-  if (first.isLeft()) return first;
-  const res = first.extract() as FetchConfigRes;
+  if (manifestReply.isLeft()) return manifestReply;
+  const res = manifestReply.extract() as FetchConfigRes;
   if (res.manifest === '') return Right(undefined);
-  const manifest = readManifest(res.manifest);
+  const manifest = tryParseManifest(res.manifest);
   if (manifest === undefined) {
-    return Left(fetchError(peer, 'the manifest is not readable'));
+    return Left(createFetchError(peer, 'the manifest is not readable'));
   }
   return fetchDocuments(options, peer, manifest);
 }
@@ -98,37 +98,39 @@
   peer: Address,
   manifest: Manifest,
 ): Promise<Either<OnyxError, FetchedConfig>> {
-  const jsonByHash = new Map(options.known);
+  const jsonByHash = new Map(options.knownDocuments);
   for (;;) {
     const missing = manifest.documents
       .map(({hash}) => hash)
       .filter(hash => !jsonByHash.has(hash));
     if (missing.length === 0) return Right({manifest, jsonByHash});
-    const answer = await options.transport.call(
+    const documentsReply = await options.transport.call(
       peer,
       'fetchConfig',
       {
         haveNumber: options.haveNumber,
-        wantHashes: missing.slice(0, FETCH_BATCH),
+        wantHashes: missing.slice(0, MAX_DOCUMENTS_PER_FETCH),
       },
       FETCH_TIMEOUT_MS,
     );
-    if (answer.isLeft()) return answer;
-    const {documents} = answer.extract() as FetchConfigRes;
-    const sound = documents.filter(document => {
-      if (isIntact(document)) return true;
-      options.onCorrupt(document.hash);
+    if (documentsReply.isLeft()) return documentsReply;
+    const {documents} = documentsReply.extract() as FetchConfigRes;
+    const intact = documents.filter(document => {
+      if (matchesHash(document)) return true;
+      options.onCorruptDocument(document.hash);
       return false;
     });
     // The peer has gone on to a later number, or sends what is broken.
-    if (sound.length === 0) {
-      return Left(fetchError(peer, `${missing.length} documents are missing`));
+    if (intact.length === 0) {
+      return Left(
+        createFetchError(peer, `${missing.length} documents are missing`),
+      );
     }
-    for (const {hash, json} of sound) jsonByHash.set(hash, json);
+    for (const {hash, json} of intact) jsonByHash.set(hash, json);
   }
 }
 
-function readManifest(text: string): Manifest | undefined {
+function tryParseManifest(text: string): Manifest | undefined {
   try {
     return parseManifest(text);
   } catch {
@@ -136,6 +138,6 @@
   }
 }
 
-function fetchError(peer: Address, message: string): OnyxError {
+function createFetchError(peer: Address, message: string): OnyxError {
   return new OnyxError({code: 'internal', step: 'config', peer, message});
 }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -14,13 +14,9 @@
   PoolId,
 } from '../types/ids.js';
 import type {EventSpec} from '../types/runtime.js';
-import {crossFaults} from './settings_rules.js';
+import {optionRuleFaults} from './settings_rules.js';
 import {settingsSchemaOf} from './settings_schema.js';
-import {
-  bySettingsLine,
-  parseDocument,
-  schemaFaults,
-} from './settings_faults.js';
+import {sortByLine, parseDocument, schemaFaults} from './settings_faults.js';
 import type {SettingsFault} from './settings_faults.js';
 
 export type {SettingsFault} from './settings_faults.js';
@@ -171,7 +167,7 @@
   file: string,
 ): Either<readonly SettingsFault[], Settings> {
   return Either.encase(() => readFileSync(file, 'utf8'))
-    .mapLeft(err => [unreadable(file, err)])
+    .mapLeft(err => [createUnreadableFault(file, err)])
     .chain(text => parseSettings(text, file));
 }
 
@@ -185,13 +181,13 @@
   const faults = [
     ...document.faults,
     ...(result.success ? [] : schemaFaults(document, result.error.issues)),
-    ...crossFaults(document),
+    ...optionRuleFaults(document),
   ];
-  if (faults.length > 0) return Left(bySettingsLine(faults));
+  if (faults.length > 0) return Left(sortByLine(faults));
   return Right(result.data as Settings);
 }
 
-function unreadable(file: string, err: Error): SettingsFault {
+function createUnreadableFault(file: string, err: Error): SettingsFault {
   return {
     file,
     line: 0,
--- a/src/config/settings_faults.ts
+++ b/src/config/settings_faults.ts
@@ -51,26 +51,26 @@
   const root = parseTree(text, errors, {allowTrailingComma: true});
   const lineAt = (offset: number) => text.slice(0, offset).split('\n').length;
   const nodeAt = (path: readonly PropertyKey[]) =>
-    root && findNodeAtLocation(root, path.map(segment));
+    root && findNodeAtLocation(root, path.map(toPathSegment));
   const lineOf = (path: readonly PropertyKey[]): number => {
     const node = nodeAt(path);
     if (node !== undefined) return lineAt((node.parent ?? node).offset);
     return path.length === 0 ? 1 : lineOf(path.slice(0, -1));
   };
-  const syntax = errors.map(error => ({
+  const syntaxFaults = errors.map(error => ({
     file,
     line: lineAt(error.offset),
     option: '',
     message: `is not JSON with comments: ${syntaxMessage(error)}`,
     mend: 'mend the text at this line',
   }));
-  const doubled = root === undefined ? [] : doubledOptions(root, '');
+  const duplicates = root === undefined ? [] : duplicateOptions(root, '');
   return {
     file,
     value: root === undefined ? undefined : getNodeValue(root),
     faults: [
-      ...syntax,
-      ...doubled.map(({option, offset}) => ({
+      ...syntaxFaults,
+      ...duplicates.map(({option, offset}) => ({
         file,
         line: lineAt(offset),
         option,
@@ -84,7 +84,7 @@
 }
 
 /** Faults in the order of their lines. */
-export function bySettingsLine(
+export function sortByLine(
   faults: readonly SettingsFault[],
 ): readonly SettingsFault[] {
   return [...faults].sort((a, b) => a.line - b.line);
@@ -108,9 +108,9 @@
 ): readonly SettingsFault[] {
   // A text with broken syntax loses options after the break: telling them as
   // missing would send the reader after faults that are not there.
-  const broken = document.faults.some(fault => fault.option === '');
+  const hasSyntaxFault = document.faults.some(fault => fault.option === '');
   return issues
-    .filter(issue => !broken || document.has(issue.path))
+    .filter(issue => !hasSyntaxFault || document.has(issue.path))
     .flatMap(issue => issueFaults(document, issue));
 }
 
@@ -207,26 +207,29 @@
   return {...at, message: 'is not an option', mend};
 }
 
-interface DoubledOption {
+interface DuplicateOption {
   readonly option: string;
   readonly offset: number;
 }
 
-function doubledOptions(node: Node, path: string): readonly DoubledOption[] {
+function duplicateOptions(
+  node: Node,
+  path: string,
+): readonly DuplicateOption[] {
   const seen = new Set<string>();
   return (node.children ?? []).flatMap(child => {
-    if (child.type !== 'property') return doubledOptions(child, path);
+    if (child.type !== 'property') return duplicateOptions(child, path);
     const [key, value] = child.children ?? [];
     const name = String(key?.value);
     const option = path === '' ? name : `${path}.${name}`;
-    const doubled = seen.has(name) ? [{option, offset: child.offset}] : [];
+    const duplicate = seen.has(name) ? [{option, offset: child.offset}] : [];
     seen.add(name);
-    const inner = value === undefined ? [] : doubledOptions(value, option);
-    return [...doubled, ...inner];
+    const inner = value === undefined ? [] : duplicateOptions(value, option);
+    return [...duplicate, ...inner];
   });
 }
 
-function segment(key: PropertyKey): string | number {
+function toPathSegment(key: PropertyKey): string | number {
   return typeof key === 'number' ? key : String(key);
 }
 
--- a/src/config/settings_rules.ts
+++ b/src/config/settings_rules.ts
@@ -14,31 +14,31 @@
 type TimingName = keyof typeof TIMING_DEFAULTS;
 
 /** Faults of the rules between options. */
-export function crossFaults(
+export function optionRuleFaults(
   document: SettingsDocument,
 ): readonly SettingsFault[] {
-  return RULES.flatMap(rule => rule(document));
+  return OPTION_RULES.flatMap(rule => rule(document));
 }
 
-const RULES: readonly Rule[] = [
+const OPTION_RULES: readonly Rule[] = [
   // One lost heartbeat must not make a peer suspect.
-  longer('suspectAfterMs', 'heartbeatMs', 1),
+  mustExceed('suspectAfterMs', 'heartbeatMs', 1),
   // Runs must outlive two lost heartbeats of their entry, or a short stall
   // of the network would cancel work that is still wanted.
-  longer('holdMs', 'heartbeatMs', 2),
+  mustExceed('holdMs', 'heartbeatMs', 2),
   // An entry must dial anew before the side gives its run up.
-  longer('holdMs', 'channelSilenceMs', 1),
-  longer('channelSilenceMs', 'heartbeatMs', 1),
+  mustExceed('holdMs', 'channelSilenceMs', 1),
+  mustExceed('channelSilenceMs', 'heartbeatMs', 1),
   // A copy of an offer or go may arrive until its sender gave up on it.
-  longer('tombstoneMs', 'offerLapseMs', 2),
-  longer('tombstoneMs', 'peerTimeoutMs', 2),
-  bodyOverHeader,
-  reachable,
-  distinctAddresses,
-  fenceOfService,
+  mustExceed('tombstoneMs', 'offerLapseMs', 2),
+  mustExceed('tombstoneMs', 'peerTimeoutMs', 2),
+  checkBodyLimit,
+  checkPeersAddress,
+  checkDistinctAddresses,
+  checkFenceOption,
 ];
 
-function longer(name: TimingName, than: TimingName, times: number): Rule {
+function mustExceed(name: TimingName, than: TimingName, times: number): Rule {
   return document => {
     const value = timingOf(document, name);
     const other = timingOf(document, than);
@@ -46,7 +46,7 @@
     if (value > times * other) return [];
     const factor = times === 1 ? '' : `${times} times `;
     return [
-      fault(
+      createFault(
         document,
         ['timing', name],
         `is ${value}, not over ${factor}timing.${than} (${other})`,
@@ -56,34 +56,36 @@
   };
 }
 
-function bodyOverHeader(document: SettingsDocument): readonly SettingsFault[] {
+function checkBodyLimit(document: SettingsDocument): readonly SettingsFault[] {
   const body = limitOf(document, 'maxBodyBytes');
   const header = limitOf(document, 'maxHeaderBytes');
   if (body === undefined || header === undefined || body >= header) return [];
   const message = `is ${body}, under limits.maxHeaderBytes (${header})`;
   const mend = `write at least ${header}, or lower limits.maxHeaderBytes`;
-  return [fault(document, ['limits', 'maxBodyBytes'], message, mend)];
+  return [createFault(document, ['limits', 'maxBodyBytes'], message, mend)];
 }
 
 /** Peers cannot dial the wildcard address or port 0. */
-function reachable(document: SettingsDocument): readonly SettingsFault[] {
+function checkPeersAddress(
+  document: SettingsDocument,
+): readonly SettingsFault[] {
   const advertised = addressAt(document, ['advertise', 'peers']);
-  const wildcard = (ip: string) => ip === '0.0.0.0' || ip === '::';
+  const isWildcard = (ip: string) => ip === '0.0.0.0' || ip === '::';
   if (advertised !== undefined) {
-    if (!wildcard(advertised.ip) && advertised.port !== 0) return [];
+    if (!isWildcard(advertised.ip) && advertised.port !== 0) return [];
     const mend = 'write the IP and port at which peers reach this process';
     const message = 'cannot be dialled by peers';
-    return [fault(document, ['advertise', 'peers'], message, mend)];
+    return [createFault(document, ['advertise', 'peers'], message, mend)];
   }
   const listened = addressAt(document, ['listen', 'peers']);
   if (document.has(['advertise']) || listened === undefined) return [];
-  if (!wildcard(listened.ip)) return [];
+  if (!isWildcard(listened.ip)) return [];
   const message = 'listens on all addresses, and none is advertised';
   const mend = 'write one IP, or add advertise.peers';
-  return [fault(document, ['listen', 'peers'], message, mend)];
+  return [createFault(document, ['listen', 'peers'], message, mend)];
 }
 
-function distinctAddresses(
+function checkDistinctAddresses(
   document: SettingsDocument,
 ): readonly SettingsFault[] {
   const names = ['callers', 'operators', 'peers'];
@@ -97,21 +99,30 @@
     if (other === undefined) return [];
     const message = `is the address of listen.${other} too`;
     return [
-      fault(document, ['listen', name], message, 'write another port here'),
+      createFault(
+        document,
+        ['listen', name],
+        message,
+        'write another port here',
+      ),
     ];
   });
 }
 
-function fenceOfService(document: SettingsDocument): readonly SettingsFault[] {
+function checkFenceOption(
+  document: SettingsDocument,
+): readonly SettingsFault[] {
   const kind = valueAt(document, ['upstream', 'kind']);
   const refuses = valueAt(document, ['upstream', 'refusesOldFence']);
   if (kind !== 'service' || refuses !== true) return [];
   const message = 'is true, but a plain service takes no orders';
   const mend = 'remove it, or set upstream.kind to "engine"';
-  return [fault(document, ['upstream', 'refusesOldFence'], message, mend)];
+  return [
+    createFault(document, ['upstream', 'refusesOldFence'], message, mend),
+  ];
 }
 
-function fault(
+function createFault(
   document: SettingsDocument,
   path: readonly string[],
   message: string,
@@ -137,18 +148,27 @@
 }
 
 function timingOf(document: SettingsDocument, name: TimingName) {
-  return numberOr(valueAt(document, ['timing', name]), TIMING_DEFAULTS[name]);
+  return numberOrDefault(
+    valueAt(document, ['timing', name]),
+    TIMING_DEFAULTS[name],
+  );
 }
 
 function limitOf(
   document: SettingsDocument,
   name: keyof typeof LIMIT_DEFAULTS,
 ) {
-  return numberOr(valueAt(document, ['limits', name]), LIMIT_DEFAULTS[name]);
+  return numberOrDefault(
+    valueAt(document, ['limits', name]),
+    LIMIT_DEFAULTS[name],
+  );
 }
 
 /** The value, its default when it is left out, undefined when it is wrong. */
-function numberOr(value: unknown, otherwise: number): number | undefined {
-  if (value === undefined) return otherwise;
+function numberOrDefault(
+  value: unknown,
+  defaultValue: number,
+): number | undefined {
+  if (value === undefined) return defaultValue;
   return typeof value === 'number' ? value : undefined;
 }
--- a/src/config/settings_schema.ts
+++ b/src/config/settings_schema.ts
@@ -7,7 +7,7 @@
 import {z} from 'zod';
 import {parseKeyHash} from '../utils/keys.js';
 
-const NAME = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
+const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 const MAX_PORT = 65_535;
 const HOUR_MS = 3_600_000;
 const MEBIBYTE = 1_048_576;
@@ -36,7 +36,10 @@
 
 const name = z
   .string()
-  .regex(NAME, 'is not a name of 1 to 63 letters, digits, ".", "_" and "-"');
+  .regex(
+    NAME_PATTERN,
+    'is not a name of 1 to 63 letters, digits, ".", "_" and "-"',
+  );
 const address = z
   .string()
   .refine(
@@ -52,7 +55,7 @@
     'is not a salted hash of a token',
   );
 
-const ms = (most: number) => z.int().min(1).max(most);
+const ms = (max: number) => z.int().min(1).max(max);
 const timing = z.strictObject({
   heartbeatMs: ms(60_000).default(1_000),
   suspectAfterMs: ms(HOUR_MS).default(3_000),
@@ -122,7 +125,7 @@
   .transform(withAdvertise);
 
 /** For a file without a known role: checks only what all roles have. */
-const anySchema = z
+const unknownRoleSchema = z
   .strictObject({
     role: z.enum(['entry', 'side']),
     ...common,
@@ -153,7 +156,7 @@
   const role = (value as {readonly role?: unknown} | null | undefined)?.role;
   if (role === 'entry') return entrySchema;
   if (role === 'side') return sideSchema;
-  return anySchema;
+  return unknownRoleSchema;
 }
 
 /** Example of each option: what to write, shown in a fault's mend. */
--- a/src/config/validate.ts
+++ b/src/config/validate.ts
@@ -14,42 +14,42 @@
   keyedDeclarationsSchema,
 } from './declarations_schema.js';
 import {fromKeyed} from './keyed_form.js';
-import {pointerOf} from './json_pointer.js';
+import {toJsonPointer} from './json_pointer.js';
 
 /** Pool name under which the host list shows entries. */
 const ENTRY_POOL = 'entry';
 /** A sum of shares may pass 1 by this much, for rounding. */
-const SHARE_SLACK = 1e-9;
+const SHARE_TOLERANCE = 1e-9;
 
 /** What is known of the fleet: live hosts by pool and failure domain. */
-export type KnownFleet = ReadonlyMap<
+export type LiveHostCounts = ReadonlyMap<
   PoolId,
   ReadonlyMap<FailureDomain, number>
 >;
 
 /** Counts the live upstream hosts of a host list. */
-export function fleetOfHosts(hosts: readonly HostInfo[]): KnownFleet {
-  const fleet = new Map<PoolId, Map<FailureDomain, number>>();
+export function countLiveHosts(hosts: readonly HostInfo[]): LiveHostCounts {
+  const counts = new Map<PoolId, Map<FailureDomain, number>>();
   for (const host of hosts) {
     if (host.pool === ENTRY_POOL || host.state !== 'live') continue;
-    const domains = fleet.get(host.pool) ?? new Map<FailureDomain, number>();
+    const domains = counts.get(host.pool) ?? new Map<FailureDomain, number>();
     domains.set(host.failureDomain, (domains.get(host.failureDomain) ?? 0) + 1);
-    fleet.set(host.pool, domains);
+    counts.set(host.pool, domains);
   }
-  return fleet;
+  return counts;
 }
 
 /**
  * Reads the keyed form and checks it. Left: every fault found. `fleet` adds
  * the checks against live hosts; without it these are left out.
  */
-export function readKeyed(
+export function parseKeyedDeclarations(
   keyed: unknown,
-  fleet?: KnownFleet,
+  fleet?: LiveHostCounts,
   before: readonly PlacementWish[] = [],
 ): Either<readonly ConfigFault[], Declarations> {
   const parsed = keyedDeclarationsSchema.safeParse(keyed);
-  if (!parsed.success) return Left(parsed.error.issues.map(faultOfIssue));
+  if (!parsed.success) return Left(parsed.error.issues.map(toFault));
   const declarations = fromKeyed(parsed.data);
   const faults = validateDeclarations(declarations, fleet, before);
   return faults.length === 0 ? Right(declarations) : Left(faults);
@@ -61,18 +61,18 @@
  */
 function validateDeclarations(
   declarations: Declarations,
-  fleet?: KnownFleet,
+  fleet?: LiveHostCounts,
   before: readonly PlacementWish[] = [],
 ): readonly ConfigFault[] {
   return [
     ...duplicateFaults(declarations),
     ...modelFaults(declarations),
-    ...priorityFaults(declarations),
-    ...lengthFaults(declarations),
-    ...keyFaults(declarations),
+    ...priorityClassFaults(declarations),
+    ...lengthClassFaults(declarations),
+    ...duplicateKeyFaults(declarations),
     ...placementFaults(declarations),
     ...policyFaults(declarations),
-    ...(fleet === undefined ? [] : fleetFaults(declarations, fleet, before)),
+    ...(fleet === undefined ? [] : capacityFaults(declarations, fleet, before)),
   ];
 }
 
@@ -83,18 +83,18 @@
   readonly keys?: readonly string[];
 }
 
-function faultOfIssue(raw: object): ConfigFault {
+function toFault(raw: object): ConfigFault {
   const issue = raw as SchemaIssue;
   if (issue.code === 'unrecognized_keys') {
     const keys = issue.keys ?? [];
     return {
-      path: pointerOf([...issue.path, ...keys.slice(0, 1)].map(String)),
+      path: toJsonPointer([...issue.path, ...keys.slice(0, 1)].map(String)),
       message: `unknown field ${keys.map(key => `"${key}"`).join(', ')}`,
       mend: 'remove the field or correct its name',
     };
   }
   return {
-    path: pointerOf(issue.path.map(String)),
+    path: toJsonPointer(issue.path.map(String)),
     message: issue.message,
     mend: 'write a value of the kind that docs/operators/configuration.md gives for this field',
   };
@@ -110,7 +110,7 @@
     ['placement', d.placement.map(item => [item.pool, item.model])],
   ];
   return lists.flatMap(([list, keys]) => {
-    const paths = keys.map(key => pointerOf([list, ...key]));
+    const paths = keys.map(key => toJsonPointer([list, ...key]));
     const twice = paths.filter((path, at) => paths.indexOf(path) !== at);
     return [...new Set(twice)].map(path => ({
       path,
@@ -123,7 +123,7 @@
 function modelFaults(d: Declarations): readonly ConfigFault[] {
   const defaults = d.models.filter(model => model.isDefault);
   const faults = defaults.slice(1).map(model => ({
-    path: pointerOf(['models', model.id, 'isDefault']),
+    path: toJsonPointer(['models', model.id, 'isDefault']),
     message: `"${defaults[0]?.id}" is the default model already`,
     mend: 'set isDefault to false on all models but one',
   }));
@@ -131,14 +131,14 @@
   const tooLong = d.models
     .filter(model => model.maxPromptTokens > longest)
     .map(model => ({
-      path: pointerOf(['models', model.id, 'maxPromptTokens']),
+      path: toJsonPointer(['models', model.id, 'maxPromptTokens']),
       message: `prompts of ${model.maxPromptTokens} tokens fit no length class; the longest takes ${longest}`,
       mend: `lower it to ${longest}, or add a length class with a larger maxTokens`,
     }));
   return [...faults, ...tooLong];
 }
 
-function priorityFaults(d: Declarations): readonly ConfigFault[] {
+function priorityClassFaults(d: Declarations): readonly ConfigFault[] {
   if (d.priorityClasses.length === 0) {
     return [
       {
@@ -159,13 +159,13 @@
     ];
   }
   return defaults.slice(1).map(item => ({
-    path: pointerOf(['priorityClasses', item.name, 'isDefault']),
+    path: toJsonPointer(['priorityClasses', item.name, 'isDefault']),
     message: `"${defaults[0]?.name}" is the default priority class already`,
     mend: 'set isDefault to false on all priority classes but one',
   }));
 }
 
-function lengthFaults(d: Declarations): readonly ConfigFault[] {
+function lengthClassFaults(d: Declarations): readonly ConfigFault[] {
   if (d.lengthClasses.length === 0) {
     return [
       {
@@ -175,30 +175,30 @@
       },
     ];
   }
-  const growing = d.lengthClasses.flatMap((item, at) => {
+  const orderFaults = d.lengthClasses.flatMap((item, at) => {
     const before = d.lengthClasses[at - 1];
     if (before === undefined || before.maxTokens < item.maxTokens) return [];
     return [
       {
-        path: pointerOf(['lengthClasses', item.name, 'maxTokens']),
+        path: toJsonPointer(['lengthClasses', item.name, 'maxTokens']),
         message: `${item.maxTokens} is not over the ${before.maxTokens} of "${before.name}"`,
         mend: 'give each length class a maxTokens of its own',
       },
     ];
   });
-  const floors = d.lengthClasses.reduce((sum, c) => sum + c.memoryFloor, 0);
-  if (floors <= 1 + SHARE_SLACK) return growing;
+  const floorSum = d.lengthClasses.reduce((sum, c) => sum + c.memoryFloor, 0);
+  if (floorSum <= 1 + SHARE_TOLERANCE) return orderFaults;
   return [
-    ...growing,
+    ...orderFaults,
     {
       path: '/lengthClasses',
-      message: `memory floors add up to ${floors.toFixed(3)} of an engine`,
+      message: `memory floors add up to ${floorSum.toFixed(3)} of an engine`,
       mend: 'lower memoryFloor until the sum is 1 at most',
     },
   ];
 }
 
-function keyFaults(d: Declarations): readonly ConfigFault[] {
+function duplicateKeyFaults(d: Declarations): readonly ConfigFault[] {
   const owner = new Map<string, string>();
   return d.organisations.flatMap(organisation =>
     organisation.keyHashes.flatMap((hash, at) => {
@@ -207,7 +207,7 @@
       if (other === undefined) return [];
       return [
         {
-          path: pointerOf([
+          path: toJsonPointer([
             'organisations',
             organisation.id,
             'keyHashes',
@@ -225,7 +225,7 @@
   const models = new Set(d.models.map(model => model.id));
   const services = new Set(d.services.map(service => service.pool));
   return d.placement.flatMap(wish => {
-    const path = pointerOf(['placement', wish.pool, wish.model]);
+    const path = toJsonPointer(['placement', wish.pool, wish.model]);
     const faults: ConfigFault[] = [];
     if (!models.has(wish.model)) {
       faults.push({
@@ -261,23 +261,23 @@
  * Only wishes that the patch changes: while a failure domain is lost, an old
  * wish can't be met, and must not stop an operator from changing anything.
  */
-function fleetFaults(
+function capacityFaults(
   d: Declarations,
-  fleet: KnownFleet,
+  fleet: LiveHostCounts,
   before: readonly PlacementWish[],
 ) {
-  const kept = new Set(before.map(wish => JSON.stringify(wish)));
+  const unchanged = new Set(before.map(wish => JSON.stringify(wish)));
   return d.placement
-    .filter(wish => !kept.has(JSON.stringify(wish)))
-    .flatMap(wish => wishFleetFaults(wish, fleet));
+    .filter(wish => !unchanged.has(JSON.stringify(wish)))
+    .flatMap(wish => wishCapacityFaults(wish, fleet));
 }
 
-function wishFleetFaults(
+function wishCapacityFaults(
   wish: PlacementWish,
-  fleet: KnownFleet,
+  fleet: LiveHostCounts,
 ): readonly ConfigFault[] {
   const domains = fleet.get(wish.pool);
-  const path = pointerOf(['placement', wish.pool, wish.model]);
+  const path = toJsonPointer(['placement', wish.pool, wish.model]);
   if (domains === undefined) {
     return [
       {
@@ -288,7 +288,7 @@
     ];
   }
   const hosts = [...domains.values()].reduce((sum, n) => sum + n, 0);
-  const least = Math.min(...domains.values());
+  const smallestDomain = Math.min(...domains.values());
   const faults: ConfigFault[] = [];
   if (wish.minReplicas > hosts) {
     faults.push({
@@ -297,11 +297,11 @@
       mend: `lower it to ${hosts} or add hosts first`,
     });
   }
-  if (wish.minPerFailureDomain > least) {
+  if (wish.minPerFailureDomain > smallestDomain) {
     faults.push({
       path: `${path}/minPerFailureDomain`,
-      message: `${wish.minPerFailureDomain} replicas are wished of each failure domain; the smallest has ${least} hosts`,
-      mend: `lower it to ${least} or add hosts first`,
+      message: `${wish.minPerFailureDomain} replicas are wished of each failure domain; the smallest has ${smallestDomain} hosts`,
+      mend: `lower it to ${smallestDomain} or add hosts first`,
     });
   }
   return faults;
--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -12,8 +12,8 @@
   TimingSettings,
 } from './config/settings.js';
 import {createConfigService} from './config/config_service.js';
-import {fleetOfHosts} from './config/validate.js';
-import type {KnownFleet} from './config/validate.js';
+import {countLiveHosts} from './config/validate.js';
+import type {LiveHostCounts} from './config/validate.js';
 import {createClaimsService} from './entry/claims/claims.js';
 import {createEntryPeersService} from './entry/entry_peers.js';
 import {createCallersService} from './entry/front/http_callers.js';
@@ -118,7 +118,7 @@
       role: 'entry',
       store,
       transport,
-      knownFleet: () => readKnownFleet(parts.hostList),
+      liveHostCounts: () => readKnownFleet(parts.hostList),
     }),
   );
   await kernel.start(createClaimsService({store}));
@@ -157,11 +157,13 @@
 }
 
 /** Nothing while the host list is out or empty: then no wish is judged by it. */
-async function readKnownFleet(hostList: HostList): Promise<Maybe<KnownFleet>> {
+async function readKnownFleet(
+  hostList: HostList,
+): Promise<Maybe<LiveHostCounts>> {
   return (await hostList())
     .toMaybe()
     .filter(hosts => hosts.length > 0)
-    .map(fleetOfHosts);
+    .map(countLiveHosts);
 }
 
 /** Starts a side's services but its HTTP front; see `startEntryCore`. */
--- a/test/config_apply.test.ts
+++ b/test/config_apply.test.ts
@@ -85,7 +85,7 @@
   it('lets one of two racing operators through', async () => {
     const nodes = await start(4);
     for (let base = 0; base < 10; base++) {
-      const outcomes = await cluster.until(
+      const outcomes = await cluster.runUntilSettled(
         Promise.all(
           nodes.map((node, n) =>
             cluster.apply(node, {
--- a/test/config_spread.test.ts
+++ b/test/config_spread.test.ts
@@ -1,6 +1,6 @@
 import {afterEach, describe, expect, it} from 'vitest';
 import {CONFIG_EVENTS} from '../src/utils/events.js';
-import {askFetch, createConfigCluster} from './support/config_cluster.js';
+import {fetchAsPeer, createConfigCluster} from './support/config_cluster.js';
 import type {ConfigCluster, ConfigNode} from './support/config_cluster.js';
 
 let cluster: ConfigCluster;
@@ -67,7 +67,7 @@
     cluster.core.setFaults({staleMs: 15_000});
     await cluster.clock.runFor(120_000);
     expect(new Set(numbers())).toEqual(new Set([5]));
-    for (const node of nodes) expect(onlyGrows(node.seen)).toBe(true);
+    for (const node of nodes) expect(onlyGrows(node.numbersInForce)).toBe(true);
     const noted = nodes.flatMap(node =>
       node.recording.eventsOf(CONFIG_EVENTS.olderOffered),
     );
@@ -80,7 +80,7 @@
     cluster.core.setFaults({outage: true});
     const late = await cluster.addNode();
     let spoilt = true;
-    nodes[0].answer({
+    nodes[0].setHandlers({
       entryHeartbeat: req => {
         late.kernel.send('config', {
           kind: 'peer-number',
@@ -90,7 +90,7 @@
         return Promise.resolve({...req, configNumber: 1});
       },
       fetchConfig: async req => {
-        const res = await askFetch(nodes[0].kernel, req);
+        const res = await fetchAsPeer(nodes[0].kernel, req);
         if (!spoilt) return res;
         const documents = res.documents.map(({hash, json}) => ({
           hash,
@@ -114,11 +114,11 @@
     await applyNext(nodes[0], 0);
     await cluster.clock.runFor(3_000);
     const wanted: number[] = [];
-    nodes[0].answer({
+    nodes[0].setHandlers({
       entryHeartbeat: req => Promise.resolve({...req, configNumber: 2}),
       fetchConfig: req => {
         wanted.push(req.wantHashes.length);
-        return askFetch(nodes[0].kernel, req);
+        return fetchAsPeer(nodes[0].kernel, req);
       },
     });
     await applyNext(nodes[0], 1);
--- a/test/config_validate.test.ts
+++ b/test/config_validate.test.ts
@@ -6,7 +6,7 @@
   splitDeclarations,
 } from '../src/config/documents.js';
 import {patchDeclarations} from '../src/config/patch.js';
-import {fleetOfHosts} from '../src/config/validate.js';
+import {countLiveHosts} from '../src/config/validate.js';
 import type {Declarations} from '../src/types/config.js';
 import type {HostInfo} from '../src/types/platform.js';
 
@@ -127,7 +127,7 @@
     const faults = patchDeclarations(
       createInitialDeclarations(),
       {form: 'merge-patch', patch: JSON.stringify(patch)},
-      fleetOfHosts(hosts),
+      countLiveHosts(hosts),
     );
     expect(faults.swap().unsafeCoerce()).toMatchObject([
       {path: '/placement/nowhere/a'},
--- a/test/examples.test.ts
+++ b/test/examples.test.ts
@@ -7,7 +7,7 @@
 import {createInitialDeclarations} from '../src/config/declarations_schema.js';
 import {patchDeclarations} from '../src/config/patch.js';
 import {loadSettings} from '../src/config/settings.js';
-import {fleetOfHosts} from '../src/config/validate.js';
+import {countLiveHosts} from '../src/config/validate.js';
 import type {Declarations} from '../src/types/config.js';
 import type {HostInfo} from '../src/types/platform.js';
 import type {ConfigFault} from '../src/types/services.js';
@@ -44,7 +44,7 @@
   return patchDeclarations(
     createInitialDeclarations(),
     {form: 'merge-patch', patch},
-    fleetOfHosts(hosts),
+    countLiveHosts(hosts),
   ).map(({declarations}) => declarations);
 }
 
--- a/test/support/config_cluster.ts
+++ b/test/support/config_cluster.ts
@@ -36,7 +36,7 @@
 
 const HEARTBEAT_MS = 1_000;
 /** Processes to which each one sends heartbeats. */
-const PEERS = 4;
+const PEERS_PER_NODE = 4;
 
 export interface ConfigNode {
   readonly name: string;
@@ -46,9 +46,9 @@
   readonly store: MemoryObjectStore;
   readonly transport: Transport;
   /** Answers peers in another way from here on. */
-  answer(handlers: PeerHandlers): void;
+  setHandlers(handlers: PeerHandlers): void;
   /** Numbers in force here, in order. */
-  readonly seen: number[];
+  readonly numbersInForce: number[];
   inForce(): NumberedDeclarations | undefined;
 }
 
@@ -71,7 +71,7 @@
     number: number,
   ): Promise<Either<OnyxError, NumberedDeclarations>>;
   /** Runs the clock until the promise settles. */
-  until<T>(answer: Promise<T>): Promise<T>;
+  runUntilSettled<T>(answer: Promise<T>): Promise<T>;
   stop(): Promise<void>;
 }
 
@@ -82,17 +82,19 @@
   const core = createObjectStoreCore({clock, random});
   const net = createMemoryNetwork(clock, random);
   const nodes: ConfigNode[] = [];
-  const viewers = new Set<(view: MembershipView) => void>();
+  const membershipListeners = new Set<(view: MembershipView) => void>();
 
-  const membershipOf = (self: () => ConfigNode): ServiceSpec<'membership'> => ({
+  const createMembership = (
+    self: () => ConfigNode,
+  ): ServiceSpec<'membership'> => ({
     name: 'membership',
     start: ctx => {
       void ctx.mailbox.observe(message => {
         if (message.kind !== 'subscribe') return;
-        viewers.add(message.listener);
-        message.listener(viewOf(nodes));
+        membershipListeners.add(message.listener);
+        message.listener(membershipViewOf(nodes));
       });
-      const beat = () => {
+      const sendHeartbeats = () => {
         for (const peer of peersOf(nodes, self())) {
           const req = heartbeatOf(self());
           void self()
@@ -110,8 +112,8 @@
       };
       ctx.own(
         ctx.clock.after(random.next() * HEARTBEAT_MS, () => {
-          beat();
-          ctx.own(ctx.clock.every(HEARTBEAT_MS, beat));
+          sendHeartbeats();
+          ctx.own(ctx.clock.every(HEARTBEAT_MS, sendHeartbeats));
         }),
       );
     },
@@ -123,11 +125,11 @@
     const recording = createRecordingRuntime({clock, random});
     const kernel = createKernel(recording.runtime);
     const store = createMemoryObjectStore({core, clock});
-    const seen: number[] = [];
+    const numbersInForce: number[] = [];
     let latest: NumberedDeclarations | undefined;
     const transport = net.transport(address);
     let handlers: PeerHandlers = {
-      fetchConfig: req => askFetch(kernel, req),
+      fetchConfig: req => fetchAsPeer(kernel, req),
       entryHeartbeat: req => {
         const {address: peer, configNumber: number} = req;
         kernel.send('config', {kind: 'peer-number', peer, number});
@@ -141,19 +143,19 @@
       recording,
       store,
       transport,
-      answer: other => {
+      setHandlers: other => {
         handlers = {...handlers, ...other};
       },
-      seen,
+      numbersInForce,
       inForce: () => latest,
     };
     nodes.push(node);
-    for (const viewer of viewers) viewer(viewOf(nodes));
+    for (const viewer of membershipListeners) viewer(membershipViewOf(nodes));
     await transport.listen(address, {
-      fetchConfig: req => answerBy(handlers.fetchConfig, req),
-      entryHeartbeat: req => answerBy(handlers.entryHeartbeat, req),
+      fetchConfig: req => callHandler(handlers.fetchConfig, req),
+      entryHeartbeat: req => callHandler(handlers.entryHeartbeat, req),
     });
-    await kernel.start(membershipOf(() => node));
+    await kernel.start(createMembership(() => node));
     await kernel.start(
       createConfigService({
         node: name,
@@ -167,18 +169,18 @@
       kind: 'subscribe',
       listener: config => {
         latest = config;
-        seen.push(config.number);
+        numbersInForce.push(config.number);
       },
     });
     return node;
   };
 
-  const until = async <T>(answer: Promise<T>): Promise<T> => {
+  const runUntilSettled = async <T>(answer: Promise<T>): Promise<T> => {
     let settled = false;
-    const mark = () => {
+    const markSettled = () => {
       settled = true;
     };
-    answer.then(mark, mark);
+    answer.then(markSettled, markSettled);
     await clock.settle();
     while (!settled) await clock.step();
     return answer;
@@ -190,9 +192,9 @@
     net,
     nodes,
     addNode,
-    until,
+    runUntilSettled,
     apply: (node, patch) =>
-      until(
+      runUntilSettled(
         node.kernel.ask('config', reply => ({
           kind: 'apply',
           patch: {...PATCH, ...patch},
@@ -200,7 +202,7 @@
         })),
       ),
     history: node =>
-      until(
+      runUntilSettled(
         node.kernel.ask('config', reply => ({
           kind: 'history',
           limit: 9,
@@ -208,7 +210,7 @@
         })),
       ),
     show: (node, number) =>
-      until(
+      runUntilSettled(
         node.kernel.ask('config', reply => ({kind: 'show', number, reply})),
       ),
     stop: async () => {
@@ -228,14 +230,14 @@
 };
 
 /** Asks a process as a peer would. */
-export function askFetch(
+export function fetchAsPeer(
   kernel: Kernel,
   req: FetchConfigReq,
 ): Promise<FetchConfigRes> {
   return kernel.ask('config', reply => ({kind: 'fetch', req, reply}));
 }
 
-function answerBy<Req, Res>(
+function callHandler<Req, Res>(
   handler: ((req: Req) => Promise<Res>) | undefined,
   req: Req,
 ): Promise<Res> {
@@ -249,7 +251,7 @@
   self: ConfigNode,
 ): readonly ConfigNode[] {
   const at = nodes.indexOf(self);
-  const others = Math.min(PEERS, nodes.length - 1);
+  const others = Math.min(PEERS_PER_NODE, nodes.length - 1);
   return Array.from(
     {length: others},
     (_, hop) => nodes[(at + 2 ** hop) % nodes.length] as ConfigNode,
@@ -268,7 +270,7 @@
   };
 }
 
-function viewOf(nodes: readonly ConfigNode[]): MembershipView {
+function membershipViewOf(nodes: readonly ConfigNode[]): MembershipView {
   return {
     replicas: [],
     allSides: [],
--- a/test/support/run_tool.ts
+++ b/test/support/run_tool.ts
@@ -27,6 +27,6 @@
     });
   const context = {env, stdin, stdout, stderr, colorDepth: 1, openStore};
   const code = await runTool(args, context);
-  const kept = (stream: PassThrough) => String(stream.read() ?? '');
-  return {code, stdout: kept(stdout), stderr: kept(stderr)};
+  const readAll = (stream: PassThrough) => String(stream.read() ?? '');
+  return {code, stdout: readAll(stdout), stderr: readAll(stderr)};
 }
