--- a/src/config/apply_patch.ts
+++ b/src/config/apply_patch.ts
@@ -1,7 +1,8 @@
 /**
- * Takes an operator's patch to a new number, exactly once. A patch based on N
- * can only become N+1, by a conditional update of the head. So whatever
- * happened to an answer, the patch id found under N+1 tells who got it.
+ * Applies an operator's patch to the configuration at most once. A patch based
+ * on number N can only become number N+1, by a conditional update of the head
+ * object in the store. When the reply to that update is lost, the patch id
+ * stored under N+1 shows whether this patch or another one became N+1.
  */
 import {EitherAsync, Left, Right} from 'purify-ts';
 import type {Either, Maybe} from 'purify-ts';
@@ -30,34 +31,46 @@
 import type {PatchedDeclarations} from './patch.js';
 import type {LiveHostCounts} from './validate.js';
 
-/** Pause before a store call is repeated, drawn between half and all of it. */
+/**
+ * Longest pause before a store call is repeated, in milliseconds. Each pause is
+ * drawn at random between half of it and all of it.
+ */
 const MAX_RETRY_PAUSE_MS = 200;
 
-/** What the check and the acceptance of a patch need. */
+/** Dependencies and limits of applying a patch. */
 export interface ApplyPatchOptions {
   readonly store: ConfigStore;
   readonly clock: Clock;
   readonly random: Random;
-  /** The highest number that this process has seen. */
+  /** Returns the highest configuration number that this process has seen. */
   readonly highestSeenNumber: () => ConfigNumber;
-  /** Documents at hand, by hash. */
+  /** Returns the documents that this process holds, as JSON text by hash. */
   readonly knownDocuments: () => ReadonlyMap<string, string>;
-  /** Live hosts, for limits that no fleet can meet. */
+  /**
+   * Resolves to the live hosts. A placement wish that they cannot meet is
+   * refused. When it resolves to Nothing, that check is left out.
+   */
   readonly liveHostCounts: () => Promise<Maybe<LiveHostCounts>>;
-  /** How long store calls are repeated before giving up. */
+  /** Time after which store calls are not repeated any more, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** Outcome of an accepted patch. */
+/** Result of an accepted patch. */
 export interface AppliedPatch {
   readonly accepted: ConfigAccepted;
-  /** What is now at the head; undefined for a dry run. */
+  /**
+   * The configuration that this call wrote to the head. Undefined for a dry
+   * run, and for a patch that an earlier call had already applied.
+   */
   readonly config: AcceptedConfig | undefined;
 }
 
 type PatchResult<T> = Promise<Either<ConfigRejection, T>>;
 
-/** Applies a patch. Left: why not; nothing changed unless `ran` is unknown. */
+/**
+ * Applies a patch. A Left holds the reason for the rejection. Nothing changed
+ * in the store, unless the error's `ran` is `unknown`.
+ */
 export async function applyConfigPatch(
   options: ApplyPatchOptions,
   patch: ConfigPatch,
@@ -66,11 +79,13 @@
   return attempt.run();
 }
 
-/** One patch on its way through the store. */
+/** Applies one patch: reads the head, checks the patch, writes the result. */
 class PatchApplier {
+  /** Time after which no store call is repeated, in the clock's milliseconds. */
   private readonly deadline: number;
+  /** Number of the head that was read last. */
   private headNumber: ConfigNumber;
-  /** Whether the patch may have become a number. */
+  /** Whether the patch may have been written to the head. */
   private ran: Ran = 'no';
 
   constructor(
@@ -107,8 +122,9 @@
   }
 
   /**
-   * Reads the head until it is as new as what this process has seen. A stale
-   * read would else make a patch based on the newest number a conflict.
+   * Reads the head, and repeats the read while it returns a lower number than
+   * this process has seen. With a stale head, a patch based on the newest
+   * number would be rejected as a conflict.
    */
   private async readFreshHead(): PatchResult<ConfigHead | undefined> {
     for (;;) {
@@ -134,7 +150,10 @@
     }
   }
 
-  /** The manifest under base + 1 if this very patch made it. */
+  /**
+   * Reads the manifest of number base + 1. Returns it when an earlier call or
+   * attempt wrote it with the same patch id; undefined otherwise.
+   */
   private async findEarlierResult(
     head: ConfigHead | undefined,
   ): PatchResult<Manifest | undefined> {
@@ -172,11 +191,11 @@
   private async applyToBase(
     base: AcceptedConfig | undefined,
   ): PatchResult<PatchedDeclarations> {
-    const fleet = await this.options.liveHostCounts();
+    const liveHostCounts = await this.options.liveHostCounts();
     return patchDeclarations(
       base?.declarations ?? createInitialDeclarations(),
       this.patch,
-      fleet.extract(),
+      liveHostCounts.extract(),
     ).chainLeft(faults => this.rejectFaults(faults));
   }
 
@@ -203,7 +222,11 @@
     return createManifest(origin, documents);
   }
 
-  /** Writes new documents and the history of the number that is left. */
+  /**
+   * Writes the new documents, and the history entry of the base. Both must be
+   * in the store before the head changes. A head without its documents could
+   * not be read. The base's manifest would be lost without its history entry.
+   */
   private async writeDocumentsAndHistory(
     base: AcceptedConfig | undefined,
     documents: readonly NamedDocument[],
@@ -221,7 +244,7 @@
     return this.retryWrite(() => store.writeHistory(base.manifest));
   }
 
-  /** Repeats an idempotent write until it is through or time is up. */
+  /** Repeats an idempotent write until it succeeds or the deadline is reached. */
   private async retryWrite(
     write: () => Promise<Either<StoreError, void>>,
   ): PatchResult<void> {
@@ -236,11 +259,12 @@
   }
 
   /**
-   * Moves the head, or finds out who did. An answer lost after the effect
-   * would look like a failure, and a plain repeat like another's win: the
-   * operator would apply the patch again, under a second number. The repeat
-   * has the same condition, so it cannot take effect twice; a conflict is
-   * judged by the patch id found under the new number.
+   * Updates the head, or finds out which patch did. The reply may be lost after
+   * the update took effect. A repeat of the update then gets a conflict, as if
+   * another patch had been accepted. An operator who is told of a conflict
+   * would apply the same change again, under a second number. So a conflict is
+   * resolved by the patch id stored under the new number. A repeat cannot take
+   * effect twice, since it has the same condition on the head's version.
    */
   private async updateHead(
     manifest: Manifest,
@@ -258,9 +282,12 @@
     }
   }
 
-  /** Someone moved the head to `version` or further: us, or another. */
+  /**
+   * Reads the head after a conflict. It has reached `version` or a later one,
+   * by an earlier attempt of this patch or by another patch.
+   */
   private async resolveConflict(version: number): PatchResult<void> {
-    // Until it is read, the winner may be an earlier try of this patch.
+    // Until the head is read, an earlier attempt of this patch may have won.
     this.ran = 'unknown';
     for (;;) {
       const read = await this.options.store.readHead('operator');
@@ -300,7 +327,7 @@
     return {accepted, config: undefined};
   }
 
-  /** Waits before a repeat; false when time is up. */
+  /** Waits before a repeat. Returns false when the deadline would pass. */
   private async waitBeforeRetry(): Promise<boolean> {
     const {clock, random} = this.options;
     const ms = MAX_RETRY_PAUSE_MS * (0.5 + 0.5 * random.next());
--- a/src/config/config_history.ts
+++ b/src/config/config_history.ts
@@ -1,4 +1,7 @@
-/** Lists which patches made the newest numbers. */
+/**
+ * Reads the history of the configuration for operators: for each of the newest
+ * numbers, the patch that made it, its operator and the changed paths.
+ */
 import {Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
 import type {OnyxError} from '../types/errors.js';
@@ -7,10 +10,16 @@
 import type {ConfigStore} from './config_store.js';
 import type {Manifest} from './documents.js';
 
-/** Most lines of one answer; each is a call to the store. */
+/**
+ * Limit on the lines of one reply. Each line takes one call to the store, so a
+ * larger request is cut to this many lines.
+ */
 const MAX_HISTORY_LINES = 100;
 
-/** Newest first. The store is read, since this process may be behind. */
+/**
+ * Returns up to `limit` history lines, the newest first. The head is read from
+ * the store, because this process may not have the newest number yet.
+ */
 export async function readHistory(
   store: ConfigStore,
   state: ConfigState,
--- a/src/config/config_service.ts
+++ b/src/config/config_service.ts
@@ -1,8 +1,8 @@
 /**
- * The service `config`: holds the newest accepted declarations of this
- * process, gets newer ones from the store and from peers, and takes
- * operators' patches to new numbers. It works on with what it has while the
- * store is out.
+ * The service `config`. It holds the newest accepted declarations that this
+ * process knows, fetches newer ones from the store and from peers, and applies
+ * operators' patches. While the store is unavailable, it keeps serving the
+ * declarations that it has.
  */
 import {Left, Maybe, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -36,26 +36,35 @@
 import {createFetchReply, fetchFromPeer} from './peer_exchange.js';
 import type {LiveHostCounts} from './validate.js';
 
-/** Who this process is, and where its configuration comes from. */
+/** Identity of this process, and the sources of its configuration. */
 export interface ConfigServiceOptions {
   readonly node: NodeId;
-  /** Entries follow the membership and may become the home; sides do not. */
+  /** An entry follows the membership and may become the home; a side does not. */
   readonly role: 'entry' | 'side';
   readonly store: ObjectStore;
   readonly transport: Transport;
-  /** Live hosts, if known; for limits that no fleet can meet. */
+  /**
+   * Resolves to the live hosts if they are known. A patch with a placement wish
+   * that they cannot meet is rejected. @default the check is left out
+   */
   readonly liveHostCounts?: () => Promise<Maybe<LiveHostCounts>>;
-  /** Longest wait of the home's watch. @default 25000 */
+  /** Longest wait of one watch by the home, in milliseconds. @default 25000 */
   readonly watchMs?: number;
-  /** Mean pause between reads of the head. @default 30000, a side 300000 */
+  /**
+   * Mean pause between reads of the head by a process that is not the home, in
+   * milliseconds. @default 30000 for an entry, 300000 for a side
+   */
   readonly pollMs?: number;
-  /** The first read comes within this long. @default 1000 */
+  /** Longest delay before the first read, in milliseconds. @default 1000 */
   readonly maxStartDelayMs?: number;
-  /** How long an operator's patch may take. @default 5000 */
+  /** Time limit for applying a patch, in milliseconds. @default 5000 */
   readonly applyTimeoutMs?: number;
 }
 
-/** Makes the service. What it holds outlives a restart of its task. */
+/**
+ * Creates the service. Its configuration and its subscribers are kept when the
+ * kernel restarts the service after an error.
+ */
 export function createConfigService(
   options: ConfigServiceOptions,
 ): ServiceSpec<'config'> {
@@ -76,12 +85,16 @@
 
 type ApplyMessage = Extract<ConfigMessage, {readonly kind: 'apply'}>;
 
+/** One run of the service, from a start to a stop or an error. */
 class ConfigTask {
   private isHome = false;
   private isStopped = false;
   private isFetching = false;
   private headFollower: HeadFollower | undefined;
-  /** Patches are taken one at a time; the store would refuse the rest. */
+  /**
+   * Settles when all patches received so far are handled. Patches are applied
+   * one at a time, since of several on one base the store accepts only one.
+   */
   private patchQueue: Promise<void> = Promise.resolve();
 
   constructor(
@@ -119,7 +132,7 @@
     if (isEntry) {
       let lastEntries: readonly EntryPeer[] | undefined;
       followMembership(ctx, ({entries}) => {
-        // Views come many times a second, and the entries seldom change.
+        // Views arrive many times a second, but the entries rarely change.
         if (entries === lastEntries) return;
         lastEntries = entries;
         this.setHome(isConfigHome(options.node, entries));
@@ -151,7 +164,7 @@
     }
   }
 
-  /** Gives an answer when it is there; a throw ends the task. */
+  /** Replies when `answer` resolves. A rejection fails the service. */
   private replyWhenSettled<T>(
     answer: Promise<T>,
     reply: (value: T) => void,
@@ -277,7 +290,8 @@
   ): ConfigAccepted {
     const {ctx} = this;
     if (config !== undefined) this.state.adoptIfNewer(config, 'patch');
-    // A repeat finds its number made: read it, if it has not come here yet.
+    // An earlier call applied this patch. Read the head now, since its number
+    // may not have reached this process yet.
     else if (!accepted.dryRun) this.headFollower?.wake();
     ctx.metrics.count('onyxloft_config_patches_total', {outcome: 'accepted'});
     ctx.log(CONFIG_EVENTS.patchAccepted, {
--- a/src/config/config_state.ts
+++ b/src/config/config_state.ts
@@ -1,7 +1,8 @@
 /**
- * The newest configuration that this process has seen. Whatever offers one,
- * the store, a peer or an operator's patch, it is taken only when its number
- * is higher: a late watch or a stale read cannot bring old rules back.
+ * Holds the newest configuration that this process has seen. A configuration
+ * from the store, a peer or an operator's patch is adopted only when its number
+ * is higher than the current one. So a late watch reply or a stale read cannot
+ * put old declarations back into force.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -13,40 +14,53 @@
 import {joinDocuments} from './documents.js';
 import type {Manifest} from './documents.js';
 
-/** Where a configuration came from, for the log. */
+/** Where a configuration came from. Written to the log and the metrics. */
 export type ConfigSource = 'store' | 'peer' | 'patch';
 
-/** A number with all that it consists of. */
+/** An accepted configuration: its manifest, declarations and documents. */
 export interface AcceptedConfig {
   readonly manifest: Manifest;
   readonly declarations: Declarations;
+  /** JSON text of each document of the manifest, by its hash. */
   readonly jsonByHash: ReadonlyMap<string, string>;
 }
 
-/** Called with each number that comes into force, in growing order. */
+/** Called with each configuration that comes into force, in growing order. */
 export type ConfigListener = (config: NumberedDeclarations) => void;
 
-/** The configuration that this process holds; its number only grows. */
+/** The configuration that this process holds. Its number never decreases. */
 export interface ConfigState {
-  /** The highest number taken; 0 before the first patch. */
+  /** Number of the current configuration; 0 before the first patch. */
   number(): ConfigNumber;
-  /** Undefined before the first patch, or while nothing is known. */
+  /**
+   * The newest accepted configuration. Undefined before the first patch, and
+   * while no configuration has reached this process.
+   */
   current(): AcceptedConfig | undefined;
-  /** What is in force; undefined while nothing is known. */
+  /**
+   * The declarations in force, which before the first patch are the initial
+   * ones. Undefined while no configuration has reached this process.
+   */
   inForce(): NumberedDeclarations | undefined;
-  /** Takes the configuration if it is newer. True when it was. */
+  /** Adopts the configuration if its number is higher. Returns whether it was. */
   adoptIfNewer(config: AcceptedConfig, source: ConfigSource): boolean;
-  /** Counts and logs a number that is older than the one in force. */
+  /** Logs and counts that `source` gave a lower number than the one in force. */
   reportOlder(offered: ConfigNumber, source: ConfigSource): void;
-  /** The store was read and holds no head: number 0 is in force. */
+  /**
+   * Puts the initial declarations into force as number 0, unless a
+   * configuration is in force. Called when the store holds no head.
+   */
   adoptInitial(initial: Declarations): void;
-  /** Documents at hand, of the number in force and the one before. */
+  /** JSON text by hash of the documents of the current and the previous number. */
   knownDocuments(): ReadonlyMap<string, string>;
-  /** Calls it at once and at each number; a known one is kept once. */
+  /**
+   * Calls the listener at once if a configuration is in force, and for each new
+   * number. Subscribing a listener again does not register it twice.
+   */
   subscribe(listener: ConfigListener): void;
 }
 
-/** Starts without a configuration. */
+/** Creates the state, without a configuration. */
 export function createConfigState(
   runtime: () => Pick<Runtime, 'log' | 'metrics' | 'invariant'>,
 ): ConfigState {
@@ -64,8 +78,9 @@
   };
 
   const setInForce = (next: NumberedDeclarations) => {
-    // The safeguard is the comparison in `offer`; a path that goes round it
-    // would let a revoked key or an old limit come back without a trace.
+    // `adoptIfNewer` compares the numbers already. This check finds a code path
+    // without that comparison, which could put a revoked key or an old limit
+    // back into force unnoticed.
     runtime().invariant(
       next.number >= (inForce?.number ?? 0),
       'config-never-backwards',
@@ -93,7 +108,10 @@
     return true;
   };
 
-  /** One number is one patch; two would mean a store that lost a write. */
+  /**
+   * Checks that a number stands for one patch only. Two patches with the same
+   * number mean that the store lost a write.
+   */
   const checkSamePatch = (manifest: Manifest) => {
     runtime().invariant(
       manifest.patchId === current?.manifest.patchId,
@@ -128,7 +146,10 @@
   };
 }
 
-/** Puts a configuration together. Left: a document is missing or unreadable. */
+/**
+ * Builds a configuration from its manifest and documents. Returns a Left when a
+ * document is missing or unreadable.
+ */
 export function assembleConfig(
   manifest: Manifest,
   known: ReadonlyMap<string, string>,
--- a/src/config/config_store.ts
+++ b/src/config/config_store.ts
@@ -1,11 +1,11 @@
 /**
- * The configuration's objects in the platform's store:
+ * Reads and writes the configuration's objects in the platform's store:
  *
  * - `config/head`: the newest manifest, changed by conditional update only;
  * - `config/doc/<hash>`: documents, created once and never changed;
  * - `config/history/<number>`: manifests of the numbers below the head. The
- *   one of a number is written before the head leaves it, so that there is
- *   never a gap, whatever fails in between.
+ *   manifest of a number is written here before the head is updated to the
+ *   next one, so that a failure between the two writes leaves no gap.
  */
 import {Left, Maybe, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -22,10 +22,13 @@
 import type {DocumentRef, Manifest, NamedDocument} from './documents.js';
 
 const HEAD_KEY = 'config/head';
-/** Store calls in flight at once when many documents are moved. */
+/**
+ * Limit on concurrent store calls when many documents are read or written. The
+ * others wait for the next batch.
+ */
 const MAX_PARALLEL_CALLS = 8;
 
-/** The head with the store's version of it. */
+/** The manifest at the head, with the store's version of the head object. */
 export interface ConfigHead {
   readonly version: number;
   readonly manifest: Manifest;
@@ -33,35 +36,43 @@
 
 /** The configuration in the object API: head, documents and history. */
 export interface ConfigStore {
+  /** Reads the head; Nothing when the store holds none. */
   readHead(
     purpose: StorePurpose,
   ): Promise<Either<OnyxError, Maybe<ConfigHead>>>;
-  /** Waits for a head over `version`, at most `waitMs`. */
+  /** Waits up to `waitMs` for a head with a version higher than `version`. */
   watchHead(
     version: number,
     waitMs: number,
   ): Promise<Either<OnyxError, Maybe<ConfigHead>>>;
+  /** Reads the manifest of a number, from the history or the head. */
   readManifest(number: ConfigNumber): Promise<Either<OnyxError, Manifest>>;
-  /** Reads what `known` lacks; gives `known` and the rest together. */
+  /**
+   * Reads the documents that `known` does not hold. Returns them together with
+   * those of `known`, as JSON text by hash.
+   */
   readDocuments(
     refs: readonly DocumentRef[],
     known: ReadonlyMap<string, string>,
     purpose: StorePurpose,
   ): Promise<Either<OnyxError, ReadonlyMap<string, string>>>;
-  /** Creates documents; one that is there already is the same one. */
+  /**
+   * Creates the documents that the store does not hold. An existing document
+   * with the same hash has the same content.
+   */
   writeDocuments(
     documents: readonly NamedDocument[],
   ): Promise<Either<StoreError, void>>;
-  /** Keeps the manifest of a number that the head is about to leave. */
+  /** Writes the head's manifest to the history, before the head is updated. */
   writeHistory(manifest: Manifest): Promise<Either<StoreError, void>>;
-  /** Moves the head. `version` 0 creates it. */
+  /** Updates the head if its version is `version`. Version 0 creates it. */
   writeHead(
     manifest: Manifest,
     version: number,
   ): Promise<Either<StoreError, void>>;
 }
 
-/** Puts the configuration's objects over the platform's store. */
+/** Creates a store of the configuration over the platform's object store. */
 export function createConfigStore(store: ObjectStore): ConfigStore {
   const decodeHead = (
     object: Maybe<StoredObject>,
@@ -100,7 +111,8 @@
     value: string,
   ): Promise<Either<StoreError, void>> => {
     const created = await store.create(key, value, 'operator');
-    // The key names the content: a conflict says that it is there already.
+    // The key determines the content, so a conflict means that the same object
+    // exists already.
     return created
       .map(() => undefined)
       .chainLeft(err =>
@@ -123,7 +135,7 @@
       if (kept.isLeft()) return kept.mapLeft(toOnyxError);
       const object = kept.unsafeCoerce();
       if (object.isJust()) return decodeManifest(object.unsafeCoerce().value);
-      // The newest number has no history yet: it is the head itself.
+      // The newest number has no history entry: its manifest is the head.
       const head = await store.get(HEAD_KEY, 'operator');
       return head
         .mapLeft(toOnyxError)
@@ -162,7 +174,7 @@
   };
 }
 
-/** A store's failure as an error; an unknown effect stays unknown. */
+/** Converts a store error. An unknown effect becomes `ran: 'unknown'`. */
 function toOnyxError(err: StoreError): OnyxError {
   const ran: Ran = err.effect === 'unknown' ? 'unknown' : 'no';
   return new OnyxError({
@@ -205,7 +217,10 @@
   }
 }
 
-/** Runs over the items, a few at a time; stops at the first failure. */
+/**
+ * Calls `run` for each item, with up to MAX_PARALLEL_CALLS items at once. Stops
+ * after the first batch in which a call failed.
+ */
 async function forEachInBatches<T, E>(
   items: readonly T[],
   run: (item: T) => Promise<Either<E, void>>,
--- a/src/config/declarations_schema.ts
+++ b/src/config/declarations_schema.ts
@@ -1,15 +1,19 @@
 /**
  * Schemas of the declarations, with their defaults. Operators write the keyed
- * form, in which each list is an object by id: a patch then addresses
- * `/organisations/prairie-sky/weight` whatever else was added or removed,
- * where an index would address another organisation after a race.
+ * form, in which each list is an object by id. A patch then addresses
+ * `/organisations/prairie-sky/weight`, whichever other items were added or
+ * removed. A list index could address another organisation after a concurrent
+ * change.
  */
 import {z} from 'zod';
 import type {Declarations} from '../types/config.js';
 
-/** Longest prompt that the system takes, in tokens. */
+/**
+ * Limit on `maxPromptTokens` of a model, in tokens, and its default. A higher
+ * value is refused.
+ */
 const MAX_PROMPT_TOKENS = 1_000_000;
-/** Longest time limit that may be declared: a day. */
+/** Limit on declared time limits: one day. A longer one is refused. */
 const MAX_TIME_LIMIT_MS = 86_400_000;
 
 const id = z
@@ -63,7 +67,7 @@
   minPerFailureDomain: count.default(0),
 };
 
-/** Routing policies that the entries know. */
+/** Routing policies that the entries implement. */
 export const ROUTING_POLICIES = [
   'predicted-first-token',
   'least-requests',
@@ -86,7 +90,7 @@
   })
   .prefault({});
 
-/** The operators' form: lists as objects by id, name or pool. */
+/** Schema of the keyed form: each list is an object by id, name or pool. */
 export const keyedDeclarationsSchema = z.strictObject({
   organisations: z.record(id, z.strictObject(organisationFields)).prefault({}),
   models: z.record(id, z.strictObject(modelFields)).prefault({}),
@@ -102,10 +106,10 @@
   policy,
 });
 
-/** Declarations in the operators' form, defaults filled in. */
+/** Declarations in the keyed form, with defaults filled in. */
 export type KeyedDeclarations = z.infer<typeof keyedDeclarationsSchema>;
 
-/** The form that services read: lists in the order of `types/config.ts`. */
+/** Schema of the list form, which services read; see `types/config.ts`. */
 export const declarationsSchema = z.strictObject({
   organisations: z
     .array(z.strictObject({id, ...organisationFields}))
@@ -125,8 +129,9 @@
 });
 
 /**
- * Declarations in force before the first patch, under number 0: no customer
- * and no model, so nothing is admitted, with classes that patches may change.
+ * Creates the declarations of number 0, which are in force before the first
+ * patch. They have no organisation and no model, so no request is admitted.
+ * Patches may change their priority and length classes.
  */
 export function createInitialDeclarations(): Declarations {
   return declarationsSchema.parse({
--- a/src/config/documents.ts
+++ b/src/config/documents.ts
@@ -1,10 +1,9 @@
 /**
- * Splits declarations into immutable documents named by the hash of their
- * content, under a manifest. Organisations lie in a fixed number of documents
- * by the hash of their id: a change of one writes that document and the
- * manifest, and a cold start reads tens of values where one document for each
- * organisation would make it 1,500. docs/design/configuration.md has the
- * figures of both.
+ * Splits declarations into immutable documents, which a manifest lists by name
+ * and content hash. Organisations are spread over a fixed number of documents
+ * by the hash of their id. A change of one organisation writes one document and
+ * the manifest. A cold start reads tens of documents, instead of 1,500 with one
+ * per organisation. docs/design/configuration.md has the figures of both.
  */
 import {z} from 'zod';
 import type {Declarations, Organisation} from '../types/config.js';
@@ -14,16 +13,19 @@
 import {declarationsSchema} from './declarations_schema.js';
 
 /**
- * Documents over which organisations are spread. Bytes of one change are
- * those of one such document and of two manifests; at 1,500 organisations 64
- * is near the least sum.
+ * Number of documents over which organisations are spread. A change writes one
+ * such document and two manifests. With 1,500 organisations, 64 documents give
+ * nearly the smallest sum of their sizes.
  */
 const ORGANISATION_BUCKETS = 64;
-/** Paths kept in a manifest; the rest is only counted. */
+/** Limit on changed paths in a manifest. Paths beyond it are only counted. */
 const MAX_MANIFEST_PATHS = 100;
-/** Seeds of the two halves of a document's hash. */
+/** Seeds of the two 64-bit halves of a document's hash. */
 const HASH_SEEDS = [0n, 1n] as const;
-/** Largest value that goes to the store, in bytes; the store takes 1 MB. */
+/**
+ * Limit on the size of a document, in bytes. The store takes values of up to
+ * 1 MB. A patch that makes a larger document is rejected.
+ */
 export const MAX_VALUE_BYTES = 1_000_000;
 
 const manifestSchema = z.object({
@@ -32,12 +34,12 @@
   operator: z.string(),
   base: z.number().int().min(0),
   changedPaths: z.array(z.string()),
-  /** Changed paths that were left out of `changedPaths`. */
+  /** Number of changed paths that were left out of `changedPaths`. */
   morePaths: z.number().int().min(0),
   documents: z.array(z.object({name: z.string(), hash: z.string()})),
 });
 
-/** What a number consists of, and which patch made it. */
+/** Describes a configuration number: its documents, and the patch behind it. */
 export interface Manifest {
   readonly number: ConfigNumber;
   readonly patchId: string;
@@ -48,24 +50,24 @@
   readonly documents: readonly DocumentRef[];
 }
 
-/** A document by its name and content hash. */
+/** Reference to a document by its name and content hash. */
 export interface DocumentRef {
   readonly name: string;
   readonly hash: string;
 }
 
-/** A document's content under its name. */
+/** A document with its name, content hash and JSON text. */
 export interface NamedDocument extends DocumentRef {
   readonly json: string;
 }
 
-/** Where a manifest came from. */
+/** Origin of a manifest: the patch that made the number, and its changes. */
 export type ManifestOrigin = Pick<
   Manifest,
   'number' | 'patchId' | 'operator' | 'base' | 'changedPaths'
 >;
 
-/** Hash of a document's text, 128 bits as hex. */
+/** Returns the 128-bit hash of a document's text, in hex. */
 export function hashDocument(json: string): string {
   const bytes = new TextEncoder().encode(json);
   return HASH_SEEDS.map(seed =>
@@ -73,12 +75,12 @@
   ).join('');
 }
 
-/** True when the document's text has the hash that it is named by. */
+/** Returns true when the document's text has the hash stated with it. */
 export function matchesHash(document: ConfigDocument): boolean {
   return hashDocument(document.json) === document.hash;
 }
 
-/** Splits declarations; equal parts give equal documents. */
+/** Splits declarations into documents. Equal parts give equal documents. */
 export function splitDeclarations(
   declarations: Declarations,
 ): readonly NamedDocument[] {
@@ -113,7 +115,7 @@
   return {name, hash: hashDocument(json), json};
 }
 
-/** Makes the manifest of a number. */
+/** Creates the manifest of a number. */
 export function createManifest(
   origin: ManifestOrigin,
   documents: readonly DocumentRef[],
@@ -126,14 +128,14 @@
   };
 }
 
-/** Reads a manifest; throws when the text is none. */
+/** Parses a manifest. Throws when the text is not a manifest. */
 export function parseManifest(json: string): Manifest {
   return manifestSchema.parse(JSON.parse(json));
 }
 
 /**
- * Puts the declarations of a manifest together. Throws when a document is
- * missing or does not hold what its name says.
+ * Joins the documents of a manifest into declarations. Throws when a document
+ * is missing or its content does not fit the schema.
  */
 export function joinDocuments(
   manifest: Manifest,
@@ -141,7 +143,7 @@
 ): Declarations {
   const organisations: unknown[] = [];
   const models: unknown[] = [];
-  const rest: Record<string, unknown> = {};
+  const otherParts: Record<string, unknown> = {};
   for (const {name, hash} of manifest.documents) {
     const json = jsonByHash.get(hash);
     if (json === undefined) throw new Error(`document ${name} is missing`);
@@ -151,10 +153,14 @@
     } else if (name.startsWith('model/')) {
       models.push(content);
     } else {
-      rest[name] = content;
+      otherParts[name] = content;
     }
   }
-  const joined = declarationsSchema.parse({organisations, models, ...rest});
+  const joined = declarationsSchema.parse({
+    organisations,
+    models,
+    ...otherParts,
+  });
   return {...joined, organisations: sortById(joined.organisations)};
 }
 
--- a/src/config/follow_config.ts
+++ b/src/config/follow_config.ts
@@ -1,14 +1,19 @@
-/** Keeps a service told of the configuration in force. */
+/**
+ * Subscribes a service to the configuration in force. The subscription is
+ * repeated, so that it survives a restart of the service `config`.
+ */
 import type {NumberedDeclarations} from '../types/config.js';
 import type {ServiceContext, ServiceName} from '../types/kernel.js';
 
+/** Interval at which the subscription is sent again, in milliseconds. */
 const RESUBSCRIBE_INTERVAL_MS = 5_000;
 
 /**
- * Subscribes, and again each few seconds. A subscription that is sent while
- * the configuration's service is between two starts is dropped: without a
- * repeat the limits would refuse every organisation as unknown for good, and a
- * front every key. The listener hears each number once.
+ * Calls the listener once for each configuration number that comes into force.
+ * The subscription is sent again every few seconds, because a message sent
+ * while the service `config` is between two starts is dropped. Without the
+ * repeat, the service `limits` would refuse every organisation as unknown until
+ * its next start, and an HTTP front end would refuse every key.
  */
 export function followConfig<N extends ServiceName>(
   ctx: ServiceContext<N>,
--- a/src/config/head_follower.ts
+++ b/src/config/head_follower.ts
@@ -1,51 +1,60 @@
 /**
- * Follows the head in the store. The home holds a long watch, all others read
- * it rarely and hear of new numbers from peers, so that calls to the store
- * grow with the number of processes only by the rare reads. Pauses are
- * jittered and grow while the store is out: processes that all failed at the
- * same moment would else all come back at the same moment.
+ * Follows the configuration's head in the store. The home keeps a long watch.
+ * All other processes read the head rarely and learn new numbers from peers, so
+ * each further process adds only its rare reads to the store's load. Pauses are
+ * random, and grow while the store is unavailable. Otherwise, processes that
+ * failed at the same moment would all retry at the same moment.
  */
 import type {OnyxError} from '../types/errors.js';
 import type {Either, Maybe} from 'purify-ts';
 import type {Clock, Random} from '../types/runtime.js';
 import type {ConfigHead, ConfigStore} from './config_store.js';
 
-/** First pause after a failed call; doubles up to the largest. */
+/**
+ * Upper bound of the pause after the first failed call, in milliseconds. It
+ * doubles with each further failure, up to MAX_BACKOFF_MS.
+ */
 const INITIAL_BACKOFF_MS = 500;
+/** Upper bound of the pause after any failed call, in milliseconds. */
 const MAX_BACKOFF_MS = 30_000;
 
-/** Where the head is read, how often, and who takes it. */
+/** Store to read from, intervals, and callbacks. */
 export interface HeadFollowerOptions {
   readonly store: ConfigStore;
   readonly clock: Clock;
   readonly random: Random;
+  /** Returns whether this process is the home, which watches the head. */
   readonly isHome: () => boolean;
-  /** Longest wait of the home's watch, in milliseconds. */
+  /** Longest wait of one watch by the home, in milliseconds. */
   readonly watchMs: number;
-  /** Mean pause between reads of a process that is not the home. */
+  /**
+   * Mean pause between reads by a process that is not the home, in
+   * milliseconds.
+   */
   readonly pollMs: number;
-  /** The first read comes within this long. */
+  /** Longest delay before the first read, in milliseconds. */
   readonly maxStartDelayMs: number;
   /**
-   * Takes a head, or Nothing when the store holds none. Rejecting means that
-   * it could not be taken, and it is read again.
+   * Handles a head, or Nothing when the store holds none. A Left means that the
+   * head could not be used; it is read again after a pause.
    */
   readonly onHead: (
     head: Maybe<ConfigHead>,
   ) => Promise<Either<OnyxError, void>>;
-  /** Something threw: following has ended. */
+  /** Called when something threw. The follower has stopped. */
   readonly onError: (cause: unknown) => void;
+  /** Called after a failed read, with the pause before the next one. */
   readonly onReadFailure: (err: OnyxError, retryMs: number) => void;
 }
 
 /** A running follower. */
 export interface HeadFollower {
-  /** Ends a pause early: for when this process has become the home. */
+  /** Ends the current pause, such as when this process became the home. */
   wake(): void;
   stop(): void;
 }
 
-/** Starts to follow. */
+/** Starts to follow the head. */
 export function startHeadFollower(options: HeadFollowerOptions): HeadFollower {
   const {store, clock, random} = options;
   let stopped = false;
@@ -70,8 +79,8 @@
     if (read.isLeft()) return read;
     const head = read.extract() as Maybe<ConfigHead>;
     const handled = await options.onHead(head);
-    // Remembered only once taken: else the watch would wait past a head whose
-    // documents could not be read.
+    // The version is stored only after the head was handled. Otherwise, the
+    // next watch would skip a head whose documents could not be read.
     if (handled.isRight()) {
       head.ifJust(found => {
         version = Math.max(version, found.version);
@@ -93,7 +102,8 @@
       return retryMs;
     }
     failures = 0;
-    // A watch waits by itself; without a head there is nothing to watch.
+    // A watch waits in the store, so it needs no pause. Without a head, there
+    // is nothing to watch.
     if (options.isHome() && version > 0) return 0;
     return options.pollMs * (0.5 + random.next());
   };
--- a/src/config/json_pointer.ts
+++ b/src/config/json_pointer.ts
@@ -1,6 +1,6 @@
-/** JSON pointers (RFC 6901), made from path segments. */
+/** Formats JSON pointers (RFC 6901) from path segments. */
 
-/** Pointer to the value under the segments; empty for the whole document. */
+/** Returns the pointer of a path. It is empty for the whole document. */
 export function toJsonPointer(segments: readonly string[]): string {
   return segments.map(segment => `/${escapeSegment(segment)}`).join('');
 }
--- a/src/config/keyed_form.ts
+++ b/src/config/keyed_form.ts
@@ -1,14 +1,18 @@
 /**
- * Converts between the keyed form, which operators patch, and the lists that
- * services read. Both hold the same; lists come out in a fixed order, so that
- * equal declarations give equal documents whatever the order of patches.
+ * Converts between the keyed form of the declarations, which operators patch,
+ * and the list form, which services read. Both hold the same values. Lists are
+ * sorted in a fixed order, so that equal declarations give equal documents,
+ * whatever the order of the patches.
  */
 import type {Declarations} from '../types/config.js';
 import type {KeyedDeclarations} from './declarations_schema.js';
 
 type ByKey<T> = Record<string, T>;
 
-/** Lists as objects by id; of two items with one id the later one stays. */
+/**
+ * Converts lists to objects by id. Of two items with the same id, the later one
+ * is kept.
+ */
 export function toKeyed(declarations: Declarations): KeyedDeclarations {
   return {
     organisations: keyBy(declarations.organisations, 'id'),
@@ -21,7 +25,10 @@
   } as KeyedDeclarations;
 }
 
-/** Objects by id as lists; classes in growing order, the rest by id. */
+/**
+ * Converts objects by id to lists. Priority classes are sorted by priority,
+ * length classes by `maxTokens`, and all other lists by id.
+ */
 export function fromKeyed(keyed: KeyedDeclarations): Declarations {
   return {
     organisations: toSortedList(keyed.organisations, 'id'),
--- a/src/config/patch.ts
+++ b/src/config/patch.ts
@@ -1,7 +1,7 @@
 /**
- * Applies an operator's patch to the keyed form of a numbered version: JSON
- * Patch (RFC 6902) or merge patch (RFC 7396). The result is checked as a
- * whole; nothing of a faulty patch is taken.
+ * Applies an operator's patch to the keyed form of the declarations: a JSON
+ * Patch (RFC 6902) or a merge patch (RFC 7396). The result is validated as a
+ * whole. A patch with any fault changes nothing.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -14,10 +14,13 @@
 import {parseKeyedDeclarations} from './validate.js';
 import {toKeyed} from './keyed_form.js';
 
-/** Outcome of a patch that was found sound. */
+/** Result of a valid patch. */
 export interface PatchedDeclarations {
   readonly declarations: Declarations;
-  /** Pointers into the keyed form, in order; lists count as one value. */
+  /**
+   * Sorted JSON pointers into the keyed form. A changed list is one path, not a
+   * path for each item.
+   */
   readonly changedPaths: readonly string[];
 }
 
@@ -40,27 +43,32 @@
   ]),
 );
 
-/** Applies the patch and checks the outcome. Left: every fault found. */
+/**
+ * Applies the patch and validates the result. A Left holds every fault found.
+ * `liveHostCounts` adds the checks against the live hosts.
+ */
 export function patchDeclarations(
   base: Declarations,
   patch: Pick<ConfigPatch, 'form' | 'patch'>,
-  fleet?: LiveHostCounts,
+  liveHostCounts?: LiveHostCounts,
 ): Either<readonly ConfigFault[], PatchedDeclarations> {
   const before = toKeyed(base);
   return parsePatch(patch.patch)
     .chain(parsed =>
       patch.form === 'merge-patch'
-        ? Right(mergePatch(before as unknown as Json, parsed))
+        ? Right(applyMergePatch(before as unknown as Json, parsed))
         : applyOperations(before, parsed),
     )
-    .chain(after => parseKeyedDeclarations(after, fleet, base.placement))
+    .chain(after =>
+      parseKeyedDeclarations(after, liveHostCounts, base.placement),
+    )
     .map(declarations => ({
       declarations,
       changedPaths: findChangedPaths(base, declarations),
     }));
 }
 
-/** Pointers into the keyed form under which two declarations differ. */
+/** Returns JSON pointers into the keyed form at which declarations differ. */
 function findChangedPaths(
   before: Declarations,
   after: Declarations,
@@ -74,8 +82,8 @@
 }
 
 /**
- * A changed list is told as one replaced value: the edit script inside it is
- * quadratic in its length and tells an operator nothing.
+ * Reports a changed list as one replaced value. Computing the edits inside a
+ * list takes time quadratic in its length, and operators do not need them.
  */
 function diffListsAsWhole(
   input: unknown,
@@ -131,15 +139,18 @@
   return faults.length === 0 ? Right(after) : Left(faults);
 }
 
-/** Merge patch: objects merge, null removes, anything else replaces. */
-function mergePatch(target: Json | undefined, patch: Json): Json {
+/**
+ * Applies a merge patch: objects are merged, null removes a key, and any other
+ * value replaces the old one.
+ */
+function applyMergePatch(target: Json | undefined, patch: Json): Json {
   if (!isObject(patch)) return patch;
   const merged = new Map(
     isObject(target) ? Object.entries(target) : ([] as Array<[string, Json]>),
   );
   for (const [key, item] of Object.entries(patch)) {
     if (item === null) merged.delete(key);
-    else merged.set(key, mergePatch(merged.get(key), item));
+    else merged.set(key, applyMergePatch(merged.get(key), item));
   }
   return Object.fromEntries(merged);
 }
--- a/src/config/peer_exchange.ts
+++ b/src/config/peer_exchange.ts
@@ -1,7 +1,8 @@
 /**
- * Hands configurations from process to process, so that an accepted number
- * reaches all of them while the store is out. The manifest goes first; then
- * only the documents that the asker lacks, in answers of bounded size.
+ * Transfers configurations between processes, so that an accepted number
+ * reaches all of them while the store is unavailable. A process first fetches
+ * the manifest, and then only the documents that it does not have, in replies
+ * of bounded size.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -17,13 +18,21 @@
 import {matchesHash, parseManifest} from './documents.js';
 import type {Manifest} from './documents.js';
 
+/** Time limit of one call to a peer, in milliseconds. The fetch then fails. */
 const FETCH_TIMEOUT_MS = 2_000;
-/** Documents asked for in one call. */
+/** Limit on documents requested in one call. Further calls fetch the rest. */
 const MAX_DOCUMENTS_PER_FETCH = 64;
-/** Bytes of documents in one answer; keeps messages far below grpc's limit. */
+/**
+ * Limit on the bytes of documents in one reply, unless the first document alone
+ * is larger. It keeps messages far below the limit of gRPC. The requester asks
+ * again for the documents that were left out.
+ */
 const MAX_REPLY_BYTES = 1_000_000;
 
-/** Answers a peer from what is in force here. */
+/**
+ * Creates the reply to a peer. It has the manifest if the peer's number is
+ * lower, and those of the wanted documents that this process holds.
+ */
 export function createFetchReply(
   state: ConfigState,
   req: FetchConfigReq,
@@ -53,24 +62,27 @@
   return selected;
 }
 
-/** What a peer had to give. */
+/** A manifest from a peer, with the JSON text of its documents by hash. */
 export interface FetchedConfig {
   readonly manifest: Manifest;
   readonly jsonByHash: ReadonlyMap<string, string>;
 }
 
-/** What this process has already; `known` is JSON by hash. */
+/** The transport, and what this process already has. */
 export interface PeerFetchOptions {
   readonly transport: Transport;
+  /** Number of the configuration in this process. */
   readonly haveNumber: ConfigNumber;
+  /** JSON text of the documents in this process, by hash. */
   readonly knownDocuments: ReadonlyMap<string, string>;
-  /** A document came whose text does not match its hash. */
+  /** Called for each received document whose text does not match its hash. */
   readonly onCorruptDocument: (hash: string) => void;
 }
 
 /**
- * Fetches the peer's configuration. Right of undefined: it has none newer.
- * Left: it could not be reached, or did not give all documents.
+ * Fetches a newer configuration from a peer. Returns Right of undefined when
+ * the peer has none. Returns a Left when the peer cannot be reached, or does
+ * not send a readable manifest and all documents.
  */
 export async function fetchFromPeer(
   options: PeerFetchOptions,
@@ -120,7 +132,8 @@
       options.onCorruptDocument(document.hash);
       return false;
     });
-    // The peer has gone on to a later number, or sends what is broken.
+    // The peer has dropped these documents for those of a later number, or it
+    // sends corrupt ones. Another call would not help.
     if (intact.length === 0) {
       return Left(
         createFetchError(peer, `${missing.length} documents are missing`),
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,8 +1,9 @@
 /**
- * Settings of one process: JSON with comments, read once at the start and
- * checked as a whole, so that a wrong file tells all its faults in one go and
- * nothing starts. A process learns its addresses, role and failure domain from
- * here only. `docs/settings.md` lists the options for operators.
+ * Settings of one process, in a file of JSON with comments. The file is read
+ * once at the start and validated as a whole. A file with faults has all of
+ * them reported at once, and the process does not start. The settings are the
+ * only source of the process's addresses, role and failure domain.
+ * `docs/settings.md` lists the options for operators.
  */
 import {readFileSync} from 'node:fs';
 import {Either, Left, Right} from 'purify-ts';
@@ -21,10 +22,10 @@
 
 export type {SettingsFault} from './settings_faults.js';
 
-/** Settings of an entry or a side, told apart by `role`. */
+/** Settings of an entry or a side, distinguished by `role`. */
 export type Settings = EntrySettings | SideSettings;
 
-/** Options that both roles have. */
+/** Options of both roles. */
 export interface CommonSettings {
   /** Name of this process, unique in the deployment. */
   readonly node: NodeId;
@@ -40,7 +41,7 @@
   readonly log: LogSettings;
 }
 
-/** An entry: callers and operators talk to it. */
+/** Settings of an entry, which serves callers and operators. */
 export interface EntrySettings extends CommonSettings {
   readonly role: 'entry';
   readonly listen: EntryListenSettings;
@@ -49,37 +50,37 @@
   readonly upstream?: undefined;
 }
 
-/** A side: stands beside one upstream and owns its capacity. */
+/** Settings of a side, which manages the capacity of one upstream. */
 export interface SideSettings extends CommonSettings {
   readonly role: 'side';
   readonly listen: SideListenSettings;
   readonly upstream: UpstreamSettings;
   /**
    * Salted hash of the operators' token; see `utils/keys.ts`.
-   * @default none: status and drain are refused; health and metrics are shown
+   * @default none: status and drain are refused; health and metrics are public
    */
   readonly operatorTokenHash?: string;
 }
 
-/** Where a side listens; port 0 takes a free port. */
+/** Addresses on which a side listens. Port 0 selects a free port. */
 export interface SideListenSettings {
-  /** Operators' API of an entry; status, metrics and health of a side. */
+  /** An entry's operators' API, or a side's status, metrics and health. */
   readonly operators: Address;
-  /** The system's other processes. */
+  /** Calls from the system's other processes. */
   readonly peers: Address;
   readonly callers?: undefined;
 }
 
-/** Where an entry listens; port 0 takes a free port. */
+/** Addresses on which an entry listens. Port 0 selects a free port. */
 export interface EntryListenSettings extends Omit<
   SideListenSettings,
   'callers'
 > {
-  /** Callers, by way of the platform's balancer. */
+  /** Callers' requests, which arrive through the platform's load balancer. */
   readonly callers: Address;
 }
 
-/** Addresses that others see, where they differ from `listen`. */
+/** Addresses that other processes use, if they differ from `listen`. */
 export interface AdvertiseSettings {
   /**
    * Address at which peers reach this process.
@@ -88,81 +89,81 @@
   readonly peers: Address;
 }
 
-/** Base URLs of what the platform gives. */
+/** Base URLs of the platform's services. */
 export interface PlatformSettings {
   readonly objectApi: string;
   readonly hostList: string;
   readonly weightStore: string;
 }
 
-/** What stands behind a side. */
+/** The upstream of a side. */
 export interface UpstreamSettings {
-  /** A model engine, or a plain service. */
+  /** A model engine, or a plain HTTP service. */
   readonly kind: 'engine' | 'service';
   readonly pool: PoolId;
   readonly url: string;
   /**
-   * Whether the engine refuses an order with an old fencing number.
+   * Whether the engine refuses an order with an outdated fencing number.
    * @default false
    */
   readonly refusesOldFence: boolean;
 }
 
-/** PEM files; all three are needed. */
+/** Paths of PEM files. All three are required. */
 export interface TlsSettings {
   readonly certFile: string;
   readonly keyFile: string;
-  /** Certificates of the authority that peers' certificates must be from. */
+  /** Certificates of the authority that must have signed peers' certificates. */
   readonly caFile: string;
 }
 
-/** All in milliseconds. */
+/** Intervals and timeouts, in milliseconds. */
 export interface TimingSettings {
-  /** Period of heartbeats between processes. @default 1000 */
+  /** Interval of heartbeats between processes. @default 1000 */
   readonly heartbeatMs: number;
-  /** Silence after which a peer is suspect. @default 3000 */
+  /** Time without a heartbeat after which a peer is suspect. @default 3000 */
   readonly suspectAfterMs: number;
   /**
-   * How long a side keeps a run whose entry is silent before it cancels the
-   * run and frees its memory.
+   * Time for which a side keeps a run whose entry is silent. The side then
+   * cancels the run and frees its memory.
    * @default 10000
    */
   readonly holdMs: number;
-  /** An accepted offer lapses after this long without a go. @default 1000 */
+  /** Time after which an accepted offer without a go expires. @default 1000 */
   readonly offerLapseMs: number;
-  /** How long the id of an ended dispatch is remembered. @default 120000 */
+  /** Time for which the id of an ended dispatch is kept. @default 120000 */
   readonly tombstoneMs: number;
-  /** Silence on a run's channel before a new one is dialled. @default 3000 */
+  /** Silence on a run's channel before a new one is opened. @default 3000 */
   readonly channelSilenceMs: number;
   /** Time limit of one call to a peer. @default 2000 */
   readonly peerTimeoutMs: number;
-  /** Period of reading the host list. @default 2000 */
+  /** Interval at which the host list is read. @default 2000 */
   readonly hostListPollMs: number;
   /** Longest wait for requests in progress at shutdown. @default 600000 */
   readonly drainMs: number;
 }
 
-/** Bounds on callers' requests and on this process. */
+/** Limits on callers' requests and on this process. */
 export interface LimitSettings {
   /** Largest body of a caller's request, in bytes. @default 8388608 */
   readonly maxBodyBytes: number;
-  /** All header lines of a request together, in bytes. @default 16384 */
+  /** Limit on all header lines of a request together, in bytes. @default 16384 */
   readonly maxHeaderBytes: number;
-  /** Time a caller has to send its body, in milliseconds. @default 30000 */
+  /** Time limit for receiving a body, in milliseconds. @default 30000 */
   readonly bodyTimeoutMs: number;
-  /** Replicas that an entry follows by heartbeats. @default 24 */
+  /** Number of replicas that an entry follows by heartbeats. @default 24 */
   readonly followReplicas: number;
-  /** Requests in progress at one entry. @default 4096 */
+  /** Limit on requests in progress at one entry. @default 4096 */
   readonly maxOpenRequests: number;
 }
 
-/** Logs go to standard output. */
+/** Options of the log, which is written to standard output. */
 export interface LogSettings {
   /** Least urgent level that is written. @default "info" */
   readonly level: EventSpec['level'];
 }
 
-/** Reads and checks a settings file. Left: all faults, by line. */
+/** Reads and validates a settings file. A Left holds all faults, by line. */
 export function loadSettings(
   file: string,
 ): Either<readonly SettingsFault[], Settings> {
@@ -171,7 +172,7 @@
     .chain(text => parseSettings(text, file));
 }
 
-/** Checks the text of a settings file; `file` only names it in faults. */
+/** Validates the text of a settings file. `file` is its name in faults. */
 export function parseSettings(
   text: string,
   file: string,
--- a/src/config/settings_faults.ts
+++ b/src/config/settings_faults.ts
@@ -1,6 +1,7 @@
 /**
- * Faults of a settings file: reading the text with its line numbers, and
- * turning the schema's issues into faults that name the option and its mend.
+ * Faults of a settings file. This module parses the text with its line numbers,
+ * and converts schema issues into faults. A fault names the line, the option,
+ * the problem, and the mend, which is what to write instead.
  */
 import {
   findNodeAtLocation,
@@ -21,7 +22,7 @@
 /** One fault of a settings file. */
 export interface SettingsFault {
   readonly file: string;
-  /** Counts from 1; 0 when the file could not be read. */
+  /** Line number from 1; 0 when the file could not be read. */
   readonly line: number;
   /** Dotted path, such as `timing.holdMs`; empty for the whole file. */
   readonly option: string;
@@ -30,22 +31,22 @@
   readonly mend: string;
 }
 
-/** A parsed settings text that remembers where each option stands. */
+/** A parsed settings file, with the line of each option. */
 export interface SettingsDocument {
   readonly file: string;
-  /** As far as the text could be parsed. */
+  /** The parsed value. After a syntax error it may be incomplete. */
   readonly value: unknown;
-  /** Faults of the text itself: syntax and doubled options. */
+  /** Faults of the text itself: syntax errors and duplicate options. */
   readonly faults: readonly SettingsFault[];
-  /** Line of an option, or of the nearest object around it. */
+  /** Returns the line of an option, or else of the nearest enclosing object. */
   lineOf(path: readonly PropertyKey[]): number;
-  /** Whether the option is written in the file. */
+  /** Returns whether the file contains the option. */
   has(path: readonly PropertyKey[]): boolean;
 }
 
 type Issue = z.core.$ZodIssue;
 
-/** Parses the text; comments and trailing commas are allowed. */
+/** Parses the text. Comments and trailing commas are allowed. */
 export function parseDocument(text: string, file: string): SettingsDocument {
   const errors: ParseError[] = [];
   const root = parseTree(text, errors, {allowTrailingComma: true});
@@ -83,31 +84,31 @@
   };
 }
 
-/** Faults in the order of their lines. */
+/** Returns the faults sorted by line. */
 export function sortByLine(
   faults: readonly SettingsFault[],
 ): readonly SettingsFault[] {
   return [...faults].sort((a, b) => a.line - b.line);
 }
 
-/** One fault as a line of text. */
+/** Formats one fault as a line of text. */
 export function formatFault(fault: SettingsFault): string {
   const option = fault.option === '' ? '' : `${fault.option} `;
   return `${fault.file}:${fault.line}: ${option}${fault.message}; ${fault.mend}`;
 }
 
-/** All faults as text, one a line. */
+/** Formats faults as text, one per line. */
 export function formatFaults(faults: readonly SettingsFault[]): string {
   return faults.map(formatFault).join('\n');
 }
 
-/** Faults of the schema's issues. */
+/** Converts the issues that the schema found into faults. */
 export function schemaFaults(
   document: SettingsDocument,
   issues: readonly Issue[],
 ): readonly SettingsFault[] {
-  // A text with broken syntax loses options after the break: telling them as
-  // missing would send the reader after faults that are not there.
+  // After a syntax error, the parser may lose options. They must not be
+  // reported as missing, since they may be present in the file.
   const hasSyntaxFault = document.faults.some(fault => fault.option === '');
   return issues
     .filter(issue => !hasSyntaxFault || document.has(issue.path))
@@ -174,7 +175,7 @@
   return `a whole number, such as the default ${defaults[name]}`;
 }
 
-/** Options that only one role has, for telling them from unknown ones. */
+/** Options that only one role has. In the other role, the fault says so. */
 const ROLE_OF_OPTION: Readonly<Record<string, string>> = {
   'listen.callers': 'entry',
   upstream: 'side',
@@ -207,8 +208,11 @@
   return {...at, message: 'is not an option', mend};
 }
 
+/** An option that an object contains a second time. */
 interface DuplicateOption {
+  /** Dotted path of the option. */
   readonly option: string;
+  /** Position of the second one in the text, in characters. */
   readonly offset: number;
 }
 
@@ -233,7 +237,7 @@
   return typeof key === 'number' ? key : String(key);
 }
 
-/** `CommaExpected` as `comma expected`. */
+/** Converts a parser code such as `CommaExpected` to `comma expected`. */
 function syntaxMessage(error: ParseError): string {
   return printParseErrorCode(error.error)
     .replace(/([a-z])([A-Z])/g, '$1 $2')
--- a/src/config/settings_rules.ts
+++ b/src/config/settings_rules.ts
@@ -1,7 +1,8 @@
 /**
- * Rules between options of a settings file. Each is checked on its own, also
- * when other options are wrong, so that all faults come at once; a rule whose
- * options are themselves wrong is left to the schema.
+ * Rules between options of a settings file. Each rule is checked independently,
+ * even if other options have faults, so that all faults are reported at once. A
+ * rule is skipped when its own options have the wrong type, which the schema
+ * reports.
  */
 import {
   LIMIT_DEFAULTS,
@@ -10,10 +11,11 @@
 } from './settings_schema.js';
 import type {SettingsDocument, SettingsFault} from './settings_faults.js';
 
+/** Returns the faults of a document against one rule. */
 type Rule = (document: SettingsDocument) => readonly SettingsFault[];
 type TimingName = keyof typeof TIMING_DEFAULTS;
 
-/** Faults of the rules between options. */
+/** Returns the faults of a document against all rules between options. */
 export function optionRuleFaults(
   document: SettingsDocument,
 ): readonly SettingsFault[] {
@@ -23,13 +25,13 @@
 const OPTION_RULES: readonly Rule[] = [
   // One lost heartbeat must not make a peer suspect.
   mustExceed('suspectAfterMs', 'heartbeatMs', 1),
-  // Runs must outlive two lost heartbeats of their entry, or a short stall
-  // of the network would cancel work that is still wanted.
+  // A run must outlive two lost heartbeats of its entry. Otherwise, a short
+  // stall of the network would cancel a run whose caller still waits.
   mustExceed('holdMs', 'heartbeatMs', 2),
-  // An entry must dial anew before the side gives its run up.
+  // An entry must open a new channel before the side cancels its run.
   mustExceed('holdMs', 'channelSilenceMs', 1),
   mustExceed('channelSilenceMs', 'heartbeatMs', 1),
-  // A copy of an offer or go may arrive until its sender gave up on it.
+  // A duplicate of an offer or go may arrive until its sender has given up.
   mustExceed('tombstoneMs', 'offerLapseMs', 2),
   mustExceed('tombstoneMs', 'peerTimeoutMs', 2),
   checkBodyLimit,
@@ -38,6 +40,7 @@
   checkFenceOption,
 ];
 
+/** Rule: a timing option must be more than `times` times another one. */
 function mustExceed(name: TimingName, than: TimingName, times: number): Rule {
   return document => {
     const value = timingOf(document, name);
@@ -65,7 +68,7 @@
   return [createFault(document, ['limits', 'maxBodyBytes'], message, mend)];
 }
 
-/** Peers cannot dial the wildcard address or port 0. */
+/** Rule: peers cannot connect to a wildcard IP or to port 0. */
 function checkPeersAddress(
   document: SettingsDocument,
 ): readonly SettingsFault[] {
@@ -88,9 +91,9 @@
 function checkDistinctAddresses(
   document: SettingsDocument,
 ): readonly SettingsFault[] {
-  const names = ['callers', 'operators', 'peers'];
+  const listenNames = ['callers', 'operators', 'peers'];
   const seen = new Map<string, string>();
-  return names.flatMap(name => {
+  return listenNames.flatMap(name => {
     const parts = addressAt(document, ['listen', name]);
     if (parts === undefined || parts.port === 0) return [];
     const key = `${parts.ip} ${parts.port}`;
@@ -113,8 +116,8 @@
   document: SettingsDocument,
 ): readonly SettingsFault[] {
   const kind = valueAt(document, ['upstream', 'kind']);
-  const refuses = valueAt(document, ['upstream', 'refusesOldFence']);
-  if (kind !== 'service' || refuses !== true) return [];
+  const refusesOldFence = valueAt(document, ['upstream', 'refusesOldFence']);
+  if (kind !== 'service' || refusesOldFence !== true) return [];
   const message = 'is true, but a plain service takes no orders';
   const mend = 'remove it, or set upstream.kind to "engine"';
   return [
@@ -164,7 +167,10 @@
   );
 }
 
-/** The value, its default when it is left out, undefined when it is wrong. */
+/**
+ * Returns the value if it is a number, the default if the option is absent, and
+ * undefined if the value has another type.
+ */
 function numberOrDefault(
   value: unknown,
   defaultValue: number,
--- a/src/config/settings_schema.ts
+++ b/src/config/settings_schema.ts
@@ -1,7 +1,7 @@
 /**
- * The schema of the settings file. The types and the meaning of each option
- * stand in `settings.ts`; here are its bounds and defaults, and for each
- * option an example of what to write, which faults show as the mend.
+ * Schema of the settings file: the bounds and defaults of each option, and an
+ * example of its value, which faults show as the mend. The types and the
+ * meaning of the options are in `settings.ts`.
  */
 import {isIP} from 'node:net';
 import {z} from 'zod';
@@ -12,13 +12,13 @@
 const HOUR_MS = 3_600_000;
 const MEBIBYTE = 1_048_576;
 
-/** Parts of an address. */
+/** IP and port of an address. */
 export interface AddressParts {
   readonly ip: string;
   readonly port: number;
 }
 
-/** Splits `ip:port` or `[ipv6]:port`; undefined when it is neither. */
+/** Splits `ip:port` or `[ipv6]:port`. Returns undefined for other text. */
 export function splitAddress(address: string): AddressParts | undefined {
   const match = /^(?:\[([^\]]+)\]|([^:]+)):(\d{1,5})$/.exec(address);
   if (match === null) return undefined;
@@ -124,7 +124,7 @@
   })
   .transform(withAdvertise);
 
-/** For a file without a known role: checks only what all roles have. */
+/** Schema for a file without a known role. Checks only the common options. */
 const unknownRoleSchema = z
   .strictObject({
     role: z.enum(['entry', 'side']),
@@ -151,7 +151,7 @@
   };
 }
 
-/** The schema for the role that the file names. */
+/** Returns the schema for the role that the file names. */
 export function settingsSchemaOf(value: unknown) {
   const role = (value as {readonly role?: unknown} | null | undefined)?.role;
   if (role === 'entry') return entrySchema;
@@ -159,7 +159,7 @@
   return unknownRoleSchema;
 }
 
-/** Example of each option: what to write, shown in a fault's mend. */
+/** Example of each option's value, shown in a fault's mend. */
 export const OPTION_EXAMPLES: Readonly<Record<string, string>> = {
   role: '"entry" or "side"',
   node: 'a name unique in the deployment, such as "entry-north-1"',
@@ -193,7 +193,7 @@
   'log.level': '"error", "warn", "info" or "debug"',
 };
 
-/** Names of the options below a path, for finding the nearest known one. */
+/** Option names under each path, for suggesting one for an unknown option. */
 export const OPTION_NAMES: Readonly<Record<string, readonly string[]>> = {
   '': [
     'role',
--- a/src/config/validate.ts
+++ b/src/config/validate.ts
@@ -1,7 +1,7 @@
 /**
- * Checks declarations as a whole before they are accepted. All faults are told
- * at once, each with the pointer by which a patch would address it and what to
- * write instead, so that an operator mends a file in one go.
+ * Validates declarations as a whole before they are accepted. All faults are
+ * reported at once, so that an operator can correct them in one edit. Each
+ * fault has the JSON pointer that a patch would use, and what to write instead.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -16,18 +16,21 @@
 import {fromKeyed} from './keyed_form.js';
 import {toJsonPointer} from './json_pointer.js';
 
-/** Pool name under which the host list shows entries. */
+/** Pool name of the entries in the host list. */
 const ENTRY_POOL = 'entry';
-/** A sum of shares may pass 1 by this much, for rounding. */
+/**
+ * Tolerance for rounding errors in a sum of shares. A sum that exceeds 1 by
+ * more than this is a fault.
+ */
 const SHARE_TOLERANCE = 1e-9;
 
-/** What is known of the fleet: live hosts by pool and failure domain. */
+/** Number of live hosts, by pool and failure domain. */
 export type LiveHostCounts = ReadonlyMap<
   PoolId,
   ReadonlyMap<FailureDomain, number>
 >;
 
-/** Counts the live upstream hosts of a host list. */
+/** Counts the live hosts of a host list, without the entries. */
 export function countLiveHosts(hosts: readonly HostInfo[]): LiveHostCounts {
   const counts = new Map<PoolId, Map<FailureDomain, number>>();
   for (const host of hosts) {
@@ -40,29 +43,34 @@
 }
 
 /**
- * Reads the keyed form and checks it. Left: every fault found. `fleet` adds
- * the checks against live hosts; without it these are left out.
+ * Parses the keyed form and validates it. A Left holds every fault found.
+ * `liveHostCounts` adds the checks against live hosts, which are left out
+ * without it. `wishesInForce` are exempt from these checks.
  */
 export function parseKeyedDeclarations(
   keyed: unknown,
-  fleet?: LiveHostCounts,
-  before: readonly PlacementWish[] = [],
+  liveHostCounts?: LiveHostCounts,
+  wishesInForce: readonly PlacementWish[] = [],
 ): Either<readonly ConfigFault[], Declarations> {
   const parsed = keyedDeclarationsSchema.safeParse(keyed);
   if (!parsed.success) return Left(parsed.error.issues.map(toFault));
   const declarations = fromKeyed(parsed.data);
-  const faults = validateDeclarations(declarations, fleet, before);
+  const faults = validateDeclarations(
+    declarations,
+    liveHostCounts,
+    wishesInForce,
+  );
   return faults.length === 0 ? Right(declarations) : Left(faults);
 }
 
 /**
- * Every fault of well-formed declarations; empty when there is none. `before`:
- * wishes in force, which are not judged by the live hosts again.
+ * Returns every fault of declarations that fit the schema. `wishesInForce` are
+ * not checked against the live hosts again.
  */
 function validateDeclarations(
   declarations: Declarations,
-  fleet?: LiveHostCounts,
-  before: readonly PlacementWish[] = [],
+  liveHostCounts?: LiveHostCounts,
+  wishesInForce: readonly PlacementWish[] = [],
 ): readonly ConfigFault[] {
   return [
     ...duplicateFaults(declarations),
@@ -72,10 +80,13 @@
     ...duplicateKeyFaults(declarations),
     ...placementFaults(declarations),
     ...policyFaults(declarations),
-    ...(fleet === undefined ? [] : capacityFaults(declarations, fleet, before)),
+    ...(liveHostCounts === undefined
+      ? []
+      : capacityFaults(declarations, liveHostCounts, wishesInForce)),
   ];
 }
 
+/** The fields of a zod issue that are used here. */
 interface SchemaIssue {
   readonly code: string;
   readonly message: string;
@@ -111,8 +122,8 @@
   ];
   return lists.flatMap(([list, keys]) => {
     const paths = keys.map(key => toJsonPointer([list, ...key]));
-    const twice = paths.filter((path, at) => paths.indexOf(path) !== at);
-    return [...new Set(twice)].map(path => ({
+    const duplicates = paths.filter((path, at) => paths.indexOf(path) !== at);
+    return [...new Set(duplicates)].map(path => ({
       path,
       message: 'declared more than once',
       mend: 'keep one of them, or give the other another id',
@@ -127,13 +138,13 @@
     message: `"${defaults[0]?.id}" is the default model already`,
     mend: 'set isDefault to false on all models but one',
   }));
-  const longest = d.lengthClasses.at(-1)?.maxTokens ?? 0;
+  const longestPrompt = d.lengthClasses.at(-1)?.maxTokens ?? 0;
   const tooLong = d.models
-    .filter(model => model.maxPromptTokens > longest)
+    .filter(model => model.maxPromptTokens > longestPrompt)
     .map(model => ({
       path: toJsonPointer(['models', model.id, 'maxPromptTokens']),
-      message: `prompts of ${model.maxPromptTokens} tokens fit no length class; the longest takes ${longest}`,
-      mend: `lower it to ${longest}, or add a length class with a larger maxTokens`,
+      message: `prompts of ${model.maxPromptTokens} tokens fit no length class; the longest takes ${longestPrompt}`,
+      mend: `lower it to ${longestPrompt}, or add a length class with a larger maxTokens`,
     }));
   return [...faults, ...tooLong];
 }
@@ -176,12 +187,13 @@
     ];
   }
   const orderFaults = d.lengthClasses.flatMap((item, at) => {
-    const before = d.lengthClasses[at - 1];
-    if (before === undefined || before.maxTokens < item.maxTokens) return [];
+    const shorterClass = d.lengthClasses[at - 1];
+    if (shorterClass === undefined || shorterClass.maxTokens < item.maxTokens)
+      return [];
     return [
       {
         path: toJsonPointer(['lengthClasses', item.name, 'maxTokens']),
-        message: `${item.maxTokens} is not over the ${before.maxTokens} of "${before.name}"`,
+        message: `${item.maxTokens} is not over the ${shorterClass.maxTokens} of "${shorterClass.name}"`,
         mend: 'give each length class a maxTokens of its own',
       },
     ];
@@ -199,12 +211,12 @@
 }
 
 function duplicateKeyFaults(d: Declarations): readonly ConfigFault[] {
-  const owner = new Map<string, string>();
+  const ownerByHash = new Map<string, string>();
   return d.organisations.flatMap(organisation =>
     organisation.keyHashes.flatMap((hash, at) => {
-      const other = owner.get(hash);
-      owner.set(hash, organisation.id);
-      if (other === undefined) return [];
+      const previousOwner = ownerByHash.get(hash);
+      ownerByHash.set(hash, organisation.id);
+      if (previousOwner === undefined) return [];
       return [
         {
           path: toJsonPointer([
@@ -213,7 +225,7 @@
             'keyHashes',
             String(at),
           ]),
-          message: `the same key is declared for "${other}"`,
+          message: `the same key is declared for "${previousOwner}"`,
           mend: 'give each organisation keys of its own',
         },
       ];
@@ -246,55 +258,56 @@
 }
 
 function policyFaults(d: Declarations): readonly ConfigFault[] {
-  const known: readonly string[] = ROUTING_POLICIES;
-  if (known.includes(d.policy.routing)) return [];
+  const knownPolicies: readonly string[] = ROUTING_POLICIES;
+  if (knownPolicies.includes(d.policy.routing)) return [];
   return [
     {
       path: '/policy/routing',
       message: `there is no routing policy "${d.policy.routing}"`,
-      mend: `write one of ${known.join(', ')}`,
+      mend: `write one of ${knownPolicies.join(', ')}`,
     },
   ];
 }
 
 /**
- * Only wishes that the patch changes: while a failure domain is lost, an old
- * wish can't be met, and must not stop an operator from changing anything.
+ * Checks the wishes that the patch adds or changes against the live hosts.
+ * While a failure domain is lost, a wish in force may not be met. It must not
+ * prevent operators from changing other declarations.
  */
 function capacityFaults(
   d: Declarations,
-  fleet: LiveHostCounts,
-  before: readonly PlacementWish[],
+  liveHostCounts: LiveHostCounts,
+  wishesInForce: readonly PlacementWish[],
 ) {
-  const unchanged = new Set(before.map(wish => JSON.stringify(wish)));
+  const unchanged = new Set(wishesInForce.map(wish => JSON.stringify(wish)));
   return d.placement
     .filter(wish => !unchanged.has(JSON.stringify(wish)))
-    .flatMap(wish => wishCapacityFaults(wish, fleet));
+    .flatMap(wish => wishCapacityFaults(wish, liveHostCounts));
 }
 
 function wishCapacityFaults(
   wish: PlacementWish,
-  fleet: LiveHostCounts,
+  liveHostCounts: LiveHostCounts,
 ): readonly ConfigFault[] {
-  const domains = fleet.get(wish.pool);
+  const hostsByDomain = liveHostCounts.get(wish.pool);
   const path = toJsonPointer(['placement', wish.pool, wish.model]);
-  if (domains === undefined) {
+  if (hostsByDomain === undefined) {
     return [
       {
         path,
         message: `no live host is in pool "${wish.pool}"`,
-        mend: `name one of ${[...fleet.keys()].sort().join(', ') || '(no pool is live)'}`,
+        mend: `name one of ${[...liveHostCounts.keys()].sort().join(', ') || '(no pool is live)'}`,
       },
     ];
   }
-  const hosts = [...domains.values()].reduce((sum, n) => sum + n, 0);
-  const smallestDomain = Math.min(...domains.values());
+  const hostCount = [...hostsByDomain.values()].reduce((sum, n) => sum + n, 0);
+  const smallestDomain = Math.min(...hostsByDomain.values());
   const faults: ConfigFault[] = [];
-  if (wish.minReplicas > hosts) {
+  if (wish.minReplicas > hostCount) {
     faults.push({
       path: `${path}/minReplicas`,
-      message: `${wish.minReplicas} replicas are wished of a pool of ${hosts} hosts`,
-      mend: `lower it to ${hosts} or add hosts first`,
+      message: `${wish.minReplicas} replicas are wished of a pool of ${hostCount} hosts`,
+      mend: `lower it to ${hostCount} or add hosts first`,
     });
   }
   if (wish.minPerFailureDomain > smallestDomain) {
