--- a/src/cli/config_commands.ts
+++ b/src/cli/config_commands.ts
@@ -1,4 +1,4 @@
-/** Commands on the numbered configuration: `onyxloft config …`. */
+/** Commands for the configuration and its history: `onyxloft config …`. */
 import {readFileSync} from 'node:fs';
 import {Command, Option} from 'clipanion';
 import {parse, printParseErrorCode} from 'jsonc-parser';
@@ -19,6 +19,7 @@
 import {renderTable} from './render.js';
 
 const CATEGORY = 'Configuration';
+/** Length of a random patch id, in bytes. */
 const PATCH_ID_BYTES = 16;
 
 /** `onyxloft config get` */
@@ -28,7 +29,7 @@
     category: CATEGORY,
     description: 'print the declarations in force',
     details:
-      'Prints the newest accepted declarations, headed by their number in a comment. With --json the number is a field.',
+      'Prints the newest accepted declarations, with their number in a comment on the first line. With --json the number is a field.',
     examples: [
       ['Keep them in a file', '$0 config get > declarations.jsonc'],
       ['Read the number in a script', '$0 config get --json | jq .number'],
@@ -69,7 +70,9 @@
     examples: [['The last five', '$0 config history --limit 5']],
   });
 
-  limit = Option.String('--limit', '20', {description: 'Most lines to print'});
+  limit = Option.String('--limit', '20', {
+    description: 'Maximum number of lines to print',
+  });
 
   protected override async perform(): Promise<number> {
     const limit = parseCount(this.limit, '--limit');
@@ -77,7 +80,7 @@
   }
 }
 
-/** What `diff` and `apply` share. */
+/** Options and output that `diff` and `apply` share. */
 abstract class PatchCommand extends OperatorCommand {
   base = Option.String('--base', {
     required: true,
@@ -86,7 +89,7 @@
 
   operator = Option.String('--operator', {
     env: 'USER',
-    description: 'Who applies it, for the history',
+    description: 'Name of the operator, for the history',
   });
 
   file = Option.String({name: 'FILE'});
@@ -148,7 +151,7 @@
   static override paths = [['config', 'diff']];
   static override usage = Command.Usage({
     category: CATEGORY,
-    description: 'tell what a patch would change',
+    description: 'show what a patch would change',
     details:
       'Checks the patch as "config apply" would, and changes nothing. A FILE with an array is a JSON Patch, one with an object a merge patch; it may have comments.',
     examples: [['Try a patch', '$0 config diff --base 41 patch.jsonc']],
@@ -166,7 +169,7 @@
     category: CATEGORY,
     description: 'apply a patch against a numbered version',
     details:
-      'Exits 1 and changes nothing when the head is not --base, or when the declarations would be wrong. A FILE with an array is a JSON Patch, one with an object a merge patch; it may have comments. A repeat with the same --patch-id is the same patch and is never applied twice.',
+      'Exits 1 and changes nothing when the head is not --base, or when the resulting declarations have faults. A FILE with an array is a JSON Patch, one with an object a merge patch; it may have comments. A repeat with the same --patch-id is the same patch and is never applied twice.',
     examples: [
       ['Apply a patch to version 41', '$0 config apply --base 41 patch.jsonc'],
       [
--- a/src/cli/explain_logs.ts
+++ b/src/cli/explain_logs.ts
@@ -1,19 +1,24 @@
 /**
- * Explains one request from log lines of any number of processes: its events in
- * order of time, and its cause in a sentence.
+ * Explains the outcome of one request from the log lines of any number of
+ * processes. The result is the request's events in order of time, and a
+ * sentence with the cause of its outcome.
  */
 import type {EventSpec} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
 
-/** One log line that is about the request. */
+/** One log line about the request. */
 export interface RequestLine {
+  /** Time of the event, in ISO 8601. */
   readonly time: string;
+  /** Number of the event, as in `utils/events.ts`. */
   readonly event: number;
   readonly name: string;
   readonly node: string;
+  /** All fields that not every line has. */
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
+/** Log fields that are left out of `RequestLine.fields`. */
 const COMMON_FIELDS = new Set([
   'time',
   'level',
@@ -24,8 +29,9 @@
 ]);
 
 /**
- * The lines about a request, oldest first. Other text is passed over. Where it
- * was refused as one that crashes replicas, those about its like come as well.
+ * Returns the lines about a request, the oldest first. Text that is not a log
+ * line is skipped. If the request was refused because its digest is
+ * quarantined, the lines about that digest are included.
  */
 export function linesAboutRequest(
   text: string,
@@ -38,7 +44,7 @@
   return [...digestLines(text, digest), ...own].sort(byTime);
 }
 
-/** What became known of all requests of a digest. */
+/** Returns the lines about replicas that ended and quarantines of a digest. */
 function digestLines(text: string, digest: unknown): readonly RequestLine[] {
   const {replicaEnded, quarantined, quarantineEnded} = DIRECT_EVENTS;
   return text
@@ -62,7 +68,7 @@
   return a.time < b.time ? -1 : 1;
 }
 
-/** The lines about each request, oldest first, by its id. */
+/** Returns the lines about each request by its id, the oldest first. */
 export function linesByRequest(
   text: string,
 ): ReadonlyMap<string, readonly RequestLine[]> {
@@ -81,14 +87,17 @@
   return requests;
 }
 
-/** A collector may write something before the JSON, such as the host. */
+/**
+ * Parses the JSON of a log line. A log collector may write a prefix before it,
+ * such as the host.
+ */
 function parseLine(line: string): Record<string, unknown> | undefined {
   const start = line.indexOf('{');
   if (start < 0) return undefined;
   try {
     return JSON.parse(line.slice(start)) as Record<string, unknown>;
   } catch {
-    // Not a log line, or one that was cut.
+    // Not a log line, or a truncated one.
     return undefined;
   }
 }
@@ -106,7 +115,7 @@
   };
 }
 
-/** What became of the request, and why. */
+/** Describes the outcome of the request and its cause in a sentence. */
 export function describeCause(lines: readonly RequestLine[]): string {
   const lastLineOf = (event: number) =>
     lines.filter(it => it.event === event).at(-1);
@@ -129,15 +138,15 @@
   if (answered !== undefined)
     return `${describeAnswered(answered)}${failedAttempt}.`;
   return lines.length === 0
-    ? 'No line is about this request.'
-    : 'The lines end before the request did: its process ended, or lines are missing.';
+    ? 'No log line is about this request.'
+    : 'The log lines end before the request ended: its process ended, or lines are missing.';
 }
 
 function describeRefused({node, fields}: RequestLine): string {
   const {status, message, config, evidenceAgeMs} = fields;
   return (
-    `${node} refused it with ${status} before any replica was asked: ${message} ` +
-    `(configuration ${config}, the store's last word ${evidenceAgeMs} ms old).`
+    `${node} refused the request with ${status} before contacting any replica: ${message} ` +
+    `(configuration ${config}, latest evidence from the store ${evidenceAgeMs} ms old).`
   );
 }
 
@@ -150,19 +159,19 @@
     .map(({fields}) => String(fields['replica']));
   const replicas = [...new Set(endedReplicas)].join(', ') || 'replicas';
   return (
-    `${node} refused it and did not send it on: ${replicas} had ended under ` +
-    'requests with the same host, path, organisation and body.'
+    `${node} refused the request without forwarding it: ${replicas} had ended ` +
+    'while running requests with the same host, path, organisation and body.'
   );
 }
 
 function describeGivenUp({node, fields}: RequestLine): string {
   const {reason, ran, sent, elapsedMs} = fields;
   const run = ran === 'no' ? 'it did not run' : 'it may have run';
-  return `${node} gave it up after ${elapsedMs} ms and ${sent} tries: ${reason}; ${run}`;
+  return `${node} gave up the request after ${elapsedMs} ms and ${sent} attempts: ${reason}; ${run}`;
 }
 
 function describeFailedAttempt({fields}: RequestLine): string {
-  return `replica ${fields['replica']} had failed it at ${fields['elapsedMs']} ms: ${fields['reason']}`;
+  return `the attempt at replica ${fields['replica']} failed at ${fields['elapsedMs']} ms: ${fields['reason']}`;
 }
 
 function describeAnswered({fields}: RequestLine): string {
@@ -174,7 +183,7 @@
   return `It was answered with ${status} after ${elapsedMs} ms${stream}`;
 }
 
-/** The lines and the cause, for a terminal. */
+/** Formats the lines and the cause for a terminal. */
 export function renderExplanation(lines: readonly RequestLine[]): string {
   const rows = lines.map(({time, node, name, fields}) =>
     [time, node, name, JSON.stringify(fields)].join('  '),
--- a/src/cli/fleet_commands.ts
+++ b/src/cli/fleet_commands.ts
@@ -1,4 +1,4 @@
-/** Commands on the running processes: status, hosts, explain, drain. */
+/** Commands for running processes: status, hosts, explain, drain. */
 import {readFile} from 'node:fs/promises';
 import {text} from 'node:stream/consumers';
 import {Command, Option} from 'clipanion';
@@ -51,7 +51,7 @@
     category: CATEGORY,
     description: "show a request's routing decisions and their reasons",
     details:
-      'Asks an entry, or with --logs reads the log lines of any number of processes, and says in a sentence what became of the request.',
+      'Asks an entry for the decisions. With --logs, reads the log lines of any number of processes instead, and describes the outcome of the request in a sentence.',
     examples: [
       ['Why it ran there', '$0 explain 9f86d081884c7d659a2feaa0c55ad015'],
       ['From logs', '$0 explain 9c41d07be2a35f68 --logs a.log --logs b.log'],
@@ -97,9 +97,9 @@
   static override paths = [['drain']];
   static override usage = Command.Usage({
     category: CATEGORY,
-    description: 'let one process end its work and stop',
+    description: 'drain one process and stop it',
     details:
-      "NODE-URL is the process's own listen.operators address. It takes no new work, ends every request in progress, and exits.",
+      "NODE-URL is the process's own listen.operators address. The process accepts no new work, finishes every request in progress, and exits.",
     examples: [['Drain one process', '$0 drain http://10.1.0.5:7200']],
   });
 
--- a/src/cli/local_commands.ts
+++ b/src/cli/local_commands.ts
@@ -1,4 +1,4 @@
-/** Commands that talk to no process: settings files and keys. */
+/** Commands that connect to no process: settings files and keys. */
 import {Command, Option} from 'clipanion';
 import {existsSync, readFileSync} from 'node:fs';
 import {formatFault} from '../config/settings_faults.js';
@@ -8,7 +8,10 @@
 import {SALT_BYTES, generateKey, hashGeneratedKey} from '../utils/keys.js';
 import {EXIT_OK, EXIT_USAGE, ToolCommand} from './operator_command.js';
 
-/** A direct entry's file names that role, and has options of its own. */
+/**
+ * Returns the faults of a settings file. The file of a direct entry has other
+ * options, so it is checked against the schema of that role.
+ */
 function checkSettingsFile(file: string): readonly SettingsFault[] {
   const text = existsSync(file) ? readFileSync(file, 'utf8') : '';
   if (!isDirectSettings(text)) return loadSettings(file).swap().orDefault([]);
@@ -27,7 +30,7 @@
     category: 'Settings',
     description: 'check settings files of processes',
     details:
-      'Prints every fault of every file with its line, option and mend. Exits 2 when there is one.',
+      'Prints every fault of every file with its line, option and mend. Exits 2 when there is a fault.',
     examples: [
       ['Check one file', '$0 settings check entry.jsonc'],
       ['Read the faults in a script', '$0 settings check --json *.jsonc'],
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -1,7 +1,7 @@
 /**
- * Client of the operators' HTTP API. The command line is thin over it, and
- * programs may use it as it is. Each call uses a connection of its own: an
- * established one may have gone silent while new ones work.
+ * Client of the operators' HTTP API, for the command line and for programs.
+ * Each call opens a new connection, because an established one may have stopped
+ * responding while new ones still work.
  */
 import {Agent, request} from 'undici';
 import {Left, Right} from 'purify-ts';
@@ -18,49 +18,58 @@
   ConfigRejection,
 } from '../types/services.js';
 
+/** Default time limit of one attempt, in milliseconds. */
 const DEFAULT_TIMEOUT_MS = 30_000;
-/** First attempt and repeats of a call that is safe to repeat. */
+/**
+ * Limit on attempts of a call that is safe to repeat, with the first one. The
+ * error of the last attempt is returned.
+ */
 const MAX_ATTEMPTS = 3;
+/** Lowest HTTP status that is an error. */
 const MIN_ERROR_STATUS = 400;
 
-/** Where the operators' API is, and the token for it. */
+/** Address of the operators' API, and the token for it. */
 export interface OperatorClientOptions {
-  /** Base URL of an entry's operators' address. */
+  /** Base URL of the `listen.operators` address of an entry or a side. */
   readonly url: string;
   readonly token: string;
   /** Time limit of one attempt, in milliseconds. @default 30000 */
   readonly timeoutMs?: number;
 }
 
-/** Outcome of a call: an `OnyxError` carries the step and the peer. */
+/** Result of a call. The error states the failed step and the peer. */
 export type OperatorResult<T> = Promise<Either<OnyxError, T>>;
 
 /** The operators' API, for the command line and for programs. */
 export interface OperatorClient {
-  /** The newest accepted declarations. */
+  /** Reads the newest accepted declarations. */
   config(): OperatorResult<NumberedDeclarations>;
+  /** Reads the declarations of one number. */
   configAt(number: ConfigNumber): OperatorResult<NumberedDeclarations>;
-  /** Newest first. */
+  /** Reads up to `limit` accepted patches, the newest first. */
   history(limit: number): OperatorResult<readonly ConfigHistoryLine[]>;
-  /** Applies a patch, or with `dryRun` only tells what would change. */
+  /** Applies a patch. With `dryRun`, only returns what would change. */
   patch(patch: ConfigPatch): Promise<Either<ConfigRejection, ConfigAccepted>>;
+  /** Reads the state of the process at the client's URL. */
   status(): OperatorResult<unknown>;
+  /** Reads the hosts and their states, as the entry sees them. */
   hosts(): OperatorResult<unknown>;
-  /** Routing decisions of a request. */
+  /** Reads the routing decisions of a request. */
   explain(id: RequestId): OperatorResult<unknown>;
-  /** Tells the process at the client's URL to drain and end. */
+  /** Makes the process at the client's URL drain and exit. */
   drain(): OperatorResult<unknown>;
 }
 
-/** Answer of the API, whatever its status. */
+/** HTTP response of the API, with any status. */
 interface ApiResponse {
   readonly status: number;
+  /** The parsed JSON; undefined when the body is not JSON. */
   readonly body: unknown;
 }
 
 type Method = 'GET' | 'POST';
 
-/** Makes a client. */
+/** Creates a client. It opens no connection until a call. */
 export function createOperatorClient(
   options: OperatorClientOptions,
 ): OperatorClient {
@@ -75,8 +84,8 @@
     configAt: number => get(`/config/${number}`),
     history: limit => get(`/config/history?limit=${limit}`),
     patch: async patch => {
-      // An answer may be lost after the patch took effect. Repeating it is
-      // safe: the patch id makes the repeat the same patch, never a second.
+      // The response may be lost after the patch took effect. A repeat is safe,
+      // since the entry applies a patch id at most once.
       const answer = await withRetries(() =>
         call('POST', '/config/patches', patch),
       );
@@ -196,7 +205,7 @@
   });
 }
 
-/** Something else than an entry answered, or answered half. */
+/** Another server than an entry or a side responded, or the body was cut off. */
 function createUnexpectedResponseError(url: string, status: number): OnyxError {
   return new OnyxError({
     code: codeOf(status),
--- a/src/cli/operator_command.ts
+++ b/src/cli/operator_command.ts
@@ -1,6 +1,6 @@
 /**
- * What the commands share: the options that name the entry and the token, the
- * exit codes, and how outcomes and faults are printed.
+ * Base classes of the commands. They define the options for the entry's URL and
+ * the token, the exit codes, and the output of results and errors.
  */
 import {Command, Option} from 'clipanion';
 import type {BaseContext} from 'clipanion';
@@ -12,29 +12,29 @@
 import type {OperatorClient} from './operator_client.js';
 import {renderValue} from './render.js';
 
-/** Exit codes; scripts may rely on them. */
+/** Success. Scripts may rely on this exit code and the two others. */
 export const EXIT_OK = 0;
-/** The operation failed, or the patch was in conflict. */
+/** The operation failed, or the patch was rejected. */
 export const EXIT_FAILED = 1;
-/** Wrong usage, or a wrong settings or patch file. */
+/** Wrong usage, or a settings or patch file with faults. */
 export const EXIT_USAGE = 2;
 
-/** Wrong usage found after the options were read. */
+/** Wrong usage that is found after the options were parsed. */
 export class UsageError extends Error {}
 
-/** What commands ask of the platform's store. */
+/** The part of the platform's store that the commands use. */
 export type QuarantineStore = Pick<
   DirectStore,
   'quarantine' | 'removeQuarantine'
 >;
 
-/** The tool's context, with what the platform brings. */
+/** Context of the commands, with access to the platform. */
 export interface ToolContext extends BaseContext {
-  /** `address` is IP:PORT. */
+  /** Opens the platform's metadata store at `address`, which is IP:PORT. */
   openStore(address: string): QuarantineStore;
 }
 
-/** A command that ends with one of the exit codes. */
+/** A command that returns one of the exit codes. */
 export abstract class ToolCommand extends Command<ToolContext> {
   async execute(): Promise<number> {
     try {
@@ -61,24 +61,26 @@
   }
 }
 
-/** A command that talks to the operators' API. */
+/** A command that calls the operators' API. */
 export abstract class OperatorCommand extends ToolCommand {
   url = Option.String('--url', {
     env: 'ONYXLOFT_URL',
-    description: "An entry's operators' address, such as http://10.0.0.5:7200",
+    description:
+      "URL of an entry's operators' API, such as http://10.0.0.5:7200",
   });
 
   token = Option.String('--token', {
     env: 'ONYXLOFT_TOKEN',
-    description: "The operators' token; the environment hides it from ps",
+    description:
+      "The operators' token; ps does not show it if it is in the environment",
   });
 
   json = Option.Boolean('--json', false, {
     description: 'Print JSON for scripts',
   });
 
-  /** The client for `--url`, or for another address. */
-  /** `source` names where the URL is from, for telling a wrong one. */
+  /** Creates a client for `--url` or for another address. */
+  /** `source` names the origin of the URL in the error about a wrong one. */
   protected client(
     url: string | undefined = this.url,
     source = '--url or ONYXLOFT_URL',
@@ -94,7 +96,7 @@
     return createOperatorClient({url, token: this.token});
   }
 
-  /** Prints the outcome, as JSON or by `render`. */
+  /** Prints the outcome, with `--json` as JSON and otherwise with `render`. */
   protected printOutcome<T>(
     outcome: Either<OnyxError, T>,
     render: (value: T) => string = renderValue,
@@ -116,7 +118,7 @@
   }
 }
 
-/** A count given as an argument or option. */
+/** Parses a whole number from an argument or option. */
 export function parseCount(text: string, name: string): number {
   if (!/^\d{1,15}$/.test(text)) {
     throw new UsageError(`${name} is not a whole number: "${text}"`);
--- a/src/cli/quarantine_commands.ts
+++ b/src/cli/quarantine_commands.ts
@@ -1,4 +1,7 @@
-/** Commands on requests that crash replicas, as the platform's store has them. */
+/**
+ * Commands for the quarantine of requests that crash replicas. They read and
+ * remove its records in the platform's store.
+ */
 import {Command, Option} from 'clipanion';
 import type {QuarantineRecord} from '../direct/crash_reports.js';
 import {splitAddress} from '../direct/settings.js';
@@ -13,12 +16,12 @@
 import {renderTable} from './render.js';
 
 const CATEGORY = 'Quarantine';
-/** Beginnings of digests in logs are as long. */
+/** A digest or a prefix of it, such as logs show. */
 const ID_PATTERN = /^[0-9a-f]{4,32}$/;
 
-/** As scripts read it. */
+/** A quarantine record as printed with `--json`. */
 interface QuarantineJson extends Omit<QuarantineRecord, 'writtenAt'> {
-  /** When the record was written, in ISO 8601. */
+  /** Time at which the record was written, in ISO 8601. */
   readonly since: string;
 }
 
@@ -29,6 +32,7 @@
   return {...report, since: new Date(writtenAt).toISOString()};
 }
 
+/** Options and store access that the quarantine commands share. */
 abstract class QuarantineCommand extends ToolCommand {
   store = Option.String('--store', {
     env: 'ONYXLOFT_STORE',
@@ -48,7 +52,10 @@
     return this.context.openStore(this.store);
   }
 
-  /** All records, by digest; undefined when the store failed. */
+  /**
+   * Reads all records, sorted by digest. Prints the error and returns undefined
+   * when the store failed.
+   */
   protected async readAll(
     store: QuarantineStore,
   ): Promise<readonly QuarantineRecord[] | undefined> {
@@ -60,7 +67,10 @@
       .extract();
   }
 
-  /** The one record whose digest begins so; undefined where it is not one. */
+  /**
+   * Returns the only record whose digest starts with `id`. Prints an error and
+   * returns undefined when there is none or more than one.
+   */
   protected findByPrefix(
     records: readonly QuarantineRecord[],
     id: string,
@@ -70,7 +80,7 @@
     this.printError(
       found.length === 0
         ? `no request "${id}" is quarantined; see quarantine list`
-        : `"${id}" begins ${found.length} digests; give more of it`,
+        : `"${id}" is a prefix of ${found.length} digests; give a longer one`,
     );
     return undefined;
   }
@@ -86,7 +96,7 @@
 
   protected validateId(id: string): string {
     if (!ID_PATTERN.test(id)) {
-      throw new UsageError(`ID is no beginning of a digest: "${id}"`);
+      throw new UsageError(`ID is not a prefix of a digest: "${id}"`);
     }
     return id;
   }
@@ -100,7 +110,7 @@
     description:
       'list the requests that are refused because they crash replicas',
     details:
-      'Reads the records in the store, which name a request by its digest. `direct-quarantined` and `direct-quarantine-refused` lines bear its beginning.',
+      'Reads the records in the store, which name a request by its digest. Log lines `direct-quarantined` and `direct-quarantine-refused` show the beginning of the digest.',
     examples: [
       ['What is refused now', '$0 quarantine list'],
       ['How many', '$0 quarantine list --json | jq length'],
@@ -128,7 +138,7 @@
   static override usage = Command.Usage({
     category: CATEGORY,
     description: 'show the replicas that ended under one request',
-    details: 'ID is the digest or a beginning of it that no other one has.',
+    details: 'ID is the digest, or a prefix of it that no other digest has.',
     examples: [['From a log line', '$0 quarantine show 3f9c41d07be2']],
   });
 
@@ -162,9 +172,9 @@
   static override paths = [['quarantine', 'release']];
   static override usage = Command.Usage({
     category: CATEGORY,
-    description: 'let one request run again, at all entries at once',
+    description: 'allow one quarantined request again, at all entries',
     details:
-      'For when the replicas are mended. ID is as for show. If it still crashes replicas, it is refused again after the third.',
+      'Use it when the cause of the crashes is fixed. ID is as for show. A request that still crashes replicas is refused again after the third crash.',
     examples: [['Release one', '$0 quarantine release 3f9c41d07be2']],
   });
 
--- a/src/cli/render.ts
+++ b/src/cli/render.ts
@@ -1,15 +1,15 @@
-/** Shows JSON values to people: tables for lists of like objects. */
+/** Formats JSON values for a terminal. A list of flat objects is a table. */
 
 type JsonObject = Readonly<Record<string, unknown>>;
 
 const INDENT = '  ';
 
-/** Text of any JSON value. */
+/** Formats any JSON value as text. */
 export function renderValue(value: unknown): string {
   return renderLines(value, '').join('\n');
 }
 
-/** Columns padded to their widest cell. */
+/** Formats a table. Each column is padded to its widest cell. */
 export function renderTable(
   headers: readonly string[],
   rows: ReadonlyArray<readonly string[]>,
@@ -60,12 +60,12 @@
   return typeof value === 'object' && value !== null;
 }
 
-/** Needs lines of its own. */
+/** Returns true for a value that is printed on separate lines. */
 function isNested(value: unknown): boolean {
   return isObject(value) && Object.keys(value).length > 0;
 }
 
-/** Fits one row of a table. */
+/** Returns true for an object that fits one row of a table. */
 function isFlatObject(value: unknown): value is JsonObject {
   return (
     isNested(value) &&
--- a/src/cli/tool.ts
+++ b/src/cli/tool.ts
@@ -1,4 +1,4 @@
-/** The command line as a whole: its commands, and how it ends. */
+/** The command-line tool: its commands, its parser and its exit code. */
 import {Builtins, Cli} from 'clipanion';
 import type {Command} from 'clipanion';
 import {
@@ -23,7 +23,7 @@
   QuarantineShowCommand,
 } from './quarantine_commands.js';
 
-/** Commands of the tool, in the order of its help. */
+/** Commands of the tool, in the order of the help text. */
 export const COMMANDS = [
   ConfigGetCommand,
   ConfigShowCommand,
@@ -41,7 +41,7 @@
   KeyGenerateCommand,
 ] as const;
 
-/** Runs one command line; resolves to the exit code. */
+/** Runs one command line. Resolves to the exit code. */
 export async function runTool(
   args: readonly string[],
   context: ToolContext,
@@ -61,7 +61,7 @@
   return cli.run(command, context);
 }
 
-/** The tool's parser, for its help texts. */
+/** Creates the parser with all commands, which also prints the help texts. */
 export function createTool(): Cli<ToolContext> {
   const cli = new Cli<ToolContext>({
     binaryLabel: 'Onyxloft, the command line for operators',
--- a/src/config/settings_faults.ts
+++ b/src/config/settings_faults.ts
@@ -63,7 +63,7 @@
     line: lineAt(error.offset),
     option: '',
     message: `is not JSON with comments: ${syntaxMessage(error)}`,
-    mend: 'mend the text at this line',
+    mend: 'correct the text at this line',
   }));
   const duplicates = root === undefined ? [] : duplicateOptions(root, '');
   return {
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -1,4 +1,4 @@
-/** The command line: its help, its exit codes, and what scripts read. */
+/** The command line: help, exit codes, and output that scripts parse. */
 import {createServer} from 'node:http';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -19,7 +19,7 @@
 
 let server: Server | undefined;
 
-/** An operators' API that answers each patch by the next function. */
+/** Starts an operators' API that answers each patch with the next function. */
 async function serve(...answers: readonly Answer[]) {
   const left = [...answers];
   server = createServer((req, res) => {
@@ -41,7 +41,7 @@
 });
 
 describe('command line', () => {
-  test('help tells each command with its options and examples', async () => {
+  test('help lists each command with its options and examples', async () => {
     const tool = createTool();
     const details = COMMANDS.map(command =>
       tool.usage(command, {detailed: true}),
@@ -56,13 +56,13 @@
     [['config', 'show', 'newest', '--url', 'http://127.0.0.1:1']],
     [['status']],
     [['settings', 'check', 'no-such-file.jsonc']],
-  ])('wrong usage ends with exit code 2: %j', async args => {
+  ])('wrong usage exits with code 2: %j', async args => {
     expect((await runToolWith(args)).code).toBe(2);
   });
 });
 
 describe('drain', () => {
-  test('tells that NODE-URL is wrong, not the entry it talks to', async () => {
+  test('an error about a wrong URL names NODE-URL instead of --url', async () => {
     const run = await runToolWith(['drain', 'side-1:7200', '--token', 't']);
     expect(run.code).toBe(2);
     expect(run.stderr).toContain('give NODE-URL, an http(s) URL');
@@ -93,7 +93,7 @@
     });
   });
 
-  test('a conflict names both numbers and ends with exit code 1', async () => {
+  test('a conflict is printed with both numbers and exits with code 1', async () => {
     const error = {code: 'conflict', step: 'config', message: 'not the head'};
     const env = await serve(answerWith(409, {error, head: 43}));
     const run = await runToolWith([...APPLY, PATCH_FILE], env);
@@ -101,7 +101,7 @@
     expect(run.stderr).toContain('based on 41, the head is 43');
   });
 
-  test('faults of the declarations are told with their mends', async () => {
+  test('faults of the declarations are printed with their mends', async () => {
     const error = {code: 'invalid-config', step: 'config', message: 'wrong'};
     const path = '/policy/maxOffers';
     const faults = [{path, message: 'is under 1', mend: 'write 1 or more'}];
@@ -113,10 +113,9 @@
     );
   });
 
-  // The operator sees one accepted number. The entry applies the patch and its
-  // connection breaks before the answer; the client repeats the call. Were
-  // the repeat to carry a new id, the entry would take it for a second patch.
-  test('a lost answer is repeated under the same patch id', async () => {
+  // The connection breaks after the entry applied the patch. A repeat with a
+  // new id would be applied as a second patch.
+  test('a patch whose response was lost is repeated with the same id', async () => {
     const ids: string[] = [];
     const accepted = {number: 42, changedPaths: [], dryRun: false};
     const env = await serve(
--- a/test/cli_quarantine.test.ts
+++ b/test/cli_quarantine.test.ts
@@ -1,4 +1,4 @@
-/** The commands on requests that crash replicas. */
+/** The commands for the quarantine of requests that crash replicas. */
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 import {startStore} from '../standins/users_platform/store.js';
 import type {StoreStandIn} from '../standins/users_platform/store.js';
@@ -24,14 +24,14 @@
   runToolWith(['quarantine', ...args], {ONYXLOFT_STORE: store.address});
 
 describe('quarantine', () => {
-  test('list names each request and how many replicas ended', async () => {
+  test('list shows each request and its number of ended replicas', async () => {
     const {code, stdout} = await quarantine('list');
     expect(code).toBe(0);
     expect(stdout).toMatch(/DIGEST +REPLICAS ENDED +SINCE/);
     expect(stdout).toMatch(new RegExp(`${FIRST} +3 +1970-01-01T`));
   });
 
-  test('list gives scripts all there is to know', async () => {
+  test('list --json prints all fields of each record', async () => {
     const {stdout} = await quarantine('list', '--json');
     expect(JSON.parse(stdout)).toEqual(
       [FIRST, SECOND].map(digest => ({
@@ -43,7 +43,7 @@
     );
   });
 
-  test('show tells the replicas of one, by the beginning of its digest', async () => {
+  test('show prints the replicas of the request with a digest prefix', async () => {
     const {code, stdout} = await quarantine('show', 'abab');
     expect(code).toBe(0);
     expect(stdout).toContain(FIRST);
@@ -51,7 +51,7 @@
     expect(stdout).toContain('2 runs at entry-1');
   });
 
-  test('release removes the record of one, with its trials', async () => {
+  test('release removes the record of one request, with its trials', async () => {
     store.put(TRIALS, `${FIRST}-0`, {});
     const {code, stdout} = await quarantine('release', 'abab', '--json');
     expect(code).toBe(0);
@@ -60,11 +60,11 @@
     expect(store.names(TRIALS)).toEqual([]);
   });
 
-  // The wrong one released would crash three more replicas.
+  // Releasing the wrong request could crash three more replicas.
   test.each([
-    ['which none has', 'ffff', 'is quarantined'],
-    ['that is too short', 'abc', 'no beginning of a digest'],
-    ['that is no digest', 'abzz', 'no beginning of a digest'],
+    ['that no digest starts with', 'ffff', 'is quarantined'],
+    ['that is too short', 'abc', 'not a prefix of a digest'],
+    ['that is no digest', 'abzz', 'not a prefix of a digest'],
   ])('release of an ID %s changes nothing', async (_what, id, message) => {
     const {code, stderr} = await quarantine('release', id);
     expect(code).not.toBe(0);
@@ -72,7 +72,7 @@
     expect(store.names(KIND)).toHaveLength(2);
   });
 
-  test('release of an ID that begins two digests changes nothing', async () => {
+  test('release of an ID that is a prefix of two digests changes nothing', async () => {
     const third = `abab${'1'.repeat(28)}`;
     store.put(KIND, third, {
       digest: third,
@@ -82,11 +82,11 @@
     });
     const {code, stderr} = await quarantine('release', 'abab');
     expect(code).toBe(1);
-    expect(stderr).toContain('begins 2 digests');
+    expect(stderr).toContain('is a prefix of 2 digests');
     expect(store.names(KIND)).toHaveLength(3);
   });
 
-  test('tells which store did not answer', async () => {
+  test('an error of the store names its address', async () => {
     store.setMode('busy');
     const {code, stderr, stdout} = await quarantine('list', '--json');
     expect(code).toBe(1);
@@ -97,7 +97,7 @@
   });
 
   test.each([[''], ['10.0.0.9']])(
-    'without an address of the store is wrong usage: "%s"',
+    'a command without a valid store address is wrong usage: "%s"',
     async address => {
       const {code, stderr} = await runToolWith(['quarantine', 'list'], {
         ONYXLOFT_STORE: address,
--- a/test/explain_logs.test.ts
+++ b/test/explain_logs.test.ts
@@ -1,4 +1,4 @@
-/** Explaining one request from the log lines of several processes. */
+/** The command that explains a request from the log lines of processes. */
 import {mkdtempSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -50,7 +50,7 @@
 }
 
 describe('onyxloft explain --logs', () => {
-  test('follows one id over files and says the cause', async () => {
+  test('prints the lines of one id from several files, and the cause', async () => {
     const [b, a] = logFiles();
     const run = await runToolWith(['explain', 'r1', '--logs', b, '--logs', a]);
     expect(run.code).toBe(0);
@@ -58,26 +58,26 @@
     expect(rows).toHaveLength(4);
     expect(rows[0]).toContain('direct-dispatched');
     expect(rows[3]).toBe(
-      'entry-1 gave it up after 850 ms and 1 tries: no more attempts; it may ' +
-        'have run; replica i-1 had failed it at 800 ms: silent.',
+      'entry-1 gave up the request after 850 ms and 1 attempts: no more attempts; it may ' +
+        'have run; the attempt at replica i-1 failed at 800 ms: silent.',
     );
   });
 
-  test('says so when no line is about the request', async () => {
+  test('reports that no log line is about the request', async () => {
     const [b] = logFiles();
     const run = await runToolWith(['explain', 'r9', '--logs', b]);
     expect(run.code).toBe(2);
-    expect(run.stdout).toContain('No line is about this request.');
+    expect(run.stdout).toContain('No log line is about this request.');
   });
 
-  test('names a file that cannot be read', async () => {
+  test('an error names the file that cannot be read', async () => {
     const run = await runToolWith(['explain', 'r1', '--logs', '/no/such']);
     expect(run.code).toBe(2);
     expect(run.stderr).toContain('/no/such cannot be read');
   });
 
-  // Its callers ask why it is refused; the cause lies with other ids.
-  test('leads from a refused request to the replicas that ended under its like', async () => {
+  // The cause of the refusal is in the log lines of other request ids.
+  test('a quarantined request is explained with the replicas that its digest ended', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'onyxloft-logs-'));
     const path = join(folder, 'all.log');
     const ended = (replica: string, at: number) => ({
@@ -106,8 +106,8 @@
     const rows = run.stdout.trim().split('\n');
     expect(rows).toHaveLength(4);
     expect(rows[3]).toBe(
-      'entry-1 refused it and did not send it on: i-1, i-2 had ended under ' +
-        'requests with the same host, path, organisation and body.',
+      'entry-1 refused the request without forwarding it: i-1, i-2 had ended ' +
+        'while running requests with the same host, path, organisation and body.',
     );
   });
 });
