--- a/test/config_apply.test.ts
+++ b/test/config_apply.test.ts
@@ -33,7 +33,7 @@
 }
 
 describe('applying a patch', () => {
-  it('starts at base 0 and gives numbers, history and old versions', async () => {
+  it('starts at base 0 and returns numbers, history and old versions', async () => {
     const [node] = await start(1);
     expect(node.inForce()?.number).toBe(0);
     const first = await cluster.apply(node, {});
@@ -60,7 +60,7 @@
     expect(node.recording.metrics.value('onyxloft_config_number', {})).toBe(2);
   });
 
-  it('changes nothing in a dry run or when it is refused', async () => {
+  it('changes nothing in a dry run or when the patch is rejected', async () => {
     const [node] = await start(1);
     const dry = await cluster.apply(node, {dryRun: true});
     expect(dry.unsafeCoerce()).toMatchObject({
@@ -78,11 +78,9 @@
     expect(headNumber()).toBe(1);
   });
 
-  // Two operators send different patches on the same base through two entries
-  // at the same moment. Both entries read the same head; the conditional
-  // update lets one through. The other operator is told of the conflict, and
-  // the one who won is told the number; none of them is told both.
-  it('lets one of two racing operators through', async () => {
+  // Operators send different patches on one base through several entries at
+  // once. One must be accepted, and each of the others gets a conflict.
+  it('accepts one of several concurrent patches on the same base', async () => {
     const nodes = await start(4);
     for (let base = 0; base < 10; base++) {
       const outcomes = await cluster.runUntilSettled(
@@ -107,13 +105,11 @@
     }
   });
 
-  // The store takes the update of the head and the answer is lost. The entry
-  // tries again and meets a conflict, with its own write. Without looking at
-  // who made the number, the operator would be told of a conflict, rebase,
-  // and the same change would get a second number.
-  it('finds its own number after an answer was lost', async () => {
+  // The reply to the head's update is lost, so the retry conflicts with its own
+  // write. Reported as a conflict, the change would get a second number.
+  it('returns its number after the reply of the store was lost', async () => {
     const [node] = await start(1);
-    // Writes of a first patch: documents, then the head; the last one is lost.
+    // The last write of a first patch is the head; its reply is lost.
     const documents = await countWrites({});
     cluster.core.setFaults({loseEvery: documents});
     const outcome = await cluster.apply(node, {});
@@ -122,9 +118,9 @@
     expect(headNumber()).toBe(1);
   });
 
-  // Answers are lost at random and the operator's client repeats the patch,
-  // with the same id, at any entry, until it is told a number.
-  it('gives one number to a patch that is repeated', async () => {
+  // Replies are lost at random. The client repeats the patch with the same id
+  // at any entry until it gets a number.
+  it('gives a repeated patch one number', async () => {
     const nodes = await start(3);
     cluster.core.setFaults({loseProbability: 0.4});
     for (let base = 0; base < 20; base++) {
@@ -145,14 +141,14 @@
     }
   });
 
-  it('tells whether a patch may have been taken while the store is out', async () => {
+  it('reports whether a patch may have been accepted during a store outage', async () => {
     const [node] = await start(1);
     cluster.core.setFaults({outage: true});
     const refused = rejectionOf(await cluster.apply(node, {}));
     expect(refused.error).toMatchObject({code: 'store-unavailable', ran: 'no'});
     cluster.core.setFaults({outage: false});
 
-    // From here on every answer to a write is lost, and reads fail too.
+    // The process loses the store right after the head's update took effect.
     const asked = cluster.apply(node, {});
     while (headNumber() === 0) await cluster.clock.step();
     node.store.setCut(true);
@@ -169,7 +165,7 @@
   });
 });
 
-/** Writes that the first patch makes, tried on a cluster of its own. */
+/** Counts the writes of a first patch, in a separate cluster. */
 async function countWrites(patch: Partial<typeof PATCH>): Promise<number> {
   const trial = createConfigCluster();
   const node = await trial.addNode();
--- a/test/config_spread.test.ts
+++ b/test/config_spread.test.ts
@@ -32,10 +32,9 @@
 }
 
 describe('a number in force', () => {
-  // The store goes out right after it has accepted a patch. The other
-  // processes cannot read it there; they hear the number on heartbeats and
-  // get the documents from the peer that has them.
-  it('reaches all when the store goes out just after acceptance', async () => {
+  // The other processes learn the number from heartbeats and fetch the
+  // documents from a peer, since the store is unavailable.
+  it('reaches all processes when the store fails right after acceptance', async () => {
     const nodes = await start(12);
     await applyNext(nodes[0], 0);
     cluster.core.setFaults({outage: true});
@@ -43,9 +42,9 @@
     expect(new Set(numbers())).toEqual(new Set([1]));
   });
 
-  // A process starts while the store is out. It has no rules to admit
-  // requests under until a peer gives it the number in force.
-  it('reaches a process that starts while the store is out', async () => {
+  // A process that starts during an outage cannot admit requests until a peer
+  // sends it the configuration in force.
+  it('reaches a process that starts during a store outage', async () => {
     const nodes = await start(3);
     await applyNext(nodes[0], 0);
     cluster.core.setFaults({outage: true});
@@ -55,10 +54,9 @@
     expect(late.inForce()).toEqual(nodes[0].inForce());
   });
 
-  // The watch of one process and the reads of all serve the state of a minute
-  // ago, while peers carry newer numbers. What was in force must not come
-  // back: a revoked key would open again.
-  it('never goes back whatever a stale read says', async () => {
+  // Watches and reads return an outdated head. Adopting it would make a revoked
+  // key valid again.
+  it('never decreases after stale reads', async () => {
     const nodes = await start(6);
     for (let base = 0; base < 5; base++) {
       await applyNext(nodes[base], base);
@@ -74,7 +72,7 @@
     expect(noted.length).toBeGreaterThan(0);
   });
 
-  it('takes no document that does not match its hash', async () => {
+  it('is not adopted from documents that do not match their hash', async () => {
     const nodes = await start(1);
     await applyNext(nodes[0], 0);
     cluster.core.setFaults({outage: true});
@@ -109,7 +107,7 @@
     expect(late.inForce()?.number).toBe(1);
   });
 
-  it('asks a peer only for documents that changed', async () => {
+  it('is fetched from a peer without the unchanged documents', async () => {
     const nodes = await start(2);
     await applyNext(nodes[0], 0);
     await cluster.clock.runFor(3_000);
@@ -127,7 +125,7 @@
     expect(wanted).toEqual([0, 1]);
   });
 
-  it('keeps the calls of a whole fleet few, with one watch', async () => {
+  it('needs few store calls in a large fleet, with one watch', async () => {
     const nodes = await start(40);
     await applyNext(nodes[0], 0);
     await cluster.clock.runFor(60_000);
@@ -135,17 +133,16 @@
     const watchesBefore = callsOf('watch');
     await cluster.clock.runFor(600_000);
     const perSec = (callsOf('watch') + callsOf('get') - before) / 600;
-    // 39 reads in 30 s and one watch in 25 s.
+    // 39 reads per 30 s and one watch per 25 s.
     expect(perSec).toBeLessThan(1.6);
     expect(callsOf('watch') - watchesBefore).toBeLessThanOrEqual(24);
   });
 });
 
 describe('after an outage', () => {
-  // All processes start at the same moment while the store is out, and keep
-  // trying. Were their pauses equal, all would call in the same instant when
-  // it returns, and the store would go down again under the herd.
-  it('calls come back spread over time', async () => {
+  // With equal pauses, all processes would call at the same moment when the
+  // store is back, and could overload it again.
+  it('calls to the store are spread over time', async () => {
     cluster = createConfigCluster();
     cluster.core.setFaults({outage: true});
     for (let n = 0; n < 40; n++) await cluster.addNode();
--- a/test/config_validate.test.ts
+++ b/test/config_validate.test.ts
@@ -31,7 +31,7 @@
 }
 
 describe('validation', () => {
-  it('tells every fault at once with its path and a mend', () => {
+  it('reports every fault at once with its path and a mend', () => {
     const faults = merge(createInitialDeclarations(), {
       models: {a: MODEL, b: MODEL},
       priorityClasses: {urgent: {isDefault: true}},
@@ -96,7 +96,7 @@
     expect(faults.every(fault => fault.mend !== '')).toBe(true);
   });
 
-  it('points at fields of the wrong kind and at unknown ones', () => {
+  it('reports the paths of fields of the wrong type and of unknown fields', () => {
     expect(
       faultPaths({
         organisations: {'prairie-sky': {weight: -1, colour: 'blue'}},
@@ -109,7 +109,7 @@
     ]);
   });
 
-  it('refuses limits that the known fleet cannot meet', () => {
+  it('refuses placement wishes that the live hosts cannot meet', () => {
     const hosts = [0, 1, 2].map((n): HostInfo => ({
       host: `h${n}`,
       address: `127.0.0.1:${n}`,
@@ -143,7 +143,7 @@
     models: {a: MODEL},
   });
 
-  it('address items by id in both forms and tell what changed', () => {
+  it('address items by id in both forms and return the changed paths', () => {
     const operations = [
       {op: 'test', path: '/organisations/prairie-sky/weight', value: 2},
       {op: 'replace', path: '/organisations/prairie-sky/weight', value: 3},
@@ -163,7 +163,7 @@
     ]);
   });
 
-  it('take nothing when one operation fails', () => {
+  it('change nothing when one operation fails', () => {
     const faults = patchDeclarations(base, {
       form: 'json-patch',
       patch: JSON.stringify([
@@ -178,7 +178,7 @@
 });
 
 describe('documents', () => {
-  it('join to what was split, and only changed ones get another hash', () => {
+  it('join to the declarations they were split from, and only changed ones get a new hash', () => {
     const organisations = Object.fromEntries(
       Array.from({length: 1_500}, (_, n) => [`org-${n}`, {}]),
     );
--- a/test/examples.test.ts
+++ b/test/examples.test.ts
@@ -1,4 +1,4 @@
-/** The examples are settings and declarations that a deployment can start from. */
+/** The examples are valid settings and declarations for a deployment. */
 import {readFileSync, readdirSync} from 'node:fs';
 import {parse} from 'jsonc-parser';
 import type {ParseError} from 'jsonc-parser';
@@ -33,7 +33,7 @@
   return value;
 }
 
-/** What "config apply --base 0" makes of an example, on those hosts. */
+/** Applies the declarations of an example to number 0, on the given hosts. */
 function declare(
   deployment: string,
   hosts: readonly HostInfo[],
@@ -60,7 +60,7 @@
     expect(files).toHaveLength(9);
   });
 
-  test('hosts.jsonc has each pool whole and each host once', () => {
+  test('hosts.jsonc has the full size of each pool and each host once', () => {
     const counts: Record<string, number> = {};
     for (const {pool} of hosts) counts[pool] = (counts[pool] ?? 0) + 1;
     expect(counts).toEqual(pools);
@@ -68,7 +68,7 @@
     expect(new Set(hosts.map(host => host.address)).size).toBe(hosts.length);
   });
 
-  test('settings and host list agree on host, address and place', () => {
+  test('settings and host list agree on host, address and failure domain', () => {
     for (const file of settingsFiles(deployment)) {
       const settings = loadSettings(file).unsafeCoerce();
       expect(hosts).toContainEqual({
@@ -81,7 +81,7 @@
     }
   });
 
-  test('declarations name what is there and leave memory for all', () => {
+  test('declarations refer to existing pools and leave memory without a floor', () => {
     const declared = declare(deployment, hosts).unsafeCoerce();
     expect(declared.organisations).toHaveLength(10);
     const hashes = declared.organisations.flatMap(org => org.keyHashes);
@@ -100,7 +100,7 @@
     expect(classes).toEqual(['alert', 'interactive', 'batch']);
   });
 
-  test('declarations are refused where the pool is too small for them', () => {
+  test('declarations are refused when a pool has no live hosts', () => {
     const few = hosts.filter(host => host.pool !== 'onyx-pool');
     const faults = declare(deployment, few).swap().unsafeCoerce();
     expect(faults.map(({path}) => path)).toContain(
--- a/test/follow_config.test.ts
+++ b/test/follow_config.test.ts
@@ -21,10 +21,9 @@
 }
 
 describe('a service that follows the configuration', () => {
-  // It starts while the configuration's service waits to be started again.
-  // Its subscription is dropped; without another it would know no
-  // organisation for as long as it runs, and refuse every request.
-  it('hears each number once, also when it subscribed between two starts', async () => {
+  // A subscription sent between two starts of `config` is dropped. Without a
+  // repeat, the service would know no organisation and refuse every request.
+  it('receives each number once, even if it subscribed between two starts', async () => {
     const {clock, runtime} = createRecordingRuntime();
     const kernel = createKernel(runtime);
     let number = 3;
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,4 +1,4 @@
-/** A settings file is checked as a whole before anything starts. */
+/** Parsing and validation of settings files. */
 import {readFileSync} from 'node:fs';
 import {describe, expect, test} from 'vitest';
 import {parseSettings} from '../src/config/settings.js';
@@ -90,13 +90,13 @@
 }
 
 describe('settings', () => {
-  test('a right file gives its options with all defaults', async () => {
+  test('a valid file is parsed with all defaults', async () => {
     const settings = parseSettings(ENTRY, 'entry.jsonc').extract();
     const text = JSON.stringify(settings, null, 2) + '\n';
     await expect(text).toMatchFileSnapshot('golden/settings_entry.json');
   });
 
-  test('a wrong file tells every fault at once, with line and mend', async () => {
+  test('all faults of a file are reported at once, with line and mend', async () => {
     const faults = faultsOf(WRONG_SIDE);
     await expect(faults).toMatchFileSnapshot('golden/settings_faults.txt');
   });
@@ -104,16 +104,19 @@
   test.each([
     ['with', `"operatorTokenHash": "${HASH}",`, HASH],
     ['without', '', undefined],
-  ])('a side is right %s a token for its operators', (_, line, hash) => {
-    const settings = parseSettings(sideWith(line), 'side.jsonc');
-    expect(settings.unsafeCoerce().operatorTokenHash).toBe(hash);
-  });
+  ])(
+    'the settings of a side are valid %s a token for its operators',
+    (_, line, hash) => {
+      const settings = parseSettings(sideWith(line), 'side.jsonc');
+      expect(settings.unsafeCoerce().operatorTokenHash).toBe(hash);
+    },
+  );
 
   test('a token is never shown in a fault', () => {
     expect(faultsOf(WRONG_SIDE)).not.toContain('secret');
   });
 
-  test('broken text tells no option lost behind the break as missing', () => {
+  test('options after a syntax error are not reported as missing', () => {
     const faults = faultsOf(BROKEN_TEXT);
     expect(faults).toContain('side.jsonc:3: is not JSON');
     expect(faults).not.toContain('is missing');
--- a/test/support/config_cluster.ts
+++ b/test/support/config_cluster.ts
@@ -1,6 +1,6 @@
 /**
- * Several processes with the service `config`, one store, and heartbeats that
- * carry the number in force, in virtual time.
+ * A cluster of processes with the service `config`, in virtual time. They share
+ * one store, and send each other heartbeats with the number in force.
  */
 import type {Either} from 'purify-ts';
 import {createConfigService} from '../../src/config/config_service.js';
@@ -35,7 +35,7 @@
 import type {PeerHandlers, Transport} from '../../src/types/transport.js';
 
 const HEARTBEAT_MS = 1_000;
-/** Processes to which each one sends heartbeats. */
+/** Number of processes to which each process sends heartbeats. */
 const PEERS_PER_NODE = 4;
 
 export interface ConfigNode {
@@ -45,9 +45,9 @@
   readonly recording: RecordingRuntime;
   readonly store: MemoryObjectStore;
   readonly transport: Transport;
-  /** Answers peers in another way from here on. */
+  /** Replaces the given handlers of calls from peers. */
   setHandlers(handlers: PeerHandlers): void;
-  /** Numbers in force here, in order. */
+  /** Numbers that came into force in this process, in order. */
   readonly numbersInForce: number[];
   inForce(): NumberedDeclarations | undefined;
 }
@@ -58,7 +58,7 @@
   readonly net: MemoryNetwork;
   readonly nodes: readonly ConfigNode[];
   addNode(options?: Partial<ConfigServiceOptions>): Promise<ConfigNode>;
-  /** Sends a patch and runs the clock until it is answered. */
+  /** Sends a patch and runs the clock until the reply. */
   apply(
     node: ConfigNode,
     patch: Partial<ConfigPatch>,
@@ -75,7 +75,7 @@
   stop(): Promise<void>;
 }
 
-/** Starts without processes. */
+/** Creates a cluster without processes. */
 export function createConfigCluster(seed = 1): ConfigCluster {
   const clock = createVirtualClock();
   const random = createSeededRandom(seed);
@@ -229,7 +229,7 @@
   operator: 'ada',
 };
 
-/** Asks a process as a peer would. */
+/** Sends a fetch request to a process, as a peer does. */
 export function fetchAsPeer(
   kernel: Kernel,
   req: FetchConfigReq,
@@ -245,7 +245,7 @@
   return handler(req);
 }
 
-/** Neighbours on a ring: a new number needs several hops to reach all. */
+/** Returns neighbours on a ring. A new number needs several hops to reach all. */
 function peersOf(
   nodes: readonly ConfigNode[],
   self: ConfigNode,
--- a/test/support/run_tool.ts
+++ b/test/support/run_tool.ts
@@ -1,4 +1,4 @@
-/** Runs the command line in this process and keeps what it printed. */
+/** Runs the command line in this process and captures its output. */
 import {PassThrough} from 'node:stream';
 import {createStoreClient} from '../../platform/store_client.js';
 import {runTool} from '../../src/cli/tool.js';
