--- a/src/cli/explain_logs.ts
+++ b/src/cli/explain_logs.ts
@@ -1,37 +1,50 @@
 /**
- * Explains one request from log lines of any number of processes: its events in
- * order of time, and its cause in a sentence.
+ * Explains the outcome of one request from the log lines of any number of
+ * processes. The result is the request's events in order of time, and a
+ * sentence with the cause of its outcome.
  */
 import type {EventSpec} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
 
-/** One log line that is about the request. */
+/** One log line about the request. */
 export interface RequestLine {
+  /** Time of the event, in ISO 8601. */
   readonly time: string;
+  /** Number of the event, as in `utils/events.ts`. */
   readonly event: number;
   readonly name: string;
   readonly node: string;
+  /** All fields that not every line has. */
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-const HEAD = new Set(['time', 'level', 'event', 'name', 'node', 'requestId']);
+/** Log fields that are left out of `RequestLine.fields`. */
+const COMMON_FIELDS = new Set([
+  'time',
+  'level',
+  'event',
+  'name',
+  'node',
+  'requestId',
+]);
 
 /**
- * The lines about a request, oldest first. Other text is passed over. Where it
- * was refused as one that crashes replicas, those about its like come as well.
+ * Returns the lines about a request, the oldest first. Text that is not a log
+ * line is skipped. If the request was refused because its digest is
+ * quarantined, the lines about that digest are included.
  */
-export function linesOf(
+export function linesAboutRequest(
   text: string,
   requestId: string,
 ): readonly RequestLine[] {
   const own = linesByRequest(text).get(requestId) ?? [];
-  const refused = own.find(isOf(DIRECT_EVENTS.quarantineRefused));
+  const refused = own.find(isEvent(DIRECT_EVENTS.quarantineRefused));
   if (refused === undefined) return own;
   const digest = refused.fields['digest'];
   return [...digestLines(text, digest), ...own].sort(byTime);
 }
 
-/** What became known of all requests of a digest. */
+/** Returns the lines about replicas that ended and quarantines of a digest. */
 function digestLines(text: string, digest: unknown): readonly RequestLine[] {
   const {replicaEnded, quarantined, quarantineEnded} = DIRECT_EVENTS;
   return text
@@ -39,13 +52,15 @@
     .map(parseLine)
     .filter(line => line !== undefined)
     .filter(line => line['digest'] === digest)
-    .map(lineOf)
+    .map(toRequestLine)
     .filter(line =>
-      [replicaEnded, quarantined, quarantineEnded].some(it => isOf(it)(line)),
+      [replicaEnded, quarantined, quarantineEnded].some(it =>
+        isEvent(it)(line),
+      ),
     );
 }
 
-function isOf({number}: EventSpec) {
+function isEvent({number}: EventSpec) {
   return ({event}: RequestLine): boolean => event === number;
 }
 
@@ -53,7 +68,7 @@
   return a.time < b.time ? -1 : 1;
 }
 
-/** The lines about each request, oldest first, by its id. */
+/** Returns the lines about each request by its id, the oldest first. */
 export function linesByRequest(
   text: string,
 ): ReadonlyMap<string, readonly RequestLine[]> {
@@ -63,7 +78,7 @@
     const id = parsed?.['requestId'];
     if (parsed === undefined || typeof id !== 'string') continue;
     const lines = requests.get(id) ?? [];
-    lines.push(lineOf(parsed));
+    lines.push(toRequestLine(parsed));
     requests.set(id, lines);
   }
   for (const lines of requests.values()) {
@@ -72,20 +87,25 @@
   return requests;
 }
 
-/** A collector may write something before the JSON, such as the host. */
+/**
+ * Parses the JSON of a log line. A log collector may write a prefix before it,
+ * such as the host.
+ */
 function parseLine(line: string): Record<string, unknown> | undefined {
   const start = line.indexOf('{');
   if (start < 0) return undefined;
   try {
     return JSON.parse(line.slice(start)) as Record<string, unknown>;
   } catch {
-    // Not a log line, or one that was cut.
+    // Not a log line, or a truncated one.
     return undefined;
   }
 }
 
-function lineOf(line: Readonly<Record<string, unknown>>): RequestLine {
-  const fields = Object.entries(line).filter(([name]) => !HEAD.has(name));
+function toRequestLine(line: Readonly<Record<string, unknown>>): RequestLine {
+  const fields = Object.entries(line).filter(
+    ([name]) => !COMMON_FIELDS.has(name),
+  );
   return {
     time: String(line['time']),
     event: Number(line['event']),
@@ -95,62 +115,66 @@
   };
 }
 
-/** What became of the request, and why. */
-export function causeOf(lines: readonly RequestLine[]): string {
-  const last = (event: number) => lines.filter(it => it.event === event).at(-1);
-  const refused = last(DIRECT_EVENTS.refused.number);
-  const givenUp = last(DIRECT_EVENTS.givenUp.number);
-  const answered = last(DIRECT_EVENTS.answered.number);
-  const left = last(DIRECT_EVENTS.callerLeft.number);
-  const failed = last(DIRECT_EVENTS.tryFailed.number);
-  const quarantined = last(DIRECT_EVENTS.quarantineRefused.number);
-  const tried = failed === undefined ? '' : `; ${triedText(failed)}`;
-  if (refused !== undefined) return refusedText(refused);
-  if (quarantined !== undefined) return quarantinedText(quarantined, lines);
-  if (givenUp !== undefined) return `${givenUpText(givenUp)}${tried}.`;
-  if (left !== undefined) {
-    const {waitedMs} = left.fields;
-    return `The caller left after ${waitedMs} ms${tried}.`;
+/** Describes the outcome of the request and its cause in a sentence. */
+export function describeCause(lines: readonly RequestLine[]): string {
+  const lastLineOf = (event: number) =>
+    lines.filter(it => it.event === event).at(-1);
+  const refused = lastLineOf(DIRECT_EVENTS.refused.number);
+  const givenUp = lastLineOf(DIRECT_EVENTS.givenUp.number);
+  const answered = lastLineOf(DIRECT_EVENTS.answered.number);
+  const callerLeft = lastLineOf(DIRECT_EVENTS.callerLeft.number);
+  const failed = lastLineOf(DIRECT_EVENTS.tryFailed.number);
+  const quarantined = lastLineOf(DIRECT_EVENTS.quarantineRefused.number);
+  const failedAttempt =
+    failed === undefined ? '' : `; ${describeFailedAttempt(failed)}`;
+  if (refused !== undefined) return describeRefused(refused);
+  if (quarantined !== undefined) return describeQuarantined(quarantined, lines);
+  if (givenUp !== undefined)
+    return `${describeGivenUp(givenUp)}${failedAttempt}.`;
+  if (callerLeft !== undefined) {
+    const {waitedMs} = callerLeft.fields;
+    return `The caller left after ${waitedMs} ms${failedAttempt}.`;
   }
-  if (answered !== undefined) return `${answeredText(answered)}${tried}.`;
+  if (answered !== undefined)
+    return `${describeAnswered(answered)}${failedAttempt}.`;
   return lines.length === 0
-    ? 'No line is about this request.'
-    : 'The lines end before the request did: its process ended, or lines are missing.';
+    ? 'No log line is about this request.'
+    : 'The log lines end before the request ended: its process ended, or lines are missing.';
 }
 
-function refusedText({node, fields}: RequestLine): string {
+function describeRefused({node, fields}: RequestLine): string {
   const {status, message, config, evidenceAgeMs} = fields;
   return (
-    `${node} refused it with ${status} before any replica was asked: ${message} ` +
-    `(configuration ${config}, the store's last word ${evidenceAgeMs} ms old).`
+    `${node} refused the request with ${status} before contacting any replica: ${message} ` +
+    `(configuration ${config}, latest evidence from the store ${evidenceAgeMs} ms old).`
   );
 }
 
-function quarantinedText(
+function describeQuarantined(
   {node}: RequestLine,
   lines: readonly RequestLine[],
 ): string {
-  const told = lines
-    .filter(isOf(DIRECT_EVENTS.replicaEnded))
+  const endedReplicas = lines
+    .filter(isEvent(DIRECT_EVENTS.replicaEnded))
     .map(({fields}) => String(fields['replica']));
-  const replicas = [...new Set(told)].join(', ') || 'replicas';
+  const replicas = [...new Set(endedReplicas)].join(', ') || 'replicas';
   return (
-    `${node} refused it and did not send it on: ${replicas} had ended under ` +
-    'requests with the same host, path, organisation and body.'
+    `${node} refused the request without forwarding it: ${replicas} had ended ` +
+    'while running requests with the same host, path, organisation and body.'
   );
 }
 
-function givenUpText({node, fields}: RequestLine): string {
+function describeGivenUp({node, fields}: RequestLine): string {
   const {reason, ran, sent, elapsedMs} = fields;
   const run = ran === 'no' ? 'it did not run' : 'it may have run';
-  return `${node} gave it up after ${elapsedMs} ms and ${sent} tries: ${reason}; ${run}`;
+  return `${node} gave up the request after ${elapsedMs} ms and ${sent} attempts: ${reason}; ${run}`;
 }
 
-function triedText({fields}: RequestLine): string {
-  return `replica ${fields['replica']} had failed it at ${fields['elapsedMs']} ms: ${fields['reason']}`;
+function describeFailedAttempt({fields}: RequestLine): string {
+  return `the attempt at replica ${fields['replica']} failed at ${fields['elapsedMs']} ms: ${fields['reason']}`;
 }
 
-function answeredText({fields}: RequestLine): string {
+function describeAnswered({fields}: RequestLine): string {
   const {status, elapsedMs, firstEventMs, longestPauseMs} = fields;
   const stream =
     firstEventMs === undefined
@@ -159,10 +183,10 @@
   return `It was answered with ${status} after ${elapsedMs} ms${stream}`;
 }
 
-/** The lines and the cause, for a terminal. */
-export function renderExplained(lines: readonly RequestLine[]): string {
+/** Formats the lines and the cause for a terminal. */
+export function renderExplanation(lines: readonly RequestLine[]): string {
   const rows = lines.map(({time, node, name, fields}) =>
     [time, node, name, JSON.stringify(fields)].join('  '),
   );
-  return [...rows, causeOf(lines)].join('\n');
+  return [...rows, describeCause(lines)].join('\n');
 }
--- a/src/cli/fleet_commands.ts
+++ b/src/cli/fleet_commands.ts
@@ -1,13 +1,17 @@
-/** Commands on the running processes: status, hosts, explain, drain. */
+/** Commands for running processes: status, hosts, explain, drain. */
 import {readFile} from 'node:fs/promises';
 import {text} from 'node:stream/consumers';
 import {Command, Option} from 'clipanion';
-import {causeOf, linesOf, renderExplained} from './explain_logs.js';
+import {
+  describeCause,
+  linesAboutRequest,
+  renderExplanation,
+} from './explain_logs.js';
 import {
   EXIT_OK,
   EXIT_USAGE,
   OperatorCommand,
-  WrongUsage,
+  UsageError,
 } from './operator_command.js';
 
 const CATEGORY = 'Fleet';
@@ -22,7 +26,7 @@
   });
 
   protected override async perform(): Promise<number> {
-    return this.finish(await this.client().status());
+    return this.printOutcome(await this.client().status());
   }
 }
 
@@ -36,7 +40,7 @@
   });
 
   protected override async perform(): Promise<number> {
-    return this.finish(await this.client().hosts());
+    return this.printOutcome(await this.client().hosts());
   }
 }
 
@@ -47,7 +51,7 @@
     category: CATEGORY,
     description: "show a request's routing decisions and their reasons",
     details:
-      'Asks an entry, or with --logs reads the log lines of any number of processes, and says in a sentence what became of the request.',
+      'Asks an entry for the decisions. With --logs, reads the log lines of any number of processes instead, and describes the outcome of the request in a sentence.',
     examples: [
       ['Why it ran there', '$0 explain 9f86d081884c7d659a2feaa0c55ad015'],
       ['From logs', '$0 explain 9c41d07be2a35f68 --logs a.log --logs b.log'],
@@ -63,17 +67,17 @@
 
   protected override async perform(): Promise<number> {
     if (this.logs !== undefined) return this.explainLogs(this.logs);
-    return this.finish(await this.client().explain(this.request));
+    return this.printOutcome(await this.client().explain(this.request));
   }
 
   private async explainLogs(files: readonly string[]): Promise<number> {
     const texts = await Promise.all(files.map(file => this.readLog(file)));
-    const lines = linesOf(texts.join('\n'), this.request);
-    const cause = causeOf(lines);
+    const lines = linesAboutRequest(texts.join('\n'), this.request);
+    const cause = describeCause(lines);
     this.print(
       this.json
         ? JSON.stringify({cause, lines}, null, 2)
-        : renderExplained(lines),
+        : renderExplanation(lines),
     );
     return lines.length > 0 ? EXIT_OK : EXIT_USAGE;
   }
@@ -83,7 +87,7 @@
     try {
       return await readFile(file, 'utf8');
     } catch {
-      throw new WrongUsage(`${file} cannot be read; give a file of log lines`);
+      throw new UsageError(`${file} cannot be read; give a file of log lines`);
     }
   }
 }
@@ -93,15 +97,17 @@
   static override paths = [['drain']];
   static override usage = Command.Usage({
     category: CATEGORY,
-    description: 'let one process end its work and stop',
+    description: 'drain one process and stop it',
     details:
-      "NODE-URL is the process's own listen.operators address. It takes no new work, ends every request in progress, and exits.",
+      "NODE-URL is the process's own listen.operators address. The process accepts no new work, finishes every request in progress, and exits.",
     examples: [['Drain one process', '$0 drain http://10.1.0.5:7200']],
   });
 
   nodeUrl = Option.String({name: 'NODE-URL'});
 
   protected override async perform(): Promise<number> {
-    return this.finish(await this.client(this.nodeUrl, 'NODE-URL').drain());
+    return this.printOutcome(
+      await this.client(this.nodeUrl, 'NODE-URL').drain(),
+    );
   }
 }
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -1,7 +1,7 @@
 /**
- * Client of the operators' HTTP API. The command line is thin over it, and
- * programs may use it as it is. Each call uses a connection of its own: an
- * established one may have gone silent while new ones work.
+ * Client of the operators' HTTP API, for the command line and for programs.
+ * Each call opens a new connection, because an established one may have stopped
+ * responding while new ones still work.
  */
 import {Agent, request} from 'undici';
 import {Left, Right} from 'purify-ts';
@@ -18,87 +18,96 @@
   ConfigRejection,
 } from '../types/services.js';
 
+/** Default time limit of one attempt, in milliseconds. */
 const DEFAULT_TIMEOUT_MS = 30_000;
-/** First attempt and repeats of a call that is safe to repeat. */
-const ATTEMPTS = 3;
-const LEAST_ERROR_STATUS = 400;
+/**
+ * Limit on attempts of a call that is safe to repeat, with the first one. The
+ * error of the last attempt is returned.
+ */
+const MAX_ATTEMPTS = 3;
+/** Lowest HTTP status that is an error. */
+const MIN_ERROR_STATUS = 400;
 
-/** Where the operators' API is, and the token for it. */
+/** Address of the operators' API, and the token for it. */
 export interface OperatorClientOptions {
-  /** Base URL of an entry's operators' address. */
+  /** Base URL of the `listen.operators` address of an entry or a side. */
   readonly url: string;
   readonly token: string;
   /** Time limit of one attempt, in milliseconds. @default 30000 */
   readonly timeoutMs?: number;
 }
 
-/** Outcome of a call: an `OnyxError` carries the step and the peer. */
+/** Result of a call. The error states the failed step and the peer. */
 export type OperatorResult<T> = Promise<Either<OnyxError, T>>;
 
 /** The operators' API, for the command line and for programs. */
 export interface OperatorClient {
-  /** The newest accepted declarations. */
+  /** Reads the newest accepted declarations. */
   config(): OperatorResult<NumberedDeclarations>;
+  /** Reads the declarations of one number. */
   configAt(number: ConfigNumber): OperatorResult<NumberedDeclarations>;
-  /** Newest first. */
+  /** Reads up to `limit` accepted patches, the newest first. */
   history(limit: number): OperatorResult<readonly ConfigHistoryLine[]>;
-  /** Applies a patch, or with `dryRun` only tells what would change. */
+  /** Applies a patch. With `dryRun`, only returns what would change. */
   patch(patch: ConfigPatch): Promise<Either<ConfigRejection, ConfigAccepted>>;
+  /** Reads the state of the process at the client's URL. */
   status(): OperatorResult<unknown>;
+  /** Reads the hosts and their states, as the entry sees them. */
   hosts(): OperatorResult<unknown>;
-  /** Routing decisions of a request. */
+  /** Reads the routing decisions of a request. */
   explain(id: RequestId): OperatorResult<unknown>;
-  /** Tells the process at the client's URL to drain and end. */
+  /** Makes the process at the client's URL drain and exit. */
   drain(): OperatorResult<unknown>;
 }
 
-/** Answer of the API, whatever its status. */
-interface Answer {
+/** HTTP response of the API, with any status. */
+interface ApiResponse {
   readonly status: number;
+  /** The parsed JSON; undefined when the body is not JSON. */
   readonly body: unknown;
 }
 
 type Method = 'GET' | 'POST';
 
-/** Makes a client. */
+/** Creates a client. It opens no connection until a call. */
 export function createOperatorClient(
   options: OperatorClientOptions,
 ): OperatorClient {
   const call = (method: Method, path: string, body?: unknown) =>
     callOnce(options, method, path, body);
   const get = async <T>(path: string) =>
-    (await repeated(() => call('GET', path))).chain(answer =>
-      bodyOf<T>(options.url, answer),
+    (await withRetries(() => call('GET', path))).chain(answer =>
+      toResult<T>(options.url, answer),
     );
   return {
     config: () => get('/config'),
     configAt: number => get(`/config/${number}`),
     history: limit => get(`/config/history?limit=${limit}`),
     patch: async patch => {
-      // An answer may be lost after the patch took effect. Repeating it is
-      // safe: the patch id makes the repeat the same patch, never a second.
-      const answer = await repeated(() =>
+      // The response may be lost after the patch took effect. A repeat is safe,
+      // since the entry applies a patch id at most once.
+      const answer = await withRetries(() =>
         call('POST', '/config/patches', patch),
       );
       return answer
         .mapLeft(error => ({error, head: 0, faults: []}))
-        .chain(found => patchOutcome(options.url, found));
+        .chain(found => toPatchResult(options.url, found));
     },
     status: () => get('/status'),
     hosts: () => get('/hosts'),
     explain: id => get(`/requests/${encodeURIComponent(id)}/explain`),
     drain: async () =>
       (await call('POST', '/drain', {})).chain(answer =>
-        bodyOf(options.url, answer),
+        toResult(options.url, answer),
       ),
   };
 }
 
-async function repeated(
-  attempt: () => OperatorResult<Answer>,
-): OperatorResult<Answer> {
+async function withRetries(
+  attempt: () => OperatorResult<ApiResponse>,
+): OperatorResult<ApiResponse> {
   let outcome = await attempt();
-  for (let i = 1; i < ATTEMPTS && outcome.isLeft(); i++) {
+  for (let i = 1; i < MAX_ATTEMPTS && outcome.isLeft(); i++) {
     outcome = await attempt();
   }
   return outcome;
@@ -109,7 +118,7 @@
   method: Method,
   path: string,
   body: unknown,
-): OperatorResult<Answer> {
+): OperatorResult<ApiResponse> {
   const timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
   const dispatcher = new Agent();
   const base = options.url.replace(/\/+$/, '');
@@ -124,26 +133,33 @@
       body: body === undefined ? null : JSON.stringify(body),
       signal: AbortSignal.timeout(timeoutMs),
     });
-    return Right({status: res.statusCode, body: parsed(await res.body.text())});
+    return Right({
+      status: res.statusCode,
+      body: parseJson(await res.body.text()),
+    });
   } catch (err) {
-    return Left(unreachable(options.url, timeoutMs, err as Error));
+    return Left(createUnreachableError(options.url, timeoutMs, err as Error));
   } finally {
     void dispatcher.destroy();
   }
 }
 
-function unreachable(url: string, timeoutMs: number, err: Error): OnyxError {
-  const late = err.name === 'TimeoutError';
+function createUnreachableError(
+  url: string,
+  timeoutMs: number,
+  err: Error,
+): OnyxError {
+  const isTimeout = err.name === 'TimeoutError';
   return new OnyxError({
-    code: late ? 'timeout' : 'peer-unreachable',
+    code: isTimeout ? 'timeout' : 'peer-unreachable',
     step: 'read',
     peer: url,
-    message: late ? `no answer within ${timeoutMs} ms` : err.message,
+    message: isTimeout ? `no answer within ${timeoutMs} ms` : err.message,
     ran: 'unknown',
   });
 }
 
-function parsed(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
   } catch {
@@ -151,32 +167,34 @@
   }
 }
 
-function bodyOf<T>(url: string, answer: Answer): Either<OnyxError, T> {
+function toResult<T>(url: string, answer: ApiResponse): Either<OnyxError, T> {
   const {status, body} = answer;
-  if (status >= LEAST_ERROR_STATUS) return Left(errorOf(url, answer));
-  if (body === undefined) return Left(notOurs(url, status));
+  if (status >= MIN_ERROR_STATUS) return Left(toOnyxError(url, answer));
+  if (body === undefined)
+    return Left(createUnexpectedResponseError(url, status));
   return Right(body as T);
 }
 
-function patchOutcome(
+function toPatchResult(
   url: string,
-  answer: Answer,
+  answer: ApiResponse,
 ): Either<ConfigRejection, ConfigAccepted> {
   const rejected = (answer.body ?? {}) as {
     readonly head?: number;
     readonly faults?: readonly ConfigFault[];
   };
-  return bodyOf<ConfigAccepted>(url, answer).mapLeft(error => ({
+  return toResult<ConfigAccepted>(url, answer).mapLeft(error => ({
     error,
     head: rejected.head ?? 0,
     faults: rejected.faults ?? [],
   }));
 }
 
-function errorOf(url: string, {status, body}: Answer): OnyxError {
+function toOnyxError(url: string, {status, body}: ApiResponse): OnyxError {
   const error = (body as {readonly error?: Partial<ErrorDetails>} | undefined)
     ?.error;
-  if (typeof error?.message !== 'string') return notOurs(url, status);
+  if (typeof error?.message !== 'string')
+    return createUnexpectedResponseError(url, status);
   return new OnyxError({
     code: error.code ?? codeOf(status),
     step: error.step ?? stepOf(status),
@@ -187,8 +205,8 @@
   });
 }
 
-/** Something else than an entry answered, or answered half. */
-function notOurs(url: string, status: number): OnyxError {
+/** Another server than an entry or a side responded, or the body was cut off. */
+function createUnexpectedResponseError(url: string, status: number): OnyxError {
   return new OnyxError({
     code: codeOf(status),
     step: stepOf(status),
--- a/src/cli/operator_command.ts
+++ b/src/cli/operator_command.ts
@@ -1,6 +1,6 @@
 /**
- * What the commands share: the options that name the entry and the token, the
- * exit codes, and how outcomes and faults are printed.
+ * Base classes of the commands. They define the options for the entry's URL and
+ * the token, the exit codes, and the output of results and errors.
  */
 import {Command, Option} from 'clipanion';
 import type {BaseContext} from 'clipanion';
@@ -12,36 +12,36 @@
 import type {OperatorClient} from './operator_client.js';
 import {renderValue} from './render.js';
 
-/** Exit codes; scripts may rely on them. */
+/** Success. Scripts may rely on this exit code and the two others. */
 export const EXIT_OK = 0;
-/** The operation failed, or the patch was in conflict. */
+/** The operation failed, or the patch was rejected. */
 export const EXIT_FAILED = 1;
-/** Wrong usage, or a wrong settings or patch file. */
+/** Wrong usage, or a settings or patch file with faults. */
 export const EXIT_USAGE = 2;
 
-/** Wrong usage found after the options were read. */
-export class WrongUsage extends Error {}
+/** Wrong usage that is found after the options were parsed. */
+export class UsageError extends Error {}
 
-/** What commands ask of the platform's store. */
+/** The part of the platform's store that the commands use. */
 export type QuarantineStore = Pick<
   DirectStore,
   'quarantine' | 'removeQuarantine'
 >;
 
-/** The tool's context, with what the platform brings. */
+/** Context of the commands, with access to the platform. */
 export interface ToolContext extends BaseContext {
-  /** `address` is IP:PORT. */
+  /** Opens the platform's metadata store at `address`, which is IP:PORT. */
   openStore(address: string): QuarantineStore;
 }
 
-/** A command that ends with one of the exit codes. */
+/** A command that returns one of the exit codes. */
 export abstract class ToolCommand extends Command<ToolContext> {
   async execute(): Promise<number> {
     try {
       return await this.perform();
     } catch (err) {
-      if (!(err instanceof WrongUsage)) throw err;
-      this.complain(err.message);
+      if (!(err instanceof UsageError)) throw err;
+      this.printError(err.message);
       return EXIT_USAGE;
     }
   }
@@ -52,7 +52,7 @@
     this.context.stdout.write(`${text}\n`);
   }
 
-  protected complain(text: string): void {
+  protected printError(text: string): void {
     this.context.stderr.write(`onyxloft: ${text}\n`);
   }
 
@@ -61,46 +61,48 @@
   }
 }
 
-/** A command that talks to the operators' API. */
+/** A command that calls the operators' API. */
 export abstract class OperatorCommand extends ToolCommand {
   url = Option.String('--url', {
     env: 'ONYXLOFT_URL',
-    description: "An entry's operators' address, such as http://10.0.0.5:7200",
+    description:
+      "URL of an entry's operators' API, such as http://10.0.0.5:7200",
   });
 
   token = Option.String('--token', {
     env: 'ONYXLOFT_TOKEN',
-    description: "The operators' token; the environment hides it from ps",
+    description:
+      "The operators' token; ps does not show it if it is in the environment",
   });
 
   json = Option.Boolean('--json', false, {
     description: 'Print JSON for scripts',
   });
 
-  /** The client for `--url`, or for another address. */
-  /** `source` names where the URL is from, for telling a wrong one. */
+  /** Creates a client for `--url` or for another address. */
+  /** `source` names the origin of the URL in the error about a wrong one. */
   protected client(
     url: string | undefined = this.url,
     source = '--url or ONYXLOFT_URL',
   ): OperatorClient {
     if (url === undefined || !/^https?:/.test(url) || !URL.canParse(url)) {
-      throw new WrongUsage(
+      throw new UsageError(
         `give ${source}, an http(s) URL such as http://10.0.0.5:7200`,
       );
     }
     if (this.token === undefined || this.token === '') {
-      throw new WrongUsage('give --token or ONYXLOFT_TOKEN');
+      throw new UsageError('give --token or ONYXLOFT_TOKEN');
     }
     return createOperatorClient({url, token: this.token});
   }
 
-  /** Prints the outcome, as JSON or by `render`. */
-  protected finish<T>(
+  /** Prints the outcome, with `--json` as JSON and otherwise with `render`. */
+  protected printOutcome<T>(
     outcome: Either<OnyxError, T>,
     render: (value: T) => string = renderValue,
   ): number {
     return outcome.caseOf({
-      Left: err => this.failed(err),
+      Left: err => this.printFailure(err),
       Right: value => {
         this.print(this.json ? JSON.stringify(value, null, 2) : render(value));
         return EXIT_OK;
@@ -108,22 +110,23 @@
     });
   }
 
-  protected failed(err: OnyxError, more: object = {}): number {
-    if (this.json) this.print(JSON.stringify({error: errorJson(err), ...more}));
-    this.complain(`${err.message} (${err.code} at ${err.step}, ${err.peer})`);
+  protected printFailure(err: OnyxError, extra: object = {}): number {
+    if (this.json)
+      this.print(JSON.stringify({error: toErrorJson(err), ...extra}));
+    this.printError(`${err.message} (${err.code} at ${err.step}, ${err.peer})`);
     return EXIT_FAILED;
   }
 }
 
-/** A count given as an argument or option. */
-export function countOf(text: string, name: string): number {
+/** Parses a whole number from an argument or option. */
+export function parseCount(text: string, name: string): number {
   if (!/^\d{1,15}$/.test(text)) {
-    throw new WrongUsage(`${name} is not a whole number: "${text}"`);
+    throw new UsageError(`${name} is not a whole number: "${text}"`);
   }
   return Number(text);
 }
 
-function errorJson(err: OnyxError) {
+function toErrorJson(err: OnyxError) {
   const {code, step, peer, message, requestId, ran} = err;
   return {code, step, peer, message, requestId, ran};
 }
--- a/src/cli/quarantine_commands.ts
+++ b/src/cli/quarantine_commands.ts
@@ -1,4 +1,7 @@
-/** Commands on requests that crash replicas, as the platform's store has them. */
+/**
+ * Commands for the quarantine of requests that crash replicas. They read and
+ * remove its records in the platform's store.
+ */
 import {Command, Option} from 'clipanion';
 import type {QuarantineRecord} from '../direct/crash_reports.js';
 import {splitAddress} from '../direct/settings.js';
@@ -7,25 +10,29 @@
   EXIT_FAILED,
   EXIT_OK,
   ToolCommand,
-  WrongUsage,
+  UsageError,
 } from './operator_command.js';
 import type {QuarantineStore} from './operator_command.js';
 import {renderTable} from './render.js';
 
 const CATEGORY = 'Quarantine';
-/** Beginnings of digests in logs are as long. */
-const ID_FORM = /^[0-9a-f]{4,32}$/;
+/** A digest or a prefix of it, such as logs show. */
+const ID_PATTERN = /^[0-9a-f]{4,32}$/;
 
-/** As scripts read it. */
-interface Quarantined extends Omit<QuarantineRecord, 'writtenAt'> {
-  /** When the record was written, in ISO 8601. */
+/** A quarantine record as printed with `--json`. */
+interface QuarantineJson extends Omit<QuarantineRecord, 'writtenAt'> {
+  /** Time at which the record was written, in ISO 8601. */
   readonly since: string;
 }
 
-function shown({writtenAt, ...report}: QuarantineRecord): Quarantined {
+function toQuarantineJson({
+  writtenAt,
+  ...report
+}: QuarantineRecord): QuarantineJson {
   return {...report, since: new Date(writtenAt).toISOString()};
 }
 
+/** Options and store access that the quarantine commands share. */
 abstract class QuarantineCommand extends ToolCommand {
   store = Option.String('--store', {
     env: 'ONYXLOFT_STORE',
@@ -36,38 +43,44 @@
     description: 'Print JSON for scripts',
   });
 
-  protected open(): QuarantineStore {
+  protected openStore(): QuarantineStore {
     if (this.store === undefined || splitAddress(this.store) === undefined) {
-      throw new WrongUsage(
+      throw new UsageError(
         'give --store or ONYXLOFT_STORE, such as 10.0.0.9:8223',
       );
     }
     return this.context.openStore(this.store);
   }
 
-  /** All records, by digest; undefined when the store failed. */
+  /**
+   * Reads all records, sorted by digest. Prints the error and returns undefined
+   * when the store failed.
+   */
   protected async readAll(
     store: QuarantineStore,
   ): Promise<readonly QuarantineRecord[] | undefined> {
     const listed = await store.quarantine.list();
     return listed
-      .ifLeft(fault => this.failed(fault))
+      .ifLeft(fault => this.printFailure(fault))
       .map(({items}) => [...items.values()].sort(byDigest))
       .toMaybe()
       .extract();
   }
 
-  /** The one record whose digest begins so; undefined where it is not one. */
-  protected pick(
+  /**
+   * Returns the only record whose digest starts with `id`. Prints an error and
+   * returns undefined when there is none or more than one.
+   */
+  protected findByPrefix(
     records: readonly QuarantineRecord[],
     id: string,
   ): QuarantineRecord | undefined {
     const found = records.filter(({digest}) => digest.startsWith(id));
     if (found.length === 1) return found[0];
-    this.complain(
+    this.printError(
       found.length === 0
         ? `no request "${id}" is quarantined; see quarantine list`
-        : `"${id}" begins ${found.length} digests; give more of it`,
+        : `"${id}" is a prefix of ${found.length} digests; give a longer one`,
     );
     return undefined;
   }
@@ -76,14 +89,14 @@
     this.print(JSON.stringify(value, null, 2));
   }
 
-  protected failed({step, message}: StoreFault): void {
+  protected printFailure({step, message}: StoreFault): void {
     if (this.json) this.printJson({error: {step, message, peer: this.store}});
-    this.complain(`${message} (at ${step}, ${this.store})`);
+    this.printError(`${message} (at ${step}, ${this.store})`);
   }
 
-  protected checked(id: string): string {
-    if (!ID_FORM.test(id)) {
-      throw new WrongUsage(`ID is no beginning of a digest: "${id}"`);
+  protected validateId(id: string): string {
+    if (!ID_PATTERN.test(id)) {
+      throw new UsageError(`ID is not a prefix of a digest: "${id}"`);
     }
     return id;
   }
@@ -97,7 +110,7 @@
     description:
       'list the requests that are refused because they crash replicas',
     details:
-      'Reads the records in the store, which name a request by its digest. `direct-quarantined` and `direct-quarantine-refused` lines bear its beginning.',
+      'Reads the records in the store, which name a request by its digest. Log lines `direct-quarantined` and `direct-quarantine-refused` show the beginning of the digest.',
     examples: [
       ['What is refused now', '$0 quarantine list'],
       ['How many', '$0 quarantine list --json | jq length'],
@@ -105,14 +118,14 @@
   });
 
   protected override async perform(): Promise<number> {
-    const records = await this.readAll(this.open());
+    const records = await this.readAll(this.openStore());
     if (records === undefined) return EXIT_FAILED;
     if (this.json) {
-      this.printJson(records.map(shown));
+      this.printJson(records.map(toQuarantineJson));
       return EXIT_OK;
     }
     const rows = records
-      .map(shown)
+      .map(toQuarantineJson)
       .map(({digest, ended, since}) => [digest, String(ended.length), since]);
     this.print(renderTable(['DIGEST', 'REPLICAS ENDED', 'SINCE'], rows));
     return EXIT_OK;
@@ -125,18 +138,18 @@
   static override usage = Command.Usage({
     category: CATEGORY,
     description: 'show the replicas that ended under one request',
-    details: 'ID is the digest or a beginning of it that no other one has.',
+    details: 'ID is the digest, or a prefix of it that no other digest has.',
     examples: [['From a log line', '$0 quarantine show 3f9c41d07be2']],
   });
 
   id = Option.String({name: 'ID'});
 
   protected override async perform(): Promise<number> {
-    const id = this.checked(this.id);
-    const records = await this.readAll(this.open());
-    const record = records && this.pick(records, id);
+    const id = this.validateId(this.id);
+    const records = await this.readAll(this.openStore());
+    const record = records && this.findByPrefix(records, id);
     if (record === undefined) return EXIT_FAILED;
-    const {digest, ended, good, since} = shown(record);
+    const {digest, ended, good, since} = toQuarantineJson(record);
     if (this.json) {
       this.printJson({digest, ended, good, since});
       return EXIT_OK;
@@ -159,25 +172,25 @@
   static override paths = [['quarantine', 'release']];
   static override usage = Command.Usage({
     category: CATEGORY,
-    description: 'let one request run again, at all entries at once',
+    description: 'allow one quarantined request again, at all entries',
     details:
-      'For when the replicas are mended. ID is as for show. If it still crashes replicas, it is refused again after the third.',
+      'Use it when the cause of the crashes is fixed. ID is as for show. A request that still crashes replicas is refused again after the third crash.',
     examples: [['Release one', '$0 quarantine release 3f9c41d07be2']],
   });
 
   id = Option.String({name: 'ID'});
 
   protected override async perform(): Promise<number> {
-    const id = this.checked(this.id);
-    const store = this.open();
+    const id = this.validateId(this.id);
+    const store = this.openStore();
     const records = await this.readAll(store);
-    const record = records && this.pick(records, id);
+    const record = records && this.findByPrefix(records, id);
     if (record === undefined) return EXIT_FAILED;
     const {digest} = record;
     const removed = await store.removeQuarantine(digest);
     return removed.caseOf({
       Left: fault => {
-        this.failed(fault);
+        this.printFailure(fault);
         return EXIT_FAILED;
       },
       Right: () => {
--- a/src/config/head_follower.ts
+++ b/src/config/head_follower.ts
@@ -1,90 +1,96 @@
 /**
- * Follows the head in the store. The home holds a long watch, all others read
- * it rarely and hear of new numbers from peers, so that calls to the store
- * grow with the number of processes only by the rare reads. Pauses are
- * jittered and grow while the store is out: processes that all failed at the
- * same moment would else all come back at the same moment.
+ * Follows the configuration's head in the store. The home keeps a long watch.
+ * All other processes read the head rarely and learn new numbers from peers, so
+ * each further process adds only its rare reads to the store's load. Pauses are
+ * random, and grow while the store is unavailable. Otherwise, processes that
+ * failed at the same moment would all retry at the same moment.
  */
 import type {OnyxError} from '../types/errors.js';
 import type {Either, Maybe} from 'purify-ts';
 import type {Clock, Random} from '../types/runtime.js';
 import type {ConfigHead, ConfigStore} from './config_store.js';
 
-/** First pause after a failed call; doubles up to the largest. */
-const FIRST_BACKOFF_MS = 500;
-const LARGEST_BACKOFF_MS = 30_000;
+/**
+ * Upper bound of the pause after the first failed call, in milliseconds. It
+ * doubles with each further failure, up to MAX_BACKOFF_MS.
+ */
+const INITIAL_BACKOFF_MS = 500;
+/** Upper bound of the pause after any failed call, in milliseconds. */
+const MAX_BACKOFF_MS = 30_000;
 
-/** Where the head is read, how often, and who takes it. */
+/** Store to read from, intervals, and callbacks. */
 export interface HeadFollowerOptions {
   readonly store: ConfigStore;
   readonly clock: Clock;
   readonly random: Random;
+  /** Returns whether this process is the home, which watches the head. */
   readonly isHome: () => boolean;
-  /** Longest wait of the home's watch, in milliseconds. */
+  /** Longest wait of one watch by the home, in milliseconds. */
   readonly watchMs: number;
-  /** Mean pause between reads of a process that is not the home. */
+  /**
+   * Mean pause between reads by a process that is not the home, in
+   * milliseconds.
+   */
   readonly pollMs: number;
-  /** The first read comes within this long. */
-  readonly startJitterMs: number;
+  /** Longest delay before the first read, in milliseconds. */
+  readonly maxStartDelayMs: number;
   /**
-   * Takes a head, or Nothing when the store holds none. Rejecting means that
-   * it could not be taken, and it is read again.
+   * Handles a head, or Nothing when the store holds none. A Left means that the
+   * head could not be used; it is read again after a pause.
    */
   readonly onHead: (
     head: Maybe<ConfigHead>,
   ) => Promise<Either<OnyxError, void>>;
-  /** Something threw: following has ended. */
-  readonly onCrash: (cause: unknown) => void;
-  readonly onFailure: (err: OnyxError, retryMs: number) => void;
+  /** Called when something threw. The follower has stopped. */
+  readonly onError: (cause: unknown) => void;
+  /** Called after a failed read, with the pause before the next one. */
+  readonly onReadFailure: (err: OnyxError, retryMs: number) => void;
 }
 
 /** A running follower. */
 export interface HeadFollower {
-  /** Ends a pause early: for when this process has become the home. */
-  poke(): void;
+  /** Ends the current pause, such as when this process became the home. */
+  wake(): void;
   stop(): void;
 }
 
-/** Starts to follow. */
+/** Starts to follow the head. */
 export function startHeadFollower(options: HeadFollowerOptions): HeadFollower {
   const {store, clock, random} = options;
   let stopped = false;
   let failures = 0;
   let version = 0;
-  let wake: () => void = () => undefined;
+  let endPause: () => void = () => undefined;
 
   const pause = (ms: number) =>
     new Promise<void>(resolve => {
       const cancel = clock.after(ms, resolve);
-      wake = () => {
+      endPause = () => {
         cancel();
         resolve();
       };
     });
 
   const readOnce = async (): Promise<Either<OnyxError, void>> => {
-    const watching = options.isHome() && version > 0;
-    const read = watching
+    const isWatching = options.isHome() && version > 0;
+    const read = isWatching
       ? await store.watchHead(version, options.watchMs)
       : await store.readHead('config');
     if (read.isLeft()) return read;
     const head = read.extract() as Maybe<ConfigHead>;
-    const taken = await options.onHead(head);
-    // Remembered only once taken: else the watch would wait past a head whose
-    // documents could not be read.
-    if (taken.isRight()) {
+    const handled = await options.onHead(head);
+    // The version is stored only after the head was handled. Otherwise, the
+    // next watch would skip a head whose documents could not be read.
+    if (handled.isRight()) {
       head.ifJust(found => {
         version = Math.max(version, found.version);
       });
     }
-    return taken;
+    return handled;
   };
 
   const backoffMs = () => {
-    const limit = Math.min(
-      LARGEST_BACKOFF_MS,
-      FIRST_BACKOFF_MS * 2 ** failures,
-    );
+    const limit = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** failures);
     failures += 1;
     return limit * (0.5 + 0.5 * random.next());
   };
@@ -92,17 +98,18 @@
   const nextPauseMs = (outcome: Either<OnyxError, void>) => {
     if (outcome.isLeft()) {
       const retryMs = backoffMs();
-      options.onFailure(outcome.extract() as OnyxError, retryMs);
+      options.onReadFailure(outcome.extract() as OnyxError, retryMs);
       return retryMs;
     }
     failures = 0;
-    // A watch waits by itself; without a head there is nothing to watch.
+    // A watch waits in the store, so it needs no pause. Without a head, there
+    // is nothing to watch.
     if (options.isHome() && version > 0) return 0;
     return options.pollMs * (0.5 + random.next());
   };
 
   const run = async () => {
-    await pause(options.startJitterMs * random.next());
+    await pause(options.maxStartDelayMs * random.next());
     while (!stopped) {
       const outcome = await readOnce();
       if (stopped) return;
@@ -111,12 +118,12 @@
     }
   };
 
-  run().catch(options.onCrash);
+  run().catch(options.onError);
   return {
-    poke: () => wake(),
+    wake: () => endPause(),
     stop: () => {
       stopped = true;
-      wake();
+      endPause();
     },
   };
 }
--- a/src/config/peer_exchange.ts
+++ b/src/config/peer_exchange.ts
@@ -1,7 +1,8 @@
 /**
- * Hands configurations from process to process, so that an accepted number
- * reaches all of them while the store is out. The manifest goes first; then
- * only the documents that the asker lacks, in answers of bounded size.
+ * Transfers configurations between processes, so that an accepted number
+ * reaches all of them while the store is unavailable. A process first fetches
+ * the manifest, and then only the documents that it does not have, in replies
+ * of bounded size.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -14,17 +15,25 @@
 } from '../types/peer_messages.js';
 import type {Transport} from '../types/transport.js';
 import type {ConfigState} from './config_state.js';
-import {isIntact, parseManifest} from './documents.js';
+import {matchesHash, parseManifest} from './documents.js';
 import type {Manifest} from './documents.js';
 
+/** Time limit of one call to a peer, in milliseconds. The fetch then fails. */
 const FETCH_TIMEOUT_MS = 2_000;
-/** Documents asked for in one call. */
-const FETCH_BATCH = 64;
-/** Bytes of documents in one answer; keeps messages far below grpc's limit. */
-const MAX_ANSWER_BYTES = 1_000_000;
+/** Limit on documents requested in one call. Further calls fetch the rest. */
+const MAX_DOCUMENTS_PER_FETCH = 64;
+/**
+ * Limit on the bytes of documents in one reply, unless the first document alone
+ * is larger. It keeps messages far below the limit of gRPC. The requester asks
+ * again for the documents that were left out.
+ */
+const MAX_REPLY_BYTES = 1_000_000;
 
-/** Answers a peer from what is in force here. */
-export function answerFetch(
+/**
+ * Creates the reply to a peer. It has the manifest if the peer's number is
+ * lower, and those of the wanted documents that this process holds.
+ */
+export function createFetchReply(
   state: ConfigState,
   req: FetchConfigReq,
 ): FetchConfigRes {
@@ -33,62 +42,65 @@
   return {
     number: state.number(),
     manifest: isNewer ? JSON.stringify(manifest) : '',
-    documents: pickDocuments(state.documents(), req.wantHashes),
+    documents: selectDocuments(state.knownDocuments(), req.wantHashes),
   };
 }
 
-function pickDocuments(
+function selectDocuments(
   known: ReadonlyMap<string, string>,
   hashes: readonly string[],
 ): readonly ConfigDocument[] {
-  const picked: ConfigDocument[] = [];
+  const selected: ConfigDocument[] = [];
   let bytes = 0;
   for (const hash of hashes) {
     const json = known.get(hash);
     if (json === undefined) continue;
     bytes += Buffer.byteLength(json);
-    if (picked.length > 0 && bytes > MAX_ANSWER_BYTES) break;
-    picked.push({hash, json});
+    if (selected.length > 0 && bytes > MAX_REPLY_BYTES) break;
+    selected.push({hash, json});
   }
-  return picked;
+  return selected;
 }
 
-/** What a peer had to give. */
+/** A manifest from a peer, with the JSON text of its documents by hash. */
 export interface FetchedConfig {
   readonly manifest: Manifest;
   readonly jsonByHash: ReadonlyMap<string, string>;
 }
 
-/** What this process has already; `known` is JSON by hash. */
+/** The transport, and what this process already has. */
 export interface PeerFetchOptions {
   readonly transport: Transport;
+  /** Number of the configuration in this process. */
   readonly haveNumber: ConfigNumber;
-  readonly known: ReadonlyMap<string, string>;
-  /** A document came whose text does not match its hash. */
-  readonly onCorrupt: (hash: string) => void;
+  /** JSON text of the documents in this process, by hash. */
+  readonly knownDocuments: ReadonlyMap<string, string>;
+  /** Called for each received document whose text does not match its hash. */
+  readonly onCorruptDocument: (hash: string) => void;
 }
 
 /**
- * Fetches the peer's configuration. Right of undefined: it has none newer.
- * Left: it could not be reached, or did not give all documents.
+ * Fetches a newer configuration from a peer. Returns Right of undefined when
+ * the peer has none. Returns a Left when the peer cannot be reached, or does
+ * not send a readable manifest and all documents.
  */
 export async function fetchFromPeer(
   options: PeerFetchOptions,
   peer: Address,
 ): Promise<Either<OnyxError, FetchedConfig | undefined>> {
   const {transport, haveNumber} = options;
-  const first = await transport.call(
+  const manifestReply = await transport.call(
     peer,
     'fetchConfig',
     {haveNumber, wantHashes: []},
     FETCH_TIMEOUT_MS,
   );
-  if (first.isLeft()) return first;
-  const res = first.extract() as FetchConfigRes;
+  if (manifestReply.isLeft()) return manifestReply;
+  const res = manifestReply.extract() as FetchConfigRes;
   if (res.manifest === '') return Right(undefined);
-  const manifest = readManifest(res.manifest);
+  const manifest = tryParseManifest(res.manifest);
   if (manifest === undefined) {
-    return Left(fetchError(peer, 'the manifest is not readable'));
+    return Left(createFetchError(peer, 'the manifest is not readable'));
   }
   return fetchDocuments(options, peer, manifest);
 }
@@ -98,37 +110,40 @@
   peer: Address,
   manifest: Manifest,
 ): Promise<Either<OnyxError, FetchedConfig>> {
-  const jsonByHash = new Map(options.known);
+  const jsonByHash = new Map(options.knownDocuments);
   for (;;) {
     const missing = manifest.documents
       .map(({hash}) => hash)
       .filter(hash => !jsonByHash.has(hash));
     if (missing.length === 0) return Right({manifest, jsonByHash});
-    const answer = await options.transport.call(
+    const documentsReply = await options.transport.call(
       peer,
       'fetchConfig',
       {
         haveNumber: options.haveNumber,
-        wantHashes: missing.slice(0, FETCH_BATCH),
+        wantHashes: missing.slice(0, MAX_DOCUMENTS_PER_FETCH),
       },
       FETCH_TIMEOUT_MS,
     );
-    if (answer.isLeft()) return answer;
-    const {documents} = answer.extract() as FetchConfigRes;
-    const sound = documents.filter(document => {
-      if (isIntact(document)) return true;
-      options.onCorrupt(document.hash);
+    if (documentsReply.isLeft()) return documentsReply;
+    const {documents} = documentsReply.extract() as FetchConfigRes;
+    const intact = documents.filter(document => {
+      if (matchesHash(document)) return true;
+      options.onCorruptDocument(document.hash);
       return false;
     });
-    // The peer has gone on to a later number, or sends what is broken.
-    if (sound.length === 0) {
-      return Left(fetchError(peer, `${missing.length} documents are missing`));
+    // The peer has dropped these documents for those of a later number, or it
+    // sends corrupt ones. Another call would not help.
+    if (intact.length === 0) {
+      return Left(
+        createFetchError(peer, `${missing.length} documents are missing`),
+      );
     }
-    for (const {hash, json} of sound) jsonByHash.set(hash, json);
+    for (const {hash, json} of intact) jsonByHash.set(hash, json);
   }
 }
 
-function readManifest(text: string): Manifest | undefined {
+function tryParseManifest(text: string): Manifest | undefined {
   try {
     return parseManifest(text);
   } catch {
@@ -136,6 +151,6 @@
   }
 }
 
-function fetchError(peer: Address, message: string): OnyxError {
+function createFetchError(peer: Address, message: string): OnyxError {
   return new OnyxError({code: 'internal', step: 'config', peer, message});
 }
--- a/src/config/settings_rules.ts
+++ b/src/config/settings_rules.ts
@@ -1,7 +1,8 @@
 /**
- * Rules between options of a settings file. Each is checked on its own, also
- * when other options are wrong, so that all faults come at once; a rule whose
- * options are themselves wrong is left to the schema.
+ * Rules between options of a settings file. Each rule is checked independently,
+ * even if other options have faults, so that all faults are reported at once. A
+ * rule is skipped when its own options have the wrong type, which the schema
+ * reports.
  */
 import {
   LIMIT_DEFAULTS,
@@ -10,35 +11,37 @@
 } from './settings_schema.js';
 import type {SettingsDocument, SettingsFault} from './settings_faults.js';
 
+/** Returns the faults of a document against one rule. */
 type Rule = (document: SettingsDocument) => readonly SettingsFault[];
 type TimingName = keyof typeof TIMING_DEFAULTS;
 
-/** Faults of the rules between options. */
-export function crossFaults(
+/** Returns the faults of a document against all rules between options. */
+export function optionRuleFaults(
   document: SettingsDocument,
 ): readonly SettingsFault[] {
-  return RULES.flatMap(rule => rule(document));
+  return OPTION_RULES.flatMap(rule => rule(document));
 }
 
-const RULES: readonly Rule[] = [
+const OPTION_RULES: readonly Rule[] = [
   // One lost heartbeat must not make a peer suspect.
-  longer('suspectAfterMs', 'heartbeatMs', 1),
-  // Runs must outlive two lost heartbeats of their entry, or a short stall
-  // of the network would cancel work that is still wanted.
-  longer('holdMs', 'heartbeatMs', 2),
-  // An entry must dial anew before the side gives its run up.
-  longer('holdMs', 'channelSilenceMs', 1),
-  longer('channelSilenceMs', 'heartbeatMs', 1),
-  // A copy of an offer or go may arrive until its sender gave up on it.
-  longer('tombstoneMs', 'offerLapseMs', 2),
-  longer('tombstoneMs', 'peerTimeoutMs', 2),
-  bodyOverHeader,
-  reachable,
-  distinctAddresses,
-  fenceOfService,
+  mustExceed('suspectAfterMs', 'heartbeatMs', 1),
+  // A run must outlive two lost heartbeats of its entry. Otherwise, a short
+  // stall of the network would cancel a run whose caller still waits.
+  mustExceed('holdMs', 'heartbeatMs', 2),
+  // An entry must open a new channel before the side cancels its run.
+  mustExceed('holdMs', 'channelSilenceMs', 1),
+  mustExceed('channelSilenceMs', 'heartbeatMs', 1),
+  // A duplicate of an offer or go may arrive until its sender has given up.
+  mustExceed('tombstoneMs', 'offerLapseMs', 2),
+  mustExceed('tombstoneMs', 'peerTimeoutMs', 2),
+  checkBodyLimit,
+  checkPeersAddress,
+  checkDistinctAddresses,
+  checkFenceOption,
 ];
 
-function longer(name: TimingName, than: TimingName, times: number): Rule {
+/** Rule: a timing option must be more than `times` times another one. */
+function mustExceed(name: TimingName, than: TimingName, times: number): Rule {
   return document => {
     const value = timingOf(document, name);
     const other = timingOf(document, than);
@@ -46,7 +49,7 @@
     if (value > times * other) return [];
     const factor = times === 1 ? '' : `${times} times `;
     return [
-      fault(
+      createFault(
         document,
         ['timing', name],
         `is ${value}, not over ${factor}timing.${than} (${other})`,
@@ -56,39 +59,41 @@
   };
 }
 
-function bodyOverHeader(document: SettingsDocument): readonly SettingsFault[] {
+function checkBodyLimit(document: SettingsDocument): readonly SettingsFault[] {
   const body = limitOf(document, 'maxBodyBytes');
   const header = limitOf(document, 'maxHeaderBytes');
   if (body === undefined || header === undefined || body >= header) return [];
   const message = `is ${body}, under limits.maxHeaderBytes (${header})`;
   const mend = `write at least ${header}, or lower limits.maxHeaderBytes`;
-  return [fault(document, ['limits', 'maxBodyBytes'], message, mend)];
+  return [createFault(document, ['limits', 'maxBodyBytes'], message, mend)];
 }
 
-/** Peers cannot dial the wildcard address or port 0. */
-function reachable(document: SettingsDocument): readonly SettingsFault[] {
+/** Rule: peers cannot connect to a wildcard IP or to port 0. */
+function checkPeersAddress(
+  document: SettingsDocument,
+): readonly SettingsFault[] {
   const advertised = addressAt(document, ['advertise', 'peers']);
-  const wildcard = (ip: string) => ip === '0.0.0.0' || ip === '::';
+  const isWildcard = (ip: string) => ip === '0.0.0.0' || ip === '::';
   if (advertised !== undefined) {
-    if (!wildcard(advertised.ip) && advertised.port !== 0) return [];
+    if (!isWildcard(advertised.ip) && advertised.port !== 0) return [];
     const mend = 'write the IP and port at which peers reach this process';
     const message = 'cannot be dialled by peers';
-    return [fault(document, ['advertise', 'peers'], message, mend)];
+    return [createFault(document, ['advertise', 'peers'], message, mend)];
   }
   const listened = addressAt(document, ['listen', 'peers']);
   if (document.has(['advertise']) || listened === undefined) return [];
-  if (!wildcard(listened.ip)) return [];
+  if (!isWildcard(listened.ip)) return [];
   const message = 'listens on all addresses, and none is advertised';
   const mend = 'write one IP, or add advertise.peers';
-  return [fault(document, ['listen', 'peers'], message, mend)];
+  return [createFault(document, ['listen', 'peers'], message, mend)];
 }
 
-function distinctAddresses(
+function checkDistinctAddresses(
   document: SettingsDocument,
 ): readonly SettingsFault[] {
-  const names = ['callers', 'operators', 'peers'];
+  const listenNames = ['callers', 'operators', 'peers'];
   const seen = new Map<string, string>();
-  return names.flatMap(name => {
+  return listenNames.flatMap(name => {
     const parts = addressAt(document, ['listen', name]);
     if (parts === undefined || parts.port === 0) return [];
     const key = `${parts.ip} ${parts.port}`;
@@ -97,21 +102,30 @@
     if (other === undefined) return [];
     const message = `is the address of listen.${other} too`;
     return [
-      fault(document, ['listen', name], message, 'write another port here'),
+      createFault(
+        document,
+        ['listen', name],
+        message,
+        'write another port here',
+      ),
     ];
   });
 }
 
-function fenceOfService(document: SettingsDocument): readonly SettingsFault[] {
+function checkFenceOption(
+  document: SettingsDocument,
+): readonly SettingsFault[] {
   const kind = valueAt(document, ['upstream', 'kind']);
-  const refuses = valueAt(document, ['upstream', 'refusesOldFence']);
-  if (kind !== 'service' || refuses !== true) return [];
+  const refusesOldFence = valueAt(document, ['upstream', 'refusesOldFence']);
+  if (kind !== 'service' || refusesOldFence !== true) return [];
   const message = 'is true, but a plain service takes no orders';
   const mend = 'remove it, or set upstream.kind to "engine"';
-  return [fault(document, ['upstream', 'refusesOldFence'], message, mend)];
+  return [
+    createFault(document, ['upstream', 'refusesOldFence'], message, mend),
+  ];
 }
 
-function fault(
+function createFault(
   document: SettingsDocument,
   path: readonly string[],
   message: string,
@@ -137,18 +151,30 @@
 }
 
 function timingOf(document: SettingsDocument, name: TimingName) {
-  return numberOr(valueAt(document, ['timing', name]), TIMING_DEFAULTS[name]);
+  return numberOrDefault(
+    valueAt(document, ['timing', name]),
+    TIMING_DEFAULTS[name],
+  );
 }
 
 function limitOf(
   document: SettingsDocument,
   name: keyof typeof LIMIT_DEFAULTS,
 ) {
-  return numberOr(valueAt(document, ['limits', name]), LIMIT_DEFAULTS[name]);
+  return numberOrDefault(
+    valueAt(document, ['limits', name]),
+    LIMIT_DEFAULTS[name],
+  );
 }
 
-/** The value, its default when it is left out, undefined when it is wrong. */
-function numberOr(value: unknown, otherwise: number): number | undefined {
-  if (value === undefined) return otherwise;
+/**
+ * Returns the value if it is a number, the default if the option is absent, and
+ * undefined if the value has another type.
+ */
+function numberOrDefault(
+  value: unknown,
+  defaultValue: number,
+): number | undefined {
+  if (value === undefined) return defaultValue;
   return typeof value === 'number' ? value : undefined;
 }
--- a/src/config/validate.ts
+++ b/src/config/validate.ts
@@ -1,7 +1,7 @@
 /**
- * Checks declarations as a whole before they are accepted. All faults are told
- * at once, each with the pointer by which a patch would address it and what to
- * write instead, so that an operator mends a file in one go.
+ * Validates declarations as a whole before they are accepted. All faults are
+ * reported at once, so that an operator can correct them in one edit. Each
+ * fault has the JSON pointer that a patch would use, and what to write instead.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -14,68 +14,79 @@
   keyedDeclarationsSchema,
 } from './declarations_schema.js';
 import {fromKeyed} from './keyed_form.js';
-import {pointerOf} from './json_pointer.js';
+import {toJsonPointer} from './json_pointer.js';
 
-/** Pool name under which the host list shows entries. */
+/** Pool name of the entries in the host list. */
 const ENTRY_POOL = 'entry';
-/** A sum of shares may pass 1 by this much, for rounding. */
-const SHARE_SLACK = 1e-9;
+/**
+ * Tolerance for rounding errors in a sum of shares. A sum that exceeds 1 by
+ * more than this is a fault.
+ */
+const SHARE_TOLERANCE = 1e-9;
 
-/** What is known of the fleet: live hosts by pool and failure domain. */
-export type KnownFleet = ReadonlyMap<
+/** Number of live hosts, by pool and failure domain. */
+export type LiveHostCounts = ReadonlyMap<
   PoolId,
   ReadonlyMap<FailureDomain, number>
 >;
 
-/** Counts the live upstream hosts of a host list. */
-export function fleetOfHosts(hosts: readonly HostInfo[]): KnownFleet {
-  const fleet = new Map<PoolId, Map<FailureDomain, number>>();
+/** Counts the live hosts of a host list, without the entries. */
+export function countLiveHosts(hosts: readonly HostInfo[]): LiveHostCounts {
+  const counts = new Map<PoolId, Map<FailureDomain, number>>();
   for (const host of hosts) {
     if (host.pool === ENTRY_POOL || host.state !== 'live') continue;
-    const domains = fleet.get(host.pool) ?? new Map<FailureDomain, number>();
+    const domains = counts.get(host.pool) ?? new Map<FailureDomain, number>();
     domains.set(host.failureDomain, (domains.get(host.failureDomain) ?? 0) + 1);
-    fleet.set(host.pool, domains);
+    counts.set(host.pool, domains);
   }
-  return fleet;
+  return counts;
 }
 
 /**
- * Reads the keyed form and checks it. Left: every fault found. `fleet` adds
- * the checks against live hosts; without it these are left out.
+ * Parses the keyed form and validates it. A Left holds every fault found.
+ * `liveHostCounts` adds the checks against live hosts, which are left out
+ * without it. `wishesInForce` are exempt from these checks.
  */
-export function readKeyed(
+export function parseKeyedDeclarations(
   keyed: unknown,
-  fleet?: KnownFleet,
-  before: readonly PlacementWish[] = [],
+  liveHostCounts?: LiveHostCounts,
+  wishesInForce: readonly PlacementWish[] = [],
 ): Either<readonly ConfigFault[], Declarations> {
   const parsed = keyedDeclarationsSchema.safeParse(keyed);
-  if (!parsed.success) return Left(parsed.error.issues.map(faultOfIssue));
+  if (!parsed.success) return Left(parsed.error.issues.map(toFault));
   const declarations = fromKeyed(parsed.data);
-  const faults = validateDeclarations(declarations, fleet, before);
+  const faults = validateDeclarations(
+    declarations,
+    liveHostCounts,
+    wishesInForce,
+  );
   return faults.length === 0 ? Right(declarations) : Left(faults);
 }
 
 /**
- * Every fault of well-formed declarations; empty when there is none. `before`:
- * wishes in force, which are not judged by the live hosts again.
+ * Returns every fault of declarations that fit the schema. `wishesInForce` are
+ * not checked against the live hosts again.
  */
 function validateDeclarations(
   declarations: Declarations,
-  fleet?: KnownFleet,
-  before: readonly PlacementWish[] = [],
+  liveHostCounts?: LiveHostCounts,
+  wishesInForce: readonly PlacementWish[] = [],
 ): readonly ConfigFault[] {
   return [
     ...duplicateFaults(declarations),
     ...modelFaults(declarations),
-    ...priorityFaults(declarations),
-    ...lengthFaults(declarations),
-    ...keyFaults(declarations),
+    ...priorityClassFaults(declarations),
+    ...lengthClassFaults(declarations),
+    ...duplicateKeyFaults(declarations),
     ...placementFaults(declarations),
     ...policyFaults(declarations),
-    ...(fleet === undefined ? [] : fleetFaults(declarations, fleet, before)),
+    ...(liveHostCounts === undefined
+      ? []
+      : capacityFaults(declarations, liveHostCounts, wishesInForce)),
   ];
 }
 
+/** The fields of a zod issue that are used here. */
 interface SchemaIssue {
   readonly code: string;
   readonly message: string;
@@ -83,18 +94,18 @@
   readonly keys?: readonly string[];
 }
 
-function faultOfIssue(raw: object): ConfigFault {
+function toFault(raw: object): ConfigFault {
   const issue = raw as SchemaIssue;
   if (issue.code === 'unrecognized_keys') {
     const keys = issue.keys ?? [];
     return {
-      path: pointerOf([...issue.path, ...keys.slice(0, 1)].map(String)),
+      path: toJsonPointer([...issue.path, ...keys.slice(0, 1)].map(String)),
       message: `unknown field ${keys.map(key => `"${key}"`).join(', ')}`,
       mend: 'remove the field or correct its name',
     };
   }
   return {
-    path: pointerOf(issue.path.map(String)),
+    path: toJsonPointer(issue.path.map(String)),
     message: issue.message,
     mend: 'write a value of the kind that docs/operators/configuration.md gives for this field',
   };
@@ -110,9 +121,9 @@
     ['placement', d.placement.map(item => [item.pool, item.model])],
   ];
   return lists.flatMap(([list, keys]) => {
-    const paths = keys.map(key => pointerOf([list, ...key]));
-    const twice = paths.filter((path, at) => paths.indexOf(path) !== at);
-    return [...new Set(twice)].map(path => ({
+    const paths = keys.map(key => toJsonPointer([list, ...key]));
+    const duplicates = paths.filter((path, at) => paths.indexOf(path) !== at);
+    return [...new Set(duplicates)].map(path => ({
       path,
       message: 'declared more than once',
       mend: 'keep one of them, or give the other another id',
@@ -123,22 +134,22 @@
 function modelFaults(d: Declarations): readonly ConfigFault[] {
   const defaults = d.models.filter(model => model.isDefault);
   const faults = defaults.slice(1).map(model => ({
-    path: pointerOf(['models', model.id, 'isDefault']),
+    path: toJsonPointer(['models', model.id, 'isDefault']),
     message: `"${defaults[0]?.id}" is the default model already`,
     mend: 'set isDefault to false on all models but one',
   }));
-  const longest = d.lengthClasses.at(-1)?.maxTokens ?? 0;
+  const longestPrompt = d.lengthClasses.at(-1)?.maxTokens ?? 0;
   const tooLong = d.models
-    .filter(model => model.maxPromptTokens > longest)
+    .filter(model => model.maxPromptTokens > longestPrompt)
     .map(model => ({
-      path: pointerOf(['models', model.id, 'maxPromptTokens']),
-      message: `prompts of ${model.maxPromptTokens} tokens fit no length class; the longest takes ${longest}`,
-      mend: `lower it to ${longest}, or add a length class with a larger maxTokens`,
+      path: toJsonPointer(['models', model.id, 'maxPromptTokens']),
+      message: `prompts of ${model.maxPromptTokens} tokens fit no length class; the longest takes ${longestPrompt}`,
+      mend: `lower it to ${longestPrompt}, or add a length class with a larger maxTokens`,
     }));
   return [...faults, ...tooLong];
 }
 
-function priorityFaults(d: Declarations): readonly ConfigFault[] {
+function priorityClassFaults(d: Declarations): readonly ConfigFault[] {
   if (d.priorityClasses.length === 0) {
     return [
       {
@@ -159,13 +170,13 @@
     ];
   }
   return defaults.slice(1).map(item => ({
-    path: pointerOf(['priorityClasses', item.name, 'isDefault']),
+    path: toJsonPointer(['priorityClasses', item.name, 'isDefault']),
     message: `"${defaults[0]?.name}" is the default priority class already`,
     mend: 'set isDefault to false on all priority classes but one',
   }));
 }
 
-function lengthFaults(d: Declarations): readonly ConfigFault[] {
+function lengthClassFaults(d: Declarations): readonly ConfigFault[] {
   if (d.lengthClasses.length === 0) {
     return [
       {
@@ -175,45 +186,46 @@
       },
     ];
   }
-  const growing = d.lengthClasses.flatMap((item, at) => {
-    const before = d.lengthClasses[at - 1];
-    if (before === undefined || before.maxTokens < item.maxTokens) return [];
+  const orderFaults = d.lengthClasses.flatMap((item, at) => {
+    const shorterClass = d.lengthClasses[at - 1];
+    if (shorterClass === undefined || shorterClass.maxTokens < item.maxTokens)
+      return [];
     return [
       {
-        path: pointerOf(['lengthClasses', item.name, 'maxTokens']),
-        message: `${item.maxTokens} is not over the ${before.maxTokens} of "${before.name}"`,
+        path: toJsonPointer(['lengthClasses', item.name, 'maxTokens']),
+        message: `${item.maxTokens} is not over the ${shorterClass.maxTokens} of "${shorterClass.name}"`,
         mend: 'give each length class a maxTokens of its own',
       },
     ];
   });
-  const floors = d.lengthClasses.reduce((sum, c) => sum + c.memoryFloor, 0);
-  if (floors <= 1 + SHARE_SLACK) return growing;
+  const floorSum = d.lengthClasses.reduce((sum, c) => sum + c.memoryFloor, 0);
+  if (floorSum <= 1 + SHARE_TOLERANCE) return orderFaults;
   return [
-    ...growing,
+    ...orderFaults,
     {
       path: '/lengthClasses',
-      message: `memory floors add up to ${floors.toFixed(3)} of an engine`,
+      message: `memory floors add up to ${floorSum.toFixed(3)} of an engine`,
       mend: 'lower memoryFloor until the sum is 1 at most',
     },
   ];
 }
 
-function keyFaults(d: Declarations): readonly ConfigFault[] {
-  const owner = new Map<string, string>();
+function duplicateKeyFaults(d: Declarations): readonly ConfigFault[] {
+  const ownerByHash = new Map<string, string>();
   return d.organisations.flatMap(organisation =>
     organisation.keyHashes.flatMap((hash, at) => {
-      const other = owner.get(hash);
-      owner.set(hash, organisation.id);
-      if (other === undefined) return [];
+      const previousOwner = ownerByHash.get(hash);
+      ownerByHash.set(hash, organisation.id);
+      if (previousOwner === undefined) return [];
       return [
         {
-          path: pointerOf([
+          path: toJsonPointer([
             'organisations',
             organisation.id,
             'keyHashes',
             String(at),
           ]),
-          message: `the same key is declared for "${other}"`,
+          message: `the same key is declared for "${previousOwner}"`,
           mend: 'give each organisation keys of its own',
         },
       ];
@@ -225,7 +237,7 @@
   const models = new Set(d.models.map(model => model.id));
   const services = new Set(d.services.map(service => service.pool));
   return d.placement.flatMap(wish => {
-    const path = pointerOf(['placement', wish.pool, wish.model]);
+    const path = toJsonPointer(['placement', wish.pool, wish.model]);
     const faults: ConfigFault[] = [];
     if (!models.has(wish.model)) {
       faults.push({
@@ -246,62 +258,63 @@
 }
 
 function policyFaults(d: Declarations): readonly ConfigFault[] {
-  const known: readonly string[] = ROUTING_POLICIES;
-  if (known.includes(d.policy.routing)) return [];
+  const knownPolicies: readonly string[] = ROUTING_POLICIES;
+  if (knownPolicies.includes(d.policy.routing)) return [];
   return [
     {
       path: '/policy/routing',
       message: `there is no routing policy "${d.policy.routing}"`,
-      mend: `write one of ${known.join(', ')}`,
+      mend: `write one of ${knownPolicies.join(', ')}`,
     },
   ];
 }
 
 /**
- * Only wishes that the patch changes: while a failure domain is lost, an old
- * wish can't be met, and must not stop an operator from changing anything.
+ * Checks the wishes that the patch adds or changes against the live hosts.
+ * While a failure domain is lost, a wish in force may not be met. It must not
+ * prevent operators from changing other declarations.
  */
-function fleetFaults(
+function capacityFaults(
   d: Declarations,
-  fleet: KnownFleet,
-  before: readonly PlacementWish[],
+  liveHostCounts: LiveHostCounts,
+  wishesInForce: readonly PlacementWish[],
 ) {
-  const kept = new Set(before.map(wish => JSON.stringify(wish)));
+  const unchanged = new Set(wishesInForce.map(wish => JSON.stringify(wish)));
   return d.placement
-    .filter(wish => !kept.has(JSON.stringify(wish)))
-    .flatMap(wish => wishFleetFaults(wish, fleet));
+    .filter(wish => !unchanged.has(JSON.stringify(wish)))
+    .flatMap(wish => wishCapacityFaults(wish, liveHostCounts));
 }
 
-function wishFleetFaults(
+function wishCapacityFaults(
   wish: PlacementWish,
-  fleet: KnownFleet,
+  liveHostCounts: LiveHostCounts,
 ): readonly ConfigFault[] {
-  const domains = fleet.get(wish.pool);
-  const path = pointerOf(['placement', wish.pool, wish.model]);
-  if (domains === undefined) {
+  const hostsByDomain = liveHostCounts.get(wish.pool);
+  const path = toJsonPointer(['placement', wish.pool, wish.model]);
+  if (hostsByDomain === undefined) {
     return [
       {
         path,
         message: `no live host is in pool "${wish.pool}"`,
-        mend: `name one of ${[...fleet.keys()].sort().join(', ') || '(no pool is live)'}`,
+        mend: `name one of ${[...liveHostCounts.keys()].sort().join(', ') || '(no pool is live)'}`,
       },
     ];
   }
-  const hosts = [...domains.values()].reduce((sum, n) => sum + n, 0);
-  const least = Math.min(...domains.values());
+  const hostCount = [...hostsByDomain.values()].reduce((sum, n) => sum + n, 0);
+  const smallestDomain = Math.min(...hostsByDomain.values());
   const faults: ConfigFault[] = [];
-  if (wish.minReplicas > hosts) {
+  if (wish.minReplicas > hostCount) {
     faults.push({
       path: `${path}/minReplicas`,
-      message: `${wish.minReplicas} replicas are wished of a pool of ${hosts} hosts`,
-      mend: `lower it to ${hosts} or add hosts first`,
+      message: `${wish.minReplicas} replicas are wished of a pool of ${hostCount} hosts`,
+      mend: `lower it to ${hostCount} or add hosts first`,
     });
   }
-  if (wish.minPerFailureDomain > least) {
+  if (wish.minPerFailureDomain > smallestDomain) {
     faults.push({
       path: `${path}/minPerFailureDomain`,
-      message: `${wish.minPerFailureDomain} replicas are wished of each failure domain; the smallest has ${least} hosts`,
-      mend: `lower it to ${least} or add hosts first`,
+      message: `${wish.minPerFailureDomain} replicas are wished of each failure domain; the smallest has ${smallestDomain} hosts`,
+      mend: `lower it to ${smallestDomain} or add hosts first`,
     });
   }
   return faults;
