--- a/bench/policy_variants.ts
+++ b/bench/policy_variants.ts
@@ -151,7 +151,7 @@
     ...OURS,
     name: 'ours less learned rates',
     routing: () => seeing(withoutRates),
-    priors: {alpha: 0},
+    priors: {newestWeight: 0},
   },
   {
     ...OURS,
--- a/src/direct/catch_up.ts
+++ b/src/direct/catch_up.ts
@@ -57,7 +57,7 @@
   const isNewer = ({configVersion = -Infinity}: PeerAnswer): boolean =>
     configVersion > (options.ownVersion() ?? -Infinity);
 
-  const fetchOnce = (fetch: () => Promise<void>): void => {
+  const fetchUnlessFetching = (fetch: () => Promise<void>): void => {
     if (isFetching) return;
     isFetching = true;
     fetch()
@@ -71,7 +71,7 @@
     handleDifferentConfig: answer => {
       newerAnswers = isNewer(answer) ? newerAnswers + 1 : 0;
       if (newerAnswers < NEWER_ANSWERS_BEFORE_FETCH) return false;
-      fetchOnce(async () => {
+      fetchUnlessFetching(async () => {
         const config = await options.fetchConfig(answer);
         if (config !== undefined) options.onConfig(config, answer);
       });
@@ -82,7 +82,7 @@
     },
     handleDifferentReplicas: answer => {
       if (!options.isStoreLost()) return;
-      fetchOnce(async () => {
+      fetchUnlessFetching(async () => {
         const replicas = await options.fetchReplicas(answer);
         if (replicas === undefined || !options.isStoreLost()) return;
         options.onReplicas(replicas, answer);
--- a/src/direct/collection_follower.ts
+++ b/src/direct/collection_follower.ts
@@ -19,12 +19,12 @@
  * history is gone without a pause. Otherwise a store that keeps losing its
  * history would be listed in a tight loop.
  */
-const IMMEDIATE_REREAD_INTERVAL_MS = 1_000;
+const IMMEDIATE_RELIST_INTERVAL_MS = 1_000;
 
 /**
  * When to make the next call; `wait` means after the pause for failed calls.
  */
-type Next = 'at once' | 'wait';
+type NextCall = 'at once' | 'wait';
 
 type AnswerOrder = 'current' | 'overtaken' | 'restored' | 'older era';
 
@@ -71,7 +71,7 @@
    * Lists the collection at once, while the watch continues. After a failed
    * list it does so only once the longest pause for failed calls has passed.
    */
-  rereadNow(): void;
+  relistNow(): void;
   /**
    * Reports that the store is in this era now. A collection known from an older
    * era is listed again.
@@ -96,7 +96,7 @@
   /**
    * When the collection was last listed without a pause after a watch failed.
    */
-  let immediateRereadAt = Number.NEGATIVE_INFINITY;
+  let immediateRelistAt = Number.NEGATIVE_INFINITY;
   /**
    * Whether the store failed since the last answer; it may have been restored
    * from a copy meanwhile.
@@ -104,8 +104,8 @@
   let isPositionDoubtful = false;
   let retryMs = MIN_RETRY_MS;
   let cancelPause: Cancel | undefined;
-  let isRereading = false;
-  let rereadFailedAt = Number.NEGATIVE_INFINITY;
+  let isRelisting = false;
+  let relistFailedAt = Number.NEGATIVE_INFINITY;
   let hasChanged = false;
 
   /**
@@ -134,12 +134,12 @@
     era = answerPosition.era ?? era;
   };
 
-  const mayRereadAtOnce = ({historyGone}: StoreFault): boolean =>
+  const mayRelistAtOnce = ({historyGone}: StoreFault): boolean =>
     historyGone &&
     !isWatchRefused &&
-    clock.now() - immediateRereadAt > IMMEDIATE_REREAD_INTERVAL_MS;
+    clock.now() - immediateRelistAt > IMMEDIATE_RELIST_INTERVAL_MS;
 
-  const readAll = async (): Promise<boolean> => {
+  const listItems = async (): Promise<boolean> => {
     const sentAt = clock.now();
     const res = await collection.list();
     if (isStopped) return false;
@@ -165,7 +165,7 @@
     });
   };
 
-  const watchOnce = async (from: StorePosition): Promise<Next> => {
+  const watchOnce = async (from: StorePosition): Promise<NextCall> => {
     const sentAt = clock.now();
     // If the revision was assigned again after a restore, a long watch might
     // report nothing until it ends. An answer at once shows the era.
@@ -173,15 +173,15 @@
     const res = await collection.watch(from, waitMs);
     if (isStopped) return 'wait';
     isPositionDoubtful = res.isLeft();
-    return res.caseOf<Next>({
+    return res.caseOf<NextCall>({
       Left: fault => {
         options.onFault(fault);
         if (!fault.historyGone && !fault.unreadable) return 'wait';
         position = undefined;
-        const isAtOnce = mayRereadAtOnce(fault);
+        const isAtOnce = mayRelistAtOnce(fault);
         isWatchRefused = true;
         if (!isAtOnce) return 'wait';
-        immediateRereadAt = clock.now();
+        immediateRelistAt = clock.now();
         return 'at once';
       },
       Right: changes => {
@@ -208,8 +208,8 @@
       },
     });
   };
-  const readCollection = async (): Promise<Next> => {
-    if (!(await readAll())) return 'wait';
+  const listBeforeWatch = async (): Promise<NextCall> => {
+    if (!(await listItems())) return 'wait';
     // A list does not show that a watch can continue from its position.
     if (!isWatchRefused) retryMs = MIN_RETRY_MS;
     return 'at once';
@@ -230,7 +230,7 @@
     while (!isStopped) {
       const next =
         position === undefined
-          ? await readCollection()
+          ? await listBeforeWatch()
           : await watchOnce(position);
       if (isStopped) return;
       if (next === 'wait') await pauseAfterFault();
@@ -240,22 +240,22 @@
   };
   void run();
 
-  const rereadNow = (): void => {
-    const sinceFailedMs = clock.now() - rereadFailedAt;
+  const relistNow = (): void => {
+    const sinceFailedMs = clock.now() - relistFailedAt;
     const isTooSoon = sinceFailedMs < options.maxRetryMs();
-    if (isRereading || isStopped || isTooSoon) return;
-    isRereading = true;
-    void readAll().then(hasSucceeded => {
-      isRereading = false;
-      rereadFailedAt = hasSucceeded ? Number.NEGATIVE_INFINITY : clock.now();
+    if (isRelisting || isStopped || isTooSoon) return;
+    isRelisting = true;
+    void listItems().then(hasSucceeded => {
+      isRelisting = false;
+      relistFailedAt = hasSucceeded ? Number.NEGATIVE_INFINITY : clock.now();
     });
   };
 
   return {
-    rereadNow,
+    relistNow,
     observeEra: storeEra => {
       if (position !== undefined && isOlderEra(position.era, storeEra))
-        rereadNow();
+        relistNow();
     },
     stop: () => {
       isStopped = true;
--- a/src/direct/decide/request_weights.ts
+++ b/src/direct/decide/request_weights.ts
@@ -6,10 +6,10 @@
  */
 import type {RequestFacts} from '../types.js';
 
-/** Share of a new request in the running mean size of its route. */
-const ROUTE_SMOOTHING = 0.05;
-/** The same for the means over all routes, whose sizes vary more. */
-const MIX_SMOOTHING = 0.02;
+/** Weight of the newest request in the moving average of its route's size. */
+const ROUTE_NEWEST_WEIGHT = 0.05;
+/** The same for the averages over all routes, whose sizes vary more. */
+const MIX_NEWEST_WEIGHT = 0.02;
 /** Most routes with a mean; the least recently used one is dropped beyond it. */
 const MAX_ROUTES = 500;
 /** An output token is worth and costs about as much as ten prompt tokens. */
@@ -38,7 +38,7 @@
   return {
     weigh: (route, size, prefillMs) => {
       const previousMean = means.get(route) ?? size;
-      const mean = previousMean + ROUTE_SMOOTHING * (size - previousMean);
+      const mean = previousMean + ROUTE_NEWEST_WEIGHT * (size - previousMean);
       means.delete(route);
       means.set(route, mean);
       const oldest = means.keys().next().value;
@@ -46,8 +46,8 @@
         means.delete(oldest);
       }
       const weight = weightOf(size, mean);
-      mixWeight += MIX_SMOOTHING * (weight - mixWeight);
-      mixPrefillMs += MIX_SMOOTHING * (prefillMs - mixPrefillMs);
+      mixWeight += MIX_NEWEST_WEIGHT * (weight - mixWeight);
+      mixPrefillMs += MIX_NEWEST_WEIGHT * (prefillMs - mixPrefillMs);
       return weight;
     },
     weightPerPrefillMs: () => mixWeight / Math.max(1, mixPrefillMs),
--- a/src/direct/decide/waiting_loss.ts
+++ b/src/direct/decide/waiting_loss.ts
@@ -35,13 +35,13 @@
 
 /** Expected loss if the first event is predicted `firstEventMs` from now. */
 export function firstEventLoss(
-  {aimMs, callerTimeoutMs: patienceMs, elapsedMs}: FirstEventBounds,
+  {aimMs, callerTimeoutMs, elapsedMs}: FirstEventBounds,
   firstEventMs: number,
 ): number {
   const firstEventAtMs = elapsedMs + firstEventMs;
   return combinedLoss(
     slackRisk(aimMs - firstEventAtMs, aimMarginMs(aimMs)),
-    slackRisk(patienceMs - firstEventAtMs, MARGIN_SHARE * patienceMs),
+    slackRisk(callerTimeoutMs - firstEventAtMs, MARGIN_SHARE * callerTimeoutMs),
   );
 }
 
--- a/src/direct/handover.ts
+++ b/src/direct/handover.ts
@@ -55,7 +55,7 @@
     }));
   // A configuration contains the callers' keys, so it is served to peers only.
   const isKnownEntry = (ip = '') =>
-    ctx.ask('sharing', (reply: (is: boolean) => void) => ({
+    ctx.ask('sharing', (reply: (isEntry: boolean) => void) => ({
       kind: 'is-entry',
       ip,
       reply,
--- a/src/direct/messages.ts
+++ b/src/direct/messages.ts
@@ -162,7 +162,7 @@
   | {
       readonly kind: 'is-entry';
       readonly ip: string;
-      readonly reply: (is: boolean) => void;
+      readonly reply: (isEntry: boolean) => void;
     }
   /**
    * Queries a peer's knowledge of the store; replies with undefined when none
--- a/src/direct/placement_poll_pace.ts
+++ b/src/direct/placement_poll_pace.ts
@@ -26,7 +26,7 @@
  */
 const MAX_COUNTED_POLL_MS = 20;
 /** Weight of the newest poll in the moving average of durations. */
-const NEWEST_POLL_SHARE = 0.2;
+const NEWEST_WEIGHT = 0.2;
 
 export interface PlacementPollPace {
   /** Registers a waiting request; the returned function removes it. */
@@ -53,7 +53,7 @@
     },
     recordPoll: ms => {
       meanPollMs +=
-        NEWEST_POLL_SHARE * (Math.min(ms, MAX_COUNTED_POLL_MS) - meanPollMs);
+        NEWEST_WEIGHT * (Math.min(ms, MAX_COUNTED_POLL_MS) - meanPollMs);
     },
     pauseMs: uniform => {
       const affordableMs = (waitingCount * meanPollMs) / MAX_CPU_SHARE;
--- a/src/direct/store_follower.ts
+++ b/src/direct/store_follower.ts
@@ -130,7 +130,7 @@
     log: ctx.log,
     isBootstrap,
     currentEra: eraTracker.current,
-    onSettled: () => configFollower.rereadNow(),
+    onSettled: () => configFollower.relistNow(),
     onUnsettled: () => {
       const until = startedAt + REWRITE_GRACE_MS;
       ctx.send('direct', {kind: 'keys-unconfirmed', until});
@@ -164,7 +164,7 @@
     }
     ctx.send('direct', {kind: 'replicas', replicas: knownReplicas.all()});
     quarantineRecords.reportAll();
-    configFollower.rereadNow();
+    configFollower.relistNow();
   };
   const observeEra = (era: StoreEra) => {
     configFollower.observeEra(era);
@@ -329,11 +329,11 @@
       configProof.peerHasVersion(
         answer.configVersion ?? Number.NEGATIVE_INFINITY,
       );
-      if (!catchUp.handleDifferentConfig(answer)) configFollower.rereadNow();
+      if (!catchUp.handleDifferentConfig(answer)) configFollower.relistNow();
     },
     onSameConfig: catchUp.handleSameConfig,
     onDifferentReplicas: answer => {
-      replicaFollower.rereadNow();
+      replicaFollower.relistNow();
       catchUp.handleDifferentReplicas(answer);
     },
     onNewerEra: ({era}) => {
@@ -345,8 +345,8 @@
       observeEra(era);
     },
     onUnconfirmed: () => {
-      if (configTimer.isOverdue()) configFollower.rereadNow();
-      if (replicasTimer.isOverdue()) replicaFollower.rereadNow();
+      if (configTimer.isOverdue()) configFollower.relistNow();
+      if (replicasTimer.isOverdue()) replicaFollower.relistNow();
     },
     onChange: (isActive, answer) => {
       const {coverBegan, coverEnded} = DIRECT_EVENTS;
@@ -376,11 +376,11 @@
     });
   };
   // What the store showed before this time did not count as proof then.
-  const rereadConfig = () => {
-    if (hasEra()) configFollower.rereadNow();
+  const relistConfig = () => {
+    if (hasEra()) configFollower.relistNow();
   };
-  ctx.own(clock.after(FIRST_PEER_ANSWER_MS, rereadConfig));
-  ctx.own(clock.after(REWRITE_GRACE_MS, rereadConfig));
+  ctx.own(clock.after(FIRST_PEER_ANSWER_MS, relistConfig));
+  ctx.own(clock.after(REWRITE_GRACE_MS, relistConfig));
   ctx.own(settledEra.stop);
   ctx.own(confirmation.stop);
   ctx.own(configFollower.stop);
@@ -408,7 +408,7 @@
         // nothing, a list would be in vain; the watch returns as soon as that
         // changes.
         if (configProof.provesNewest(newest?.version))
-          configFollower.rereadNow();
+          configFollower.relistNow();
         return confirmation.queryNow();
       case 'resend-state':
         return resendState();
--- a/src/entry/front/callers_exchange.ts
+++ b/src/entry/front/callers_exchange.ts
@@ -74,7 +74,7 @@
 }
 
 /** How a request is attached to an exchange. */
-export interface AttachOptions {
+export interface RequestLinkOptions {
   readonly organisation: OrganisationId;
   readonly writer: ResponseWriter;
   /** Sequence number of the first chunk to write. */
@@ -94,10 +94,10 @@
  * the response, and the run is cancelled if the caller disconnects for good.
  * Returns the listener to pass to the `requests` service.
  */
-export function attachToRequest(
+export function linkToRequest(
   deps: CallersDeps,
   exchange: Exchange,
-  options: AttachOptions,
+  options: RequestLinkOptions,
 ): RequestListener {
   const {ctx, state} = deps;
   const {id, res, arrivedAt} = exchange;
--- a/src/entry/front/existing_request_routes.ts
+++ b/src/entry/front/existing_request_routes.ts
@@ -13,7 +13,7 @@
   createJsonWriter,
 } from './response_writers.js';
 import type {ResponseWriter, ResumePoint} from './response_writers.js';
-import {withLookupTimeout, attachToRequest} from './callers_exchange.js';
+import {withLookupTimeout, linkToRequest} from './callers_exchange.js';
 import type {Exchange, CallersDeps} from './callers_exchange.js';
 import {badRequest, requestNotFound} from '../entry_errors.js';
 import {sendJson} from './http_errors.js';
@@ -149,7 +149,7 @@
   // With two connections on one run, each would get only some of the chunks.
   // The caller has reconnected, so its older connection is closed.
   deps.state.link(id)?.supersede();
-  const listener = attachToRequest(deps, exchange, {
+  const listener = linkToRequest(deps, exchange, {
     organisation: organisation.id,
     writer: createWriter(deps, exchange, state, from),
     fromSeq,
--- a/src/entry/front/new_request_routes.ts
+++ b/src/entry/front/new_request_routes.ts
@@ -20,7 +20,7 @@
   createJsonWriter,
 } from './response_writers.js';
 import type {ResponseWriter} from './response_writers.js';
-import {attachToRequest} from './callers_exchange.js';
+import {linkToRequest} from './callers_exchange.js';
 import type {Exchange, CallersDeps} from './callers_exchange.js';
 import type {RequestSlot} from './callers_state.js';
 import {EMPTY_BODY_OPTIONS, validateCompletion} from './completion_fields.js';
@@ -152,7 +152,7 @@
   }
   slot.setBodyBytes(spec.body.bytes);
   const [shortestClass] = spec.config.declarations.lengthClasses;
-  const listener = attachToRequest(deps, exchange, {
+  const listener = linkToRequest(deps, exchange, {
     organisation: spec.organisation,
     writer,
     fromSeq: 0,
--- a/src/policy/side_queue.ts
+++ b/src/policy/side_queue.ts
@@ -51,7 +51,7 @@
 }
 
 /** Unused memory that is reserved for shorter classes, in tokens. */
-function reservedForShorter(view: QueueView, item: QueueItem): number {
+function unusedShorterFloors(view: QueueView, item: QueueItem): number {
   let reservedTokens = 0;
   for (let index = 0; index < item.classIndex; index++) {
     const floorTokens =
@@ -71,11 +71,11 @@
   // A prompt larger than the unreserved memory would never start otherwise. It
   // may start on an idle engine.
   if (view.running.length === 0) return true;
-  return item.memoryTokens <= view.freeTokens - reservedForShorter(view, item);
+  return item.memoryTokens <= view.freeTokens - unusedShorterFloors(view, item);
 }
 
 /** Unused part of the shortest class's memory floor, in tokens. */
-function unusedShortFloor(view: QueueView): number {
+function unusedShortestFloor(view: QueueView): number {
   const floorTokens = (view.classes[0]?.memoryFloor ?? 0) * view.capacityTokens;
   const usedTokens = view.running
     .filter(r => r.classIndex === 0)
@@ -114,7 +114,7 @@
     // Short runs would take all memory that becomes free, and a long run would
     // never start. Once it has waited long enough, only runs that fit into the
     // memory floor of the shortest class may start before it.
-    const mayStart = !isOldRunBlocked || fitsShortFloor(view, item);
+    const mayStart = !isOldRunBlocked || fitsShortestFloor(view, item);
     if (mayStart && fitsMemory(view, item)) {
       return choiceOf(item, reasonOf(view, item, order));
     }
@@ -124,8 +124,10 @@
 }
 
 /** Whether the run fits into the memory floor of the shortest class. */
-function fitsShortFloor(view: QueueView, item: QueueItem): boolean {
-  return item.classIndex === 0 && item.memoryTokens <= unusedShortFloor(view);
+function fitsShortestFloor(view: QueueView, item: QueueItem): boolean {
+  return (
+    item.classIndex === 0 && item.memoryTokens <= unusedShortestFloor(view)
+  );
 }
 
 /** Reason for the choice, for the log line of the start. */
--- a/src/side/audit.ts
+++ b/src/side/audit.ts
@@ -84,7 +84,7 @@
 
   /** Fails runs that the engine's list has lacked for too many audits. */
   const failMissing = (listed: ReadonlySet<string>, sentAt: number) => {
-    for (const run of table.occupyingSlots()) {
+    for (const run of table.runsInSlots()) {
       // Heartbeats do not count: they show a live connection, not a live run.
       const madeNoProgress = run.progress.lastProgressAt < sentAt;
       const isMissing =
--- a/src/side/learned_rates.ts
+++ b/src/side/learned_rates.ts
@@ -14,7 +14,7 @@
   /** Time of one call to a plain service in milliseconds. @default 100 */
   readonly callMs: number;
   /** Weight of a new sample in the mean step or call time. @default 0.2 */
-  readonly alpha: number;
+  readonly newestWeight: number;
   /**
    * Extra prefill time for attention over a long context, in milliseconds per
    * token squared. @default 0
@@ -26,7 +26,7 @@
   prefillTokensPerSec: 8_000,
   stepMs: 25,
   callMs: 100,
-  alpha: 0.2,
+  newestWeight: 0.2,
   contextMsPerTokenSquared: 0,
 };
 
@@ -121,7 +121,7 @@
   };
 
   const smooth = (old: number, sample: number) =>
-    old + priors.alpha * (sample - old);
+    old + priors.newestWeight * (sample - old);
 
   const takeSample = (now: number) => {
     if (busySince === undefined || sampleTokens === 0) return;
--- a/src/side/prediction.ts
+++ b/src/side/prediction.ts
@@ -105,7 +105,7 @@
     now: ctx.clock.now(),
     waiting: waiting.map(run => toQueueItem(core, run)),
     running: table
-      .occupyingSlots()
+      .runsInSlots()
       .filter(run => !isHoldOnly(run.offer))
       .map(run => toQueueItem(core, run)),
     capacityTokens: memory.capacity(),
--- a/src/side/run_table.ts
+++ b/src/side/run_table.ts
@@ -12,7 +12,7 @@
   /** Runs that are accepted and not yet sent to the upstream. */
   waiting(): readonly Run[];
   /** Runs that occupy a slot of the upstream. */
-  occupyingSlots(): readonly Run[];
+  runsInSlots(): readonly Run[];
   /** Runs that are ended, failed or cancelled. */
   finished(): readonly Run[];
   /**
@@ -42,7 +42,7 @@
     remove: id => void runs.delete(id),
     all: () => [...runs.values()],
     waiting: () => select(isWaiting),
-    occupyingSlots: () => select(occupiesSlot),
+    runsInSlots: () => select(occupiesSlot),
     finished: () => select(isFinished),
     find: (requestId, organisation) =>
       select(
--- a/src/side/runs_service.ts
+++ b/src/side/runs_service.ts
@@ -301,7 +301,7 @@
   const replyToDrains = () => {
     if (drainReplies.length === 0 || table.all().some(runOwners.isAwaited))
       return;
-    if (table.occupyingSlots().length > 0) return;
+    if (table.runsInSlots().length > 0) return;
     ctx.log(SIDE_EVENTS.sideDrained, {});
     for (const reply of drainReplies.splice(0)) reply();
   };
--- a/src/side/state_reports.ts
+++ b/src/side/state_reports.ts
@@ -41,7 +41,7 @@
   return {
     capacityTokens: memory.capacity(),
     freeTokens: memory.free(),
-    running: table.occupyingSlots().length,
+    running: table.runsInSlots().length,
     queued: table.waiting().length,
     prefillBacklogTokens: prefillBacklog(runs),
     shortBacklogTokens: prefillBacklog(runs.filter(isShort)),
--- a/src/side/upstream_runner.ts
+++ b/src/side/upstream_runner.ts
@@ -109,7 +109,7 @@
   /** Tells the learned rates whether any run is in prefill. */
   const updatePrefillBusy = () => {
     const isBusy = table
-      .occupyingSlots()
+      .runsInSlots()
       .some(run => run.progress.eventSeen && prefillTokensLeft(run) > 0);
     rates.setPrefillBusy(isBusy, ctx.clock.now());
   };
@@ -257,10 +257,10 @@
     sweep: () => {
       if (upstream.kind !== 'engine') return;
       const now = ctx.clock.now();
-      for (const run of table.occupyingSlots()) {
+      for (const run of table.runsInSlots()) {
         if (run.stream.unsubscribe === undefined) continue;
-        const {eventSeen: seen, lastEventAt} = run.progress;
-        const limitMs = seen
+        const {eventSeen, lastEventAt} = run.progress;
+        const limitMs = eventSeen
           ? timing.engineSilenceMs
           : timing.firstEventTimeoutMs;
         if (now - lastEventAt <= limitMs) continue;
--- a/test/direct/collection_follower.test.ts
+++ b/test/direct/collection_follower.test.ts
@@ -199,7 +199,7 @@
       onRestored: () => undefined,
       onFault: () => undefined,
     });
-    clock.every(500, () => follower.rereadNow());
+    clock.every(500, () => follower.relistNow());
     await clock.runFor(8_000);
     follower.stop();
     return calls;
--- a/test/direct/collection_follower_restored.test.ts
+++ b/test/direct/collection_follower_restored.test.ts
@@ -72,7 +72,7 @@
     store.put('gone', 'old');
     await clock.runFor(100);
     store.setDelay(700);
-    follower.rereadNow();
+    follower.relistNow();
     await clock.runFor(10);
     store.setDelay(2);
     store.restore();
@@ -107,7 +107,7 @@
     await clock.runFor(50);
     store.restore();
     store.setAway(false);
-    follower.rereadNow();
+    follower.relistNow();
     await clock.runFor(20);
     expect(known).toEqual(new Map());
     expect(restored()).toBe(1);
@@ -154,7 +154,7 @@
     });
     await clock.runFor(10);
     listed = {era: 2, revision: 895};
-    follower.rereadNow();
+    follower.relistNow();
     await clock.runFor(10);
     resolveWatches[0](905, 'after-900');
     await clock.runFor(10);
@@ -212,7 +212,7 @@
           if (it.kind === 'restore') store.restore();
           if (it.kind === 'delay') store.setDelay(it.ms);
           if (it.kind === 'away') store.setAway(it.is);
-          if (it.kind === 'confirm') follower.rereadNow();
+          if (it.kind === 'confirm') follower.relistNow();
           if (it.kind === 'wait') await clock.runFor(it.ms);
         }
         store.setAway(false);
