--- a/src/direct/catch_up.ts
+++ b/src/direct/catch_up.ts
@@ -1,52 +1,73 @@
 /**
- * Decides when an entry takes over what a peer (another entry) knows about the
- * store. While its own calls are answered, the store is the more current
- * source, so a peer is used only after this entry's own calls have failed to
- * bring the change.
+ * Decides when an entry fetches the configuration or the replicas from a peer
+ * (another entry). The store may refuse this entry and still serve the peer, and
+ * then only the peer knows the newest state.
  *
- * A version of the configuration is the same wherever it comes from, and the
- * newest one replaces all others, so the configuration may be taken over at any
- * time. This entry's own watch gets the time of one query to deliver it first.
- * A list of replicas has no version. It is taken over only while this entry
- * cannot reach the store, and the next own read replaces it.
+ * Two configurations with the same version have the same content, and a higher
+ * version replaces a lower one. A configuration may therefore be fetched whether
+ * or not the store answers this entry. The fetch starts at the second answer in
+ * a row that names a newer version, so that this entry's own watch of the store
+ * can deliver that version first.
+ *
+ * A list of replicas has no version, so a peer's list may be older than this
+ * entry's. It is fetched only while this entry's calls to the store fail. The
+ * next list that this entry gets from the store replaces it.
  */
 import type {DirectConfig, DirectReplica, PeerAnswer} from './types.js';
 
 /**
- * Consecutive answers with a newer version after which the configuration is
- * fetched from the peer.
+ * Consecutive answers of peers with a newer version than this entry's. At this
+ * count the configuration is fetched from the peer; below it only the store is
+ * called.
  */
 const NEWER_ANSWERS_BEFORE_FETCH = 2;
 
 export interface CatchUpOptions {
   /**
-   * Version of the configuration that is in force here; undefined without one.
+   * Version of the configuration that this entry uses; undefined while it has
+   * none.
    */
   ownVersion(): number | undefined;
-  /** Whether the last own call to the store failed. */
+  /** Whether this entry's last call to the store failed. */
   isStoreLost(): boolean;
+  /** Resolves to undefined when no valid configuration was received. */
   fetchConfig(from: PeerAnswer): Promise<DirectConfig | undefined>;
+  /** Resolves to undefined when no valid list was received. */
   fetchReplicas(
     from: PeerAnswer,
   ): Promise<ReadonlyMap<string, DirectReplica> | undefined>;
+  /** Called with a configuration that was fetched. */
   onConfig(config: DirectConfig, from: PeerAnswer): void;
+  /**
+   * Called with replicas that were fetched, if the store still does not answer
+   * this entry.
+   */
   onReplicas(
     replicas: ReadonlyMap<string, DirectReplica>,
     from: PeerAnswer,
   ): void;
-  /** The fetch failed; the next answer starts another one. */
+  /**
+   * Called when a fetch rejects. A fetch that resolves to undefined is not
+   * reported. A later answer may start another fetch.
+   */
   onFetchFailed(cause: unknown): void;
 }
 
 export interface CatchUp {
   /**
-   * Handles an answer with a different configuration. Returns true when the
-   * configuration is fetched from the peer, so that the store need not be asked
-   * as well.
+   * Handles a peer's answer whose configuration differs from this entry's.
+   * Returns true if enough answers in a row named a newer version to fetch the
+   * configuration from the peer. The caller then does not list the store's
+   * configuration. The result is also true while another fetch, perhaps of
+   * replicas, is running; no fetch of the configuration is started then.
    */
   handleDifferentConfig(answer: PeerAnswer): boolean;
-  /** Handles an answer with the same configuration. */
+  /** Handles a peer's answer with the configuration that this entry has. */
   handleSameConfig(): void;
+  /**
+   * Handles a peer's answer whose replicas differ from this entry's. Fetches the
+   * peer's replicas if the store does not answer this entry.
+   */
   handleDifferentReplicas(answer: PeerAnswer): void;
 }
 
@@ -57,6 +78,10 @@
   const isNewer = ({configVersion = -Infinity}: PeerAnswer): boolean =>
     configVersion > (options.ownVersion() ?? -Infinity);
 
+  /**
+   * Starts the fetch unless one is running. Fetches of the configuration and of
+   * replicas share this limit of one.
+   */
   const fetchUnlessFetching = (fetch: () => Promise<void>): void => {
     if (isFetching) return;
     isFetching = true;
--- a/src/direct/collection_follower.ts
+++ b/src/direct/collection_follower.ts
@@ -1,8 +1,11 @@
 /**
- * Follows one collection of the platform's store: lists it, then watches for
- * changes after the listed position. When the store was restored from an older
- * copy, the collection is listed again. Watches are short, because a connection
- * may fail silently and only a watch that does not return shows it.
+ * Follows one collection of the platform's store. The follower lists the
+ * collection, then watches for changes after the position of the list. It lists
+ * the collection again when the store was restored from an older copy.
+ *
+ * A connection may fail silently, and a watch that does not return in time is
+ * the only sign of that. Callers of this module therefore keep watches short,
+ * unless peers report the same changes.
  */
 import type {Cancel, Clock, Random} from '../types/runtime.js';
 import {isOlderEra, comparePositions} from './store_position.js';
@@ -10,23 +13,38 @@
 import type {Collection, StoreFault} from './types.js';
 
 /**
- * First pause after a failed call, in milliseconds. It doubles up to
- * `maxRetryMs` and is jittered.
+ * Base of the pause after the first failed call, in milliseconds. The base
+ * doubles with each further failure, up to `maxRetryMs`. The pause is between
+ * half and one and a half times the base, at random.
  */
 const MIN_RETRY_MS = 100;
 /**
- * At most one list within this time, in milliseconds, follows a watch whose
- * history is gone without a pause. Otherwise a store that keeps losing its
- * history would be listed in a tight loop.
+ * When a watch fails because the store no longer has its history, the collection
+ * is listed again without a pause, but at most once within this time, in
+ * milliseconds. A further list waits for the pause of failed calls. Otherwise a
+ * store that keeps losing its history would be listed in a tight loop.
  */
 const IMMEDIATE_RELIST_INTERVAL_MS = 1_000;
 
-/**
- * When to make the next call; `wait` means after the pause for failed calls.
- */
+/** When to make the next call: without a pause, or after that of failed calls. */
 type NextCall = 'at once' | 'wait';
 
-type AnswerOrder = 'current' | 'overtaken' | 'restored' | 'older era';
+/**
+ * Where an answer stands relative to the position that is known. An era is the
+ * time between two restores of the store; see `store_position.ts`.
+ */
+type AnswerOrder =
+  /** The answer is as new as the known position, or newer. */
+  | 'current'
+  /**
+   * The answer is older than the known position, because a call that was sent
+   * earlier was answered later.
+   */
+  | 'overtaken'
+  /** The store was restored from an older copy since the known position. */
+  | 'restored'
+  /** The answer is from an earlier era than another answer. */
+  | 'older era';
 
 /** What to follow and whom to notify. */
 export interface CollectionFollowerOptions<T> {
@@ -35,46 +53,50 @@
   readonly random: Random;
   /** How long the next watch waits for a change, in milliseconds. */
   waitMs(): number;
-  /** Longest pause after a failed call, in milliseconds. */
+  /**
+   * Upper bound of the base of the pause after a failed call, in milliseconds.
+   * The pause itself is up to one and a half times as long.
+   */
   maxRetryMs(): number;
   /**
-   * Pause after changes, in milliseconds. A watch returns at the first change,
-   * so without the pause each of seventy changes within a few seconds would
-   * cost a call.
+   * Pause after a watch that brought changes, in milliseconds. A watch returns
+   * at the first change. Without the pause, seventy changes within a few seconds
+   * would cost seventy calls.
    */
   readonly changePauseMs: number;
   /**
-   * Called with all items after a list; where it is partial, further items may
-   * exist.
+   * Called with all listed items. `isPartial` is true where part of the list
+   * could not be decoded; an item that is missing may then still exist.
    */
   onList(items: ReadonlyMap<string, T>, isPartial: boolean): void;
-  /**
-   * Called with the items that changed; an undefined value marks a removed
-   * item.
-   */
+  /** Called with the items that changed; a removed item is undefined. */
   onChanges(items: ReadonlyMap<string, T | undefined>): void;
   /**
-   * Every write that was acknowledged before the call was sent is known now.
-   * `sentAt` is on this process's clock.
+   * Called after the answer to a list or a watch that was sent at `sentAt`, on
+   * this process's clock, unless a newer answer made it outdated. The items that
+   * were passed to `onList` and `onChanges` include every write that the store
+   * acknowledged before `sentAt`.
    */
   onConfirmed(sentAt: number): void;
   /**
-   * The store was restored from an older copy; the collection is listed again.
+   * Called when an answer shows that the store was restored from an older copy.
+   * The restored collection is listed.
    */
   onRestored(): void;
+  /** Called for each failed list or watch. */
   onFault(fault: StoreFault): void;
 }
 
 /** A running follower. */
 export interface CollectionFollower {
   /**
-   * Lists the collection at once, while the watch continues. After a failed
-   * list it does so only once the longest pause for failed calls has passed.
+   * Lists the collection now, while the watch continues. Does nothing while such
+   * a list is running, or within `maxRetryMs` after one failed.
    */
   relistNow(): void;
   /**
-   * Reports that the store is in this era now. A collection known from an older
-   * era is listed again.
+   * Tells the follower that the store is in this era now. The follower lists the
+   * collection again if its position is from an older era.
    */
   observeEra(era: StoreEra): void;
   stop(): void;
@@ -87,19 +109,24 @@
   const {collection, clock, random} = options;
   let isStopped = false;
   let position: StorePosition | undefined;
-  /** When the position was set, on this process's clock. */
+  /** Time on this process's clock at which the position was set. */
   let positionSetAt = Number.NEGATIVE_INFINITY;
   /** The newest era in any answer. */
   let era: StoreEra;
-  /** Whether the last watch could not continue from its position. */
-  let isWatchRefused = false;
   /**
-   * When the collection was last listed without a pause after a watch failed.
+   * Whether the last watch failed so that its position had to be given up: the
+   * store no longer had the history, or its answer could not be decoded. A list
+   * leaves this as it is.
+   */
+  let hasLostPosition = false;
+  /**
+   * Time of the last watch that failed and was followed by a list without a
+   * pause.
    */
   let immediateRelistAt = Number.NEGATIVE_INFINITY;
   /**
-   * Whether the store failed since the last answer; it may have been restored
-   * from a copy meanwhile.
+   * Whether the last watch failed. The store may have been restored from an
+   * older copy since the position was set.
    */
   let isPositionDoubtful = false;
   let retryMs = MIN_RETRY_MS;
@@ -109,7 +136,8 @@
   let hasChanged = false;
 
   /**
-   * Compares the answer to a call that was sent at `sentAt` with what is known.
+   * Compares an answer's position with the known one. `sentAt` is when the call
+   * was sent.
    */
   const classifyAnswer = (
     answerPosition: StorePosition,
@@ -122,8 +150,9 @@
         return 'restored';
       case 'same or newer':
         return 'current';
-      // The call was sent after the newer answer arrived, so that answer cannot
-      // have overtaken it: the history itself went back.
+      // If the call was sent after the known position was set, its answer should
+      // have been as new as that. The history itself went back, so the store was
+      // restored.
       case 'older':
         return sentAt > positionSetAt ? 'restored' : 'overtaken';
     }
@@ -134,11 +163,13 @@
     era = answerPosition.era ?? era;
   };
 
+  /** Whether a list without a pause may follow a watch that failed like this. */
   const mayRelistAtOnce = ({historyGone}: StoreFault): boolean =>
     historyGone &&
-    !isWatchRefused &&
+    !hasLostPosition &&
     clock.now() - immediateRelistAt > IMMEDIATE_RELIST_INTERVAL_MS;
 
+  /** Lists the collection; resolves to whether the list succeeded. */
   const listItems = async (): Promise<boolean> => {
     const sentAt = clock.now();
     const res = await collection.list();
@@ -150,11 +181,12 @@
       },
       Right: listing => {
         const order = classifyAnswer(listing.position, sentAt);
-        // The answer is late, or the store reports wrong eras. Such a store
-        // would be called in a tight loop if the next call followed at once.
+        // The answer is late, or the store reports wrong eras. A store that
+        // reports wrong eras would be called in a tight loop if the next call
+        // followed without a pause, so the list counts as failed.
         if (order === 'older era') return false;
-        // A list that was overtaken by a newer answer must not bring back old
-        // items.
+        // A newer answer has already been handled. The older list must not
+        // replace its items.
         if (order === 'overtaken') return true;
         advance(listing.position);
         if (order === 'restored') options.onRestored();
@@ -167,8 +199,9 @@
 
   const watchOnce = async (from: StorePosition): Promise<NextCall> => {
     const sentAt = clock.now();
-    // If the revision was assigned again after a restore, a long watch might
-    // report nothing until it ends. An answer at once shows the era.
+    // After a restore the store may assign the revision of `from` to another
+    // change. A long watch from that revision might then report nothing until it
+    // ends. A watch that does not wait shows the store's era.
     const waitMs = isPositionDoubtful ? 0 : options.waitMs();
     const res = await collection.watch(from, waitMs);
     if (isStopped) return 'wait';
@@ -179,7 +212,7 @@
         if (!fault.historyGone && !fault.unreadable) return 'wait';
         position = undefined;
         const isAtOnce = mayRelistAtOnce(fault);
-        isWatchRefused = true;
+        hasLostPosition = true;
         if (!isAtOnce) return 'wait';
         immediateRelistAt = clock.now();
         return 'at once';
@@ -187,18 +220,20 @@
       Right: changes => {
         const order = classifyAnswer(changes.position, sentAt);
         if (order === 'older era') return 'wait';
-        isWatchRefused = false;
+        hasLostPosition = false;
         retryMs = MIN_RETRY_MS;
         if (order === 'overtaken') return 'at once';
-        // These changes follow a revision that was assigned again. The changes
-        // before it in the new history are unknown.
+        // The store was restored and has assigned the revision of `from` to
+        // another change. The changes before that one in the restored history
+        // are unknown, so the collection is listed again.
         if (order === 'restored') {
           position = undefined;
           options.onRestored();
           return 'at once';
         }
-        // The same case, but the new history has already been listed during the
-        // watch.
+        // The store was restored during the watch, and the collection has been
+        // listed again meanwhile. These changes follow the position before the
+        // restore, so they are dropped.
         if (isOlderEra(from.era, changes.position.era)) return 'at once';
         advance(changes.position);
         hasChanged = changes.items.size > 0;
@@ -208,10 +243,12 @@
       },
     });
   };
+  /** Lists the collection to get a position for the next watch. */
   const listBeforeWatch = async (): Promise<NextCall> => {
     if (!(await listItems())) return 'wait';
-    // A list does not show that a watch can continue from its position.
-    if (!isWatchRefused) retryMs = MIN_RETRY_MS;
+    // After a watch that gave up its position, the pause stays long. The list
+    // succeeded, but that does not show that the next watch will.
+    if (!hasLostPosition) retryMs = MIN_RETRY_MS;
     return 'at once';
   };
 
@@ -226,6 +263,7 @@
     return pause(delayMs);
   };
 
+  /** Lists and watches until the follower is stopped. */
   const run = async (): Promise<void> => {
     while (!isStopped) {
       const next =
--- a/src/direct/serve_context.ts
+++ b/src/direct/serve_context.ts
@@ -241,7 +241,10 @@
   });
 }
 
-/** Ends a request that no replica answered, with an error for the caller. */
+/**
+ * Ends a request that no replica answered. Sends an error to the caller, or
+ * closes the connection if a part of an answer has been sent.
+ */
 export function giveUp(
   ctx: ServeContext,
   exchange: Exchange,
--- a/src/direct/serve_stream.ts
+++ b/src/direct/serve_stream.ts
@@ -1,7 +1,8 @@
 /**
- * Serves a request whose answer is a stream of events. When the stream breaks
- * or stalls, another replica resumes it within the same answer, after the last
- * event that the caller has received.
+ * Serves a request whose answer is a stream of events. When the stream of a
+ * route of kind `resumable-stream` breaks or stalls, another replica resumes it
+ * within the same answer, after the last event that was written to the caller.
+ * On other routes a stream that breaks or stalls is given up.
  */
 import {DIRECT_EVENTS} from '../utils/events.js';
 import type {Exchange} from './exchange.js';
@@ -20,13 +21,16 @@
 import {startProgress} from './stream_progress.js';
 import type {StreamProgress} from './stream_progress.js';
 
-/** Serves the request until its final answer. */
+/** Serves the request until its final answer or until the caller leaves. */
 export async function serveStream(
   ctx: ServeContext,
   exchange: Exchange,
 ): Promise<void> {
+  /** Ids of replicas that were chosen before; further attempts exclude them. */
   const tried = new Set<string>();
   const progress = startProgress(exchange);
+  // Each request earns a share of a retry. `mayAttempt` takes one retry for each
+  // attempt after the first, so that retries stay a share of all requests.
   ctx.budget.onFirstAttempt(ctx.retryRatio);
   while (!exchange.signal.aborted) {
     if (!mayAttempt(ctx, exchange)) {
@@ -66,7 +70,10 @@
   }
 }
 
-/** Returns true when the request has its final answer or needs none. */
+/**
+ * Returns true when nothing is left to do: the final answer was sent, or the
+ * request ended before it. Returns false when another attempt may follow.
+ */
 function handleOutcome(
   ctx: ServeContext,
   exchange: Exchange,
@@ -76,23 +83,30 @@
 ): boolean {
   const {res, route} = exchange;
   switch (outcome.kind) {
+    // The stream is complete. It is written to the caller up to its last event.
     case 'whole':
       logAnswered(ctx, exchange, 200, progress);
-      // A stream that is resumed after its last event had no event to write.
+      // The headers are written with the first event. A stream without events
+      // has none to write, so the headers are written here.
       if (!res.headersSent) writeHead(ctx, res, outcome.head);
       res.end();
       return true;
+    // The request ended before its answer: its time is up or the caller left.
+    // No answer is written here.
     case 'ended':
       return true;
     case 'quarantined':
       refuseQuarantined(ctx, exchange);
       return true;
     case 'failure':
+      // The caller already has part of a stream, so the error status cannot be
+      // sent to it. The attempt counts as failed and another may follow.
       if (res.headersSent) break;
       logAnswered(ctx, exchange, outcome.head.status, progress);
       writeHead(ctx, res, outcome.head, outcome.body.length);
       res.end(outcome.body);
       return true;
+    // Every other outcome is a failed attempt and is handled below.
     default:
   }
   const reason = 'reason' in outcome ? outcome.reason : outcome.kind;
@@ -102,18 +116,22 @@
     reason,
     faultAt: 'faultAt' in outcome ? outcome.faultAt : undefined,
     events: progress.events,
+    // Shows in the log which broken attempts were for equal requests.
     digest: brokenRunDigest(exchange, outcome.kind),
     elapsedMs: Math.round(exchange.elapsedMs()),
   });
   ctx.metrics.count('onyxloft_direct_tries_failed_total', {
     kind: outcome.kind,
   });
+  // In both cases another replica may run the request: `not-run` is a replica's
+  // refusal, and `not-sent` is a connection that was never established.
   if (outcome.kind === 'not-run' || outcome.kind === 'not-sent') return false;
   if (route.kind === 'resumable-stream') return false;
   giveUp(ctx, exchange, 'the replica broke off');
   return true;
 }
 
+/** Logs the final answer of a request. */
 function logAnswered(
   ctx: ServeContext,
   exchange: Exchange,
