--- a/src/direct/load_codec.ts
+++ b/src/direct/load_codec.ts
@@ -1,12 +1,18 @@
 /**
- * Encodes an entry's load for a datagram, as arrays of whole numbers instead of
- * named fields. An entry sends its load to every other entry at each change,
- * and field names made up three quarters of those bytes.
+ * Encodes an entry's load for a datagram, as arrays instead of objects. An entry
+ * sends its load to every other entry at each change. In objects, the names of
+ * the fields made up three quarters of the bytes of these datagrams.
  */
 import {Just, Nothing} from 'purify-ts/Maybe';
 import type {Maybe} from 'purify-ts/Maybe';
 import type {ReplicaLoad} from './replica_load.js';
 
+/**
+ * A `ReplicaLoad` as an array. `readMs` is prefill time that is still to be done.
+ * `readers` are requests in prefill, each as [slackMs, marginMs, weight].
+ * `writers` are groups of requests in decode, each as [pauseAimMs, weight].
+ * `packLoads` rounds all numbers except `running` and `pauseAimMs` to whole ones.
+ */
 type PackedLoad = readonly [
   replicaId: string,
   running: number,
@@ -17,11 +23,12 @@
 ];
 
 /**
- * Encodes the absence of a limit on pauses, since JSON has no number for
- * infinity.
+ * Stands for an infinite `pauseAimMs`, which means that there is no pause objective.
+ * JSON cannot represent infinity.
  */
 const NO_PAUSE_AIM = -1;
 
+/** Encodes loads for `unpackLoads`. */
 export function packLoads(
   loads: readonly ReplicaLoad[],
 ): readonly PackedLoad[] {
@@ -43,8 +50,9 @@
 }
 
 /**
- * Returns Nothing when any part of the value has another form than `packLoads`
- * gives it.
+ * Decodes the result of `packLoads`. Returns Nothing if a load in it has the
+ * wrong length, a value of the wrong type or a negative `running`, `tokens` or
+ * `readMs`. Fractions are accepted.
  */
 export function unpackLoads(packed: unknown): Maybe<readonly ReplicaLoad[]> {
   return Array.isArray(packed) && packed.every(isPackedLoad)
--- a/src/direct/messages.ts
+++ b/src/direct/messages.ts
@@ -1,4 +1,10 @@
-/** Messages between the services of a direct entry. */
+/**
+ * Messages between the services of a direct entry: an entry process that sends
+ * callers' requests to replicas itself, without a side in between. The service
+ * `direct`, the front, serves callers. `followed` follows the platform's store.
+ * `sharing` exchanges datagrams with peers, the other entries. `handover` fetches
+ * the store's content from peers and serves it to them.
+ */
 import type {CrashReport} from './crash_reports.js';
 import type {ReplicaLoad} from './replica_load.js';
 import type {
@@ -9,20 +15,25 @@
   StoreKnowledge,
 } from './types.js';
 
-/** Messages to the front, which serves callers. */
+/** Messages to the service `direct`, the front, which serves callers. */
 export type DirectMessage =
-  /** A newer configuration. */
+  /** A configuration that is newer than the front's, or the same again. */
   | {readonly kind: 'config'; readonly config: DirectConfig}
   /**
-   * The configuration is known to be the newest as of `asOf`; see
-   * `StoreEvidence.confirm`.
+   * The last configuration that was sent includes every write that the store
+   * acknowledged before `asOf`. See `StoreEvidence.confirm`.
    */
   | {
       readonly kind: 'confirmed';
+      /** Time on this process's clock, in milliseconds. */
       readonly asOf: number;
+      /**
+       * When this entry sent the call or the query whose answer shows this, on
+       * the same clock. It is later than `asOf` if a peer answered.
+       */
       readonly askedAt: number;
     }
-  /** All known replicas, by name. */
+  /** All known replicas, by name; they replace those known to the front. */
   | {
       readonly kind: 'replicas';
       readonly replicas: ReadonlyMap<string, DirectReplica>;
@@ -32,17 +43,34 @@
       readonly kind: 'replica-changes';
       readonly replicas: ReadonlyMap<string, DirectReplica | undefined>;
     }
-  /** Until this time only a peer's answer can confirm keys. */
+  /**
+   * This entry started, and the store may have been restored from an older copy,
+   * which may still have callers' keys that were removed. Until `until`, in
+   * milliseconds on this process's clock, the store's answers do not confirm
+   * that a key is valid; only a peer's answer does.
+   */
   | {readonly kind: 'keys-unconfirmed'; readonly until: number}
-  /** A call to the store failed, so records of replicas may have expired. */
+  /**
+   * A call to the store failed. Records of live replicas may expire while the
+   * store fails, so the front does not drop at once a replica whose record
+   * disappears.
+   */
   | {readonly kind: 'store-failed'}
-  /** The store was restored from an older copy. */
+  /**
+   * The store was restored from an older copy, which may lack records of live
+   * replicas. The front does not drop at once a replica whose record disappears.
+   */
   | {readonly kind: 'store-restored'}
-  /** Asks for the age of the newest evidence for keys, in milliseconds. */
+  /**
+   * Asks for the age of the newest evidence that the configuration, and so the
+   * keys in it, is the newest. The age is in milliseconds, infinite without
+   * evidence.
+   */
   | {readonly kind: 'evidence-age'; readonly reply: (ageMs: number) => void}
-  /** The complete load that a peer reported. */
+  /** The complete load that a peer reported; it replaces the last one. */
   | {
       readonly kind: 'peer-load';
+      /** Name of the peer. */
       readonly node: string;
       readonly loads: readonly ReplicaLoad[];
       /** See `LoadTracker.setPeerLoad`. */
@@ -61,86 +89,118 @@
   | {readonly kind: 'ready'; readonly reply: (ready: boolean) => void}
   /** Asks for the number of open requests. */
   | {readonly kind: 'count'; readonly reply: (open: number) => void}
-  /** Starts to drain; replies when requests have ended or the grace is over. */
+  /**
+   * Starts to drain: the entry is no longer ready, and it stops accepting
+   * connections a little later. Replies when the open requests have ended, or
+   * shortly before `graceS` of the settings has passed.
+   */
   | {readonly kind: 'drain'; readonly reply: () => void};
 
-/** Messages to the service that follows the store. */
+/** Messages to the service `followed`, which follows the platform's store. */
 export type StoreFollowerMessage =
   /**
-   * Asks the store and a peer at once whether the configuration is still the
-   * newest.
+   * Asks the store and a peer, without waiting for the next regular call,
+   * whether the configuration is still the newest. The store is not asked while
+   * its answers cannot prove that.
    */
   | {readonly kind: 'confirm'}
-  /** The front restarted and needs the current state again. */
+  /**
+   * The front restarted and needs the configuration, the replicas and the
+   * quarantine records again.
+   */
   | {readonly kind: 'resend-state'}
   /**
-   * Trial runs of a quarantined request ended well. `isOwn` is true where this
-   * entry saw the last of them.
+   * Trial runs of a quarantined request ended well, so it is no longer
+   * quarantined. A request is quarantined, which means that it is refused,
+   * because equal requests crashed replicas. A trial is a single run of it that
+   * shows whether it still does. `isOwn` is true if this entry saw the last
+   * trial; it then removes the record from the store.
    */
   | {
       readonly kind: 'quarantine-cleared';
       readonly digest: string;
       readonly isOwn: boolean;
     }
+  /** Asks to claim a trial of a quarantined request for this entry. */
   | {
       readonly kind: 'claim-trial';
       readonly digest: string;
+      /** Number of the trial. Each one can be claimed once among all entries. */
       readonly trial: number;
       /**
-       * True where this entry got the claim; undefined when the store did not
-       * answer.
+       * Called with true if this entry got the claim, with false if the trial
+       * had been claimed before, and with undefined if the call to the store
+       * failed.
        */
       readonly reply: (isClaimed: boolean | undefined) => void;
     }
   /** Number of live entries, including this one. */
   | {readonly kind: 'entries'; readonly count: number}
   /**
-   * Asks to store a quarantine record. `isOwn` is true where this entry saw the
-   * last crash.
+   * Asks to make sure that the store has a quarantine record of the report.
+   * `isOwn` is true if this entry saw the last crash; it then writes the record
+   * first.
    */
   | {
       readonly kind: 'quarantined';
       readonly report: CrashReport;
       readonly isOwn: boolean;
     }
+  /**
+   * Asks for a summary of what this entry knows from the store: version, digest
+   * and age. The service `sharing` sends it to peers that query this entry.
+   */
   | {
       readonly kind: 'knowledge';
       readonly reply: (knowledge: StoreKnowledge) => void;
     }
+  /**
+   * Asks for the configuration and the replicas themselves. The service
+   * `handover` serves them to peers that fetch them.
+   */
   | {readonly kind: 'state'; readonly reply: (state: StoreState) => void};
 
-/** All that an entry knows from the store. */
+/** The configuration and the replicas that an entry knows from the store. */
 export interface StoreState {
+  /** The newest known configuration; undefined while there is none. */
   readonly config: DirectConfig | undefined;
   /** Replicas by name. */
   readonly replicas: ReadonlyMap<string, DirectReplica>;
 }
 
 /**
- * Messages to the service that hands knowledge of the store from one entry to
- * another.
+ * Messages to the service `handover`, which fetches the configuration and the
+ * replicas from a peer and serves this entry's to peers.
  */
 export type HandoverMessage =
+  /** Fetches the configuration of the peer at `from`. */
   | {
       readonly kind: 'fetch-config';
       readonly from: Pick<EntryAddress, 'ip' | 'port'>;
       /** Called with undefined when no valid configuration was received. */
       readonly reply: (config: DirectConfig | undefined) => void;
     }
+  /** Fetches the replicas that the peer at `from` knows. */
   | {
       readonly kind: 'fetch-replicas';
       readonly from: Pick<EntryAddress, 'ip' | 'port'>;
+      /** Called with undefined when no valid list was received. */
       readonly reply: (
         replicas: ReadonlyMap<string, DirectReplica> | undefined,
       ) => void;
     };
 
-/** Messages to the service that exchanges datagrams with peers. */
+/**
+ * Messages to the service `sharing`, which exchanges datagrams with peers and
+ * keeps this entry's address in the store for them.
+ */
 export type SharingMessage =
+  /** This entry's own load changed. The service sends the new load to peers. */
   | {
       readonly kind: 'load';
+      /** The complete own load, with one item for each replica. */
       readonly loads: readonly ReplicaLoad[];
-      /** Whether the change added a long prefill. */
+      /** Whether a long prefill was added since the last such message. */
       readonly hasLongPrefill: boolean;
     }
   /** Sends crash reports to all peers, or to one live peer chosen at random. */
@@ -150,13 +210,13 @@
       readonly toAll: boolean;
     }
   /**
-   * The store was restored from an older copy that may lack this entry's own
-   * record.
+   * The store was restored from an older copy. The copy may lack the record with
+   * this entry's address, so the record is written again.
    */
   | {readonly kind: 'store-restored'}
-  /** The front restarted and needs the current state again. */
+  /** The front restarted and needs the number of live entries again. */
   | {readonly kind: 'resend-state'}
-  /** This entry takes no new work and must no longer be found by peers. */
+  /** This entry has started to drain, and peers must no longer find it. */
   | {readonly kind: 'draining'}
   /** Asks whether a known peer has this IP address. */
   | {
@@ -165,15 +225,16 @@
       readonly reply: (isEntry: boolean) => void;
     }
   /**
-   * Queries a peer's knowledge of the store; replies with undefined when none
-   * answers.
+   * Asks one peer for a summary of what it knows from the store. Replies with
+   * undefined when no peer may be asked or it does not answer in time.
    */
   | {
       readonly kind: 'query-peer';
       /**
-       * Whether peers may be queried that in turn rely on this entry's answers.
-       * This is needed when the store refuses this entry, because the peers
-       * that it usually queries may be gone.
+       * Whether any peer may be queried. Otherwise only peers with earlier names
+       * are, so that no two entries rely on each other's answers. Any peer is
+       * needed when the store refuses this entry, because the peers with earlier
+       * names may be gone.
        */
       readonly anyPeer: boolean;
       readonly reply: (answer: PeerAnswer | undefined) => void;
--- a/src/direct/settings.ts
+++ b/src/direct/settings.ts
@@ -1,6 +1,7 @@
 /**
- * Settings of an entry that serves upstreams without sides. The file is JSON
- * with comments, and it is validated completely before any service starts.
+ * Settings of a direct entry, which serves upstreams without sides. The file is
+ * JSON with comments. Before any service starts, the types of all fields and the
+ * form of four addresses are checked: those under `listen` and the store's.
  */
 import {parse} from 'jsonc-parser';
 import type {ParseError} from 'jsonc-parser';
@@ -16,7 +17,7 @@
 import {Left, Right} from 'purify-ts/Either';
 import type {Either} from 'purify-ts';
 
-/** Format of addresses, as error messages name it. */
+/** Form of an address in error messages. */
 const ADDRESS_FORMAT = 'IP:PORT';
 
 /** Value of `role` in a direct entry's settings file. */
@@ -26,7 +27,9 @@
   role: exactly(ROLE),
   /** Name of this process, written on each log line. */
   node: string,
+  /** Failure domain of this process's host. */
   failureDomain: string,
+  /** IP address at which peers, the other entries, reach this process. */
   ip: string,
   listen: Codec.interface({
     /** Address for callers, as IP:PORT. */
@@ -37,44 +40,63 @@
     metrics: string,
   }),
   /**
-   * Set for the first start of the whole system, when no earlier state can be
-   * lost. @default false
+   * Whether the whole system starts for the first time, so that no earlier state
+   * can be lost. The store then has no record of a settled era, which would say
+   * that writes lost by a restore were repeated. This entry writes the record at
+   * once instead of assuming such a restore. @default false
    */
   bootstrap: optional(boolean),
-  /** UDP ports on which peers reach this one. */
+  /**
+   * Ports on which peers reach this process. Only the first one is used, both
+   * for datagrams (UDP) and for HTTP.
+   */
   peerPorts: array(number),
+  /** Address of the platform's store, as IP:PORT. */
   store: Codec.interface({address: string}),
+  /**
+   * Memory of this process in megabytes, and its number of file descriptors.
+   * Both are required, but this process does not read them.
+   */
   limits: Codec.interface({memoryMb: number, maxDescriptors: number}),
   timing: Codec.interface({
-    /** Time from SIGTERM until the process ends, in seconds. */
+    /** Longest time from SIGTERM until the process ends, in seconds. */
     graceS: number,
     /**
-     * Longest time for which a key is still accepted after its removal, in
-     * milliseconds.
+     * Longest time for which a caller's key is still accepted after its removal
+     * from the configuration, in milliseconds.
      */
     revokeMs: number,
-    /** Longest memory lease that a replica grants, in milliseconds. */
+    /**
+     * Longest lease on engine memory that a replica grants, in milliseconds. An
+     * entry leases memory at the replicas of a group, which prefill one long
+     * prompt together. @default unlimited
+     */
     maxHoldMs: optional(number),
     /**
      * How long a replica that is shutting down still serves, in milliseconds.
+     * @default 1500
      */
     leavingMs: optional(number),
     /**
-     * How long memory may stay reserved after its last use, in milliseconds.
+     * How long leased memory may stay reserved after its last use, in
+     * milliseconds. @default unlimited
      */
     freeMs: optional(number),
     /**
-     * How long memory may stay reserved without having been used, in
-     * milliseconds.
+     * How long leased memory may stay reserved if it is never used, in
+     * milliseconds. @default unlimited
      */
     unusedMs: optional(number),
   }),
   retries: Codec.interface({
     /** Retries as a share of requests, over all entries. */
     ratio: number,
-    /** Retries allowed beyond that share in one window, over all entries. */
+    /** Most retries beyond that share in one window, over all entries. */
     slack: number,
-    /** Length of the window, in seconds. */
+    /**
+     * Length of that window, in seconds. The retry budget does not read it: it
+     * is a token bucket that each request refills by `ratio`, up to `slack`.
+     */
     windowS: number,
   }),
 });
@@ -85,8 +107,8 @@
 >;
 
 /**
- * Whether a settings file belongs to a direct entry. Also works for a file that
- * is not valid.
+ * Whether the text is that of a direct entry's settings file. Only `role` is
+ * read, so the other fields may be invalid.
  */
 export function isDirectSettings(text: string): boolean {
   const value = parse(text) as {readonly role?: unknown} | undefined;
@@ -106,6 +128,7 @@
   return directSettingsCodec.decode(value).chain(checkAddresses);
 }
 
+/** Checks the form of the addresses under `listen` and of the store's. */
 function checkAddresses(
   settings: DirectSettings,
 ): Either<string, DirectSettings> {
@@ -118,7 +141,10 @@
     : Left(`"${invalid}" is not of the form ${ADDRESS_FORMAT}`);
 }
 
-/** Splits IP:PORT into its parts; returns undefined for any other format. */
+/**
+ * Splits IP:PORT at its last colon. Returns undefined without a text before the
+ * colon or without a port from 1 to 65535 after it. The IP is not checked.
+ */
 export function splitAddress(
   address: string,
 ): {readonly ip: string; readonly port: number} | undefined {
