--- a/src/direct/admit_request.ts
+++ b/src/direct/admit_request.ts
@@ -133,8 +133,6 @@
     });
     req.on('end', () => resolve(Buffer.concat(chunks)));
     req.on('error', reject);
-    req.on('close', () =>
-      reject(new Error('the caller closed the connection')),
-    );
+    req.on('close', () => reject(new Error('the caller broke off')));
   });
 }
--- a/src/direct/decide/choose_call_replica.ts
+++ b/src/direct/decide/choose_call_replica.ts
@@ -1,11 +1,12 @@
 /**
  * Chooses the replica for a call to a service without published engine figures:
- * the one with the lowest expected time, by its load and its recent answers.
+ * the one with the lowest expected cost. The cost is an expected time plus
+ * penalties, all in milliseconds.
  *
- * A replica can break off a part of its answers while it passes its health
- * check. Such a failure loses a call that may not be repeated, and delays a call
- * that may. Broken answers therefore count as time, in multiples of the route's
- * latency objective.
+ * A replica can pass its health check and still break off a part of its answers.
+ * A broken answer loses a call that may not be repeated, and delays a call that
+ * may. The share of broken answers therefore adds a multiple of the route's
+ * latency objective to the cost.
  */
 import type {ReplicaLoad} from '../replica_load.js';
 import type {DirectReplica} from '../types.js';
@@ -13,19 +14,23 @@
 /** Cost of a replica in another failure domain, in milliseconds. */
 const OTHER_DOMAIN_MS = 1;
 /**
- * Cost of a broken answer to a call that may not be repeated, in latency
- * objectives. The call is lost, while an answer within ten objectives would
- * still be worth something.
+ * Cost of a broken answer to a call that may not be repeated, in multiples of the
+ * latency objective. The broken answer loses the call. An answer that took ten
+ * objectives would still be worth something to the caller, so the loss counts as
+ * much as that wait.
  */
 const LOST_CALL_AIMS = 10;
-/** The same for a call that may be repeated: it takes one more attempt. */
+/**
+ * Cost of a broken answer to a call that may be repeated, in multiples of the
+ * latency objective. The call needs one more attempt.
+ */
 const RETRIED_CALL_AIMS = 1;
 
 /** A replica that could take the call. */
 export interface CallCandidate {
   readonly replica: DirectReplica;
   readonly load: ReplicaLoad;
-  /** Measured time of recent answers divided by the expected time. */
+  /** Mean of measured time divided by expected time, over recent answers. */
   readonly slowness: number;
   /** Share of recent attempts that broke off; see `ReplicaHealth`. */
   readonly brokenShare: number;
@@ -39,13 +44,20 @@
   readonly usualMs: number;
   /** Latency objective, in milliseconds. */
   readonly aimMs: number;
-  /** The call may not be sent again once a replica may have run it. */
+  /** Whether the call may not be sent again once a replica may have run it. */
   readonly isOnce: boolean;
-  /** Random number in [0, 1), uniform; breaks ties. */
+  /**
+   * Returns a uniform random number in [0, 1). It is added to each candidate's
+   * cost in milliseconds, so that the choice is random between candidates whose
+   * costs differ by less than 1 ms.
+   */
   readonly draw: () => number;
 }
 
-/** The candidate with the lowest expected cost; undefined without candidates. */
+/**
+ * Returns the candidate with the lowest expected cost; undefined without
+ * candidates.
+ */
 export function chooseCallReplica<T extends CallCandidate>(
   candidates: readonly T[],
   req: CallRequest,
@@ -61,7 +73,10 @@
   return best;
 }
 
-/** Expected time of the call at the candidate, in milliseconds. */
+/**
+ * Expected cost of the call at the candidate, in milliseconds: the expected time
+ * and the penalties for another failure domain and for broken answers.
+ */
 function expectedCost(
   {replica, load, slowness, brokenShare}: CallCandidate,
   {failureDomain, usualMs, aimMs, isOnce}: CallRequest,
