--- a/src/policy/side_queue.ts
+++ b/src/policy/side_queue.ts
@@ -1,7 +1,12 @@
 /**
- * Queue policies of a side. `classQueue` reserves memory for short prompts,
- * limits the runs of a length class, raises waiting runs with age, shares service
- * between organisations by weight, and starts the run with the least slack first.
+ * Queue policies of a side; they select the waiting run that starts next.
+ *
+ * `classQueue` orders runs by urgency level, which combines length class,
+ * priority and age. Within a level it prefers the organisation that has received
+ * the least service for its weight, and then the run with the least slack. It
+ * limits the concurrent runs of each length class, and keeps memory free for
+ * each class that has a memory floor.
+ *
  * `fcfsQueue` serves in order of arrival and is the baseline for comparisons.
  */
 import type {
@@ -11,37 +16,57 @@
   QueueView,
 } from '../side/queue_policy.js';
 
-/** Engine priorities per length class; a run's own priority is added to them. */
+/**
+ * Distance between the engine priorities of two neighbouring length classes. At
+ * the engine, a shorter class precedes a longer one whatever the runs' own
+ * priorities are, as long as these are below this number. Otherwise a long
+ * prefill would block short prompts on the engine.
+ */
 const PRIORITIES_PER_CLASS = 100;
-/** With one priority for all runs, the engine serves in order of arrival. */
+/** All runs get this engine priority, so the engine serves by arrival. */
 const FCFS_ENGINE_PRIORITY = 0;
 /**
- * Once a run has waited this many ageing steps for memory, other runs overtake it
- * only within the memory floor of the shortest class.
+ * A run that has been queued for this many ageing steps and cannot start for lack
+ * of memory is overtaken only by runs that fit into the memory floor of the
+ * shortest class. The steps count from when the run was queued, whatever it
+ * waited for.
  */
 const MAX_OVERTAKEN_STEPS = 3;
 
-/** Time left to the deadline after the predicted service time. */
+/**
+ * Milliseconds between the predicted end of the run, if it started now, and its
+ * deadline.
+ */
 function slackMs(view: QueueView, item: QueueItem): number {
   return item.deadlineAt - view.now - item.serviceMs;
 }
 
-/** Whole ageing steps that the run has waited. */
+/** Whole ageing steps since the run was queued. */
 function ageingSteps(view: QueueView, item: QueueItem): number {
   return Math.floor((view.now - item.enqueuedAt) / view.ageingMs);
 }
 
-/** Lower levels start first; each ageing step lowers the level by one. */
+/**
+ * Level of the run in the queue; lower levels start first. Each ageing step
+ * lowers the level by one. A class counts as much as one step here, so that a
+ * long run catches up with newer short ones after a few steps.
+ */
 function urgencyLevel(view: QueueView, item: QueueItem): number {
   return item.classIndex + item.priority - ageingSteps(view, item);
 }
 
-/** Service that the run's organisation has received, divided by its weight. */
+/**
+ * Service that the run's organisation has received. The values in `view.served`
+ * are already divided by the organisation's weight.
+ */
 function servedShare(view: QueueView, item: QueueItem): number {
   return view.served.get(item.organisation) ?? 0;
 }
 
-/** Whether the limits of the side and of the run's class allow one more run. */
+/**
+ * Whether the limits on concurrent runs of the side and of the run's class allow
+ * one more run. A class with a limit of 0 is not limited.
+ */
 function hasFreeSlot(view: QueueView, item: QueueItem): boolean {
   if (view.running.length >= view.maxRunning) return false;
   const maxRunning = view.classes[item.classIndex]?.maxRunning ?? 0;
@@ -50,7 +75,7 @@
   return sameClass.length < maxRunning;
 }
 
-/** Unused memory that is reserved for shorter classes, in tokens. */
+/** Sum of the unused memory floors of all shorter classes, in tokens. */
 function unusedShorterFloors(view: QueueView, item: QueueItem): number {
   let reservedTokens = 0;
   for (let index = 0; index < item.classIndex; index++) {
@@ -64,18 +89,22 @@
   return reservedTokens;
 }
 
-/** Whether the free memory suffices, without the reserves of shorter classes. */
+/**
+ * Whether the run fits into the free memory without using the memory floors of
+ * shorter classes. Always true where the upstream has no memory to account for,
+ * which a capacity of 0 means.
+ */
 function fitsMemory(view: QueueView, item: QueueItem): boolean {
   if (view.capacityTokens === 0) return true;
   if (item.memoryTokens > view.freeTokens) return false;
-  // A prompt larger than the unreserved memory would never start otherwise. It
-  // may start on an idle engine.
+  // An idle engine may also use the memory floors. Otherwise a run that needs
+  // more than the memory without the floors would never start.
   if (view.running.length === 0) return true;
   return item.memoryTokens <= view.freeTokens - unusedShorterFloors(view, item);
 }
 
-/** Unused part of the shortest class's memory floor, in tokens. */
-function unusedShortestFloor(view: QueueView): number {
+/** Unused memory floor of the shortest class, in tokens. */
+function unusedShortFloor(view: QueueView): number {
   const floorTokens = (view.classes[0]?.memoryFloor ?? 0) * view.capacityTokens;
   const usedTokens = view.running
     .filter(r => r.classIndex === 0)
@@ -83,7 +112,7 @@
   return Math.max(0, floorTokens - usedTokens);
 }
 
-/** Compares runs by level, served share, slack and arrival, in that order. */
+/** Compares runs by level, service received, slack and arrival, in that order. */
 function byUrgency(view: QueueView): (a: QueueItem, b: QueueItem) => number {
   return (a, b) =>
     urgencyLevel(view, a) - urgencyLevel(view, b) ||
@@ -97,6 +126,7 @@
   return item.classIndex * PRIORITIES_PER_CLASS + item.priority;
 }
 
+/** The choice that starts the run. */
 function choiceOf(item: QueueItem, reason: string): QueueChoice {
   return {
     dispatchId: item.dispatchId,
@@ -105,16 +135,16 @@
   };
 }
 
-/** The most urgent run that may start now, if any. */
-function chooseByClass(view: QueueView): QueueChoice | undefined {
+/** The first run in order of urgency that may start now, if any. */
+function chooseMostUrgent(view: QueueView): QueueChoice | undefined {
   const order = [...view.waiting].sort(byUrgency(view));
   let isOldRunBlocked = false;
   for (const item of order) {
     if (!hasFreeSlot(view, item)) continue;
-    // Short runs would take all memory that becomes free, and a long run would
-    // never start. Once it has waited long enough, only runs that fit into the
-    // memory floor of the shortest class may start before it.
-    const mayStart = !isOldRunBlocked || fitsShortestFloor(view, item);
+    // If short runs always took the memory that becomes free, a long run would
+    // never start. After an old run that could not start, only runs that fit
+    // into the memory floor of the shortest class may start.
+    const mayStart = !isOldRunBlocked || fitsShortFloor(view, item);
     if (mayStart && fitsMemory(view, item)) {
       return choiceOf(item, reasonOf(view, item, order));
     }
@@ -123,14 +153,18 @@
   return undefined;
 }
 
-/** Whether the run fits into the memory floor of the shortest class. */
-function fitsShortestFloor(view: QueueView, item: QueueItem): boolean {
-  return (
-    item.classIndex === 0 && item.memoryTokens <= unusedShortestFloor(view)
-  );
+/**
+ * Whether the run belongs to the shortest class and fits into the unused part of
+ * its memory floor.
+ */
+function fitsShortFloor(view: QueueView, item: QueueItem): boolean {
+  return item.classIndex === 0 && item.memoryTokens <= unusedShortFloor(view);
 }
 
-/** Reason for the choice, for the log line of the start. */
+/**
+ * Why the run was chosen, for the log: runs before it could not start, ageing
+ * has raised it, or it was the most urgent.
+ */
 function reasonOf(
   view: QueueView,
   item: QueueItem,
@@ -140,10 +174,10 @@
   return ageingSteps(view, item) > 0 ? 'aged' : 'most-urgent';
 }
 
-/** Queue with length classes, ageing, fair shares and least slack first. */
+/** Orders runs by length class, priority, age, fair share and slack. */
 export const classQueue: QueuePolicy = {
   name: 'class',
-  choose: chooseByClass,
+  choose: chooseMostUrgent,
   enginePriority: enginePriorityOf,
   waitsFor: (view, item, other) =>
     urgencyLevel(view, other) <= urgencyLevel(view, item),
@@ -163,7 +197,10 @@
   };
 }
 
-/** First come, first served; the first run blocks all others. */
+/**
+ * First come, first served. While the run that arrived first cannot start, no
+ * other run starts.
+ */
 export const fcfsQueue: QueuePolicy = {
   name: 'fcfs',
   choose: chooseFirstCome,
--- a/src/side/learned_rates.ts
+++ b/src/side/learned_rates.ts
@@ -1,7 +1,8 @@
 /**
  * Estimates the speed of the side's upstream from observed events: prompt
  * tokens prefilled per second over all runs, the time of one decode step, and
- * the time of one call to a plain service. Priors apply until there are
+ * the time of one call to a plain service. The side predicts from them whether
+ * work would end in time. Assumed rates, the priors, apply until there are
  * observations.
  */
 
@@ -13,7 +14,10 @@
   readonly stepMs: number;
   /** Time of one call to a plain service in milliseconds. @default 100 */
   readonly callMs: number;
-  /** Weight of a new sample in the mean step or call time. @default 0.2 */
+  /**
+   * Weight of the newest sample in the moving averages of step time and of call
+   * time. @default 0.2
+   */
   readonly newestWeight: number;
   /**
    * Extra prefill time for attention over a long context, in milliseconds per
@@ -31,53 +35,62 @@
 };
 
 /**
- * Minimum busy time that a sample of the prefill rate spans. Shorter spans keep
- * accumulating tokens.
+ * Minimum time with a prompt in prefill that a sample of the prefill rate spans,
+ * in milliseconds. Time and tokens are accumulated until they reach it. If no
+ * prompt is in prefill any more before that, they are dropped.
  */
 const MIN_SAMPLE_MS = 20;
 
 /**
- * Busy time after which the weight of a sample has decayed to about a third
- * (1/e). Tokens and time are summed separately. A mean of rates would weigh a
- * step with one small prompt, which is mostly fixed cost, like a step full of
- * tokens, and would underestimate the engine.
+ * Time with a prompt in prefill, in milliseconds, after which the weight of a
+ * sample has decayed to 1/e, about a third.
  */
 const DECAY_MS = 20_000;
 
 /**
- * Weight of observed prompt tokens from which the prefill rate counts as
- * learned. Below it the rate is still treated as an assumption.
+ * Decayed sum of observed prompt tokens from which the prefill rate counts as
+ * learned. Below it the rate is treated as assumed; see `OPTIMISM_FACTOR`.
  */
 const MIN_LEARNED_TOKENS = 8_000;
-/** Observed calls from which the time of a call counts as learned. */
+/**
+ * Observed calls from which the time of a call counts as learned. Below it the
+ * time is treated as assumed.
+ */
 const MIN_LEARNED_CALLS = 8;
 /**
- * Factor by which an upstream may be faster than assumed. Without it, a refusal
- * based only on the priors would repeat forever, because refused work gives no
- * observations.
+ * Factor by which an upstream may be faster than an assumed rate. Minimum times
+ * are divided by it. Without it, a refusal based only on the priors would repeat
+ * forever, because refused work gives no observations.
  */
 const OPTIMISM_FACTOR = 4;
 /**
- * After each period of this length with refusals and no observation, the factor
- * applies once more. An engine that was slow because of a fault teaches a rate
- * that is too low. The side would then refuse long prompts even after the
- * engine has recovered, and learn nothing from them. The first sample resets
- * the factor.
+ * The factor applies once more after each period of this length, in
+ * milliseconds, since the first refusal that no observation has followed. The
+ * rate that is learned from an engine with a fault is too low. Without the
+ * further factors the side would refuse long prompts even after the engine has
+ * recovered, and would observe none of them. A sample of the prefill rate, a
+ * decoded token or a finished call ends the count of periods.
  */
 const REFUSAL_PERIOD_MS = 5_000;
 /**
- * Upper bound of the accumulated factor. At this bound only work that clearly
- * cannot end in time is refused.
+ * Upper bound of the product of these factors, the optimism. At this bound only
+ * work that clearly cannot end in time is refused.
  */
 const MAX_OPTIMISM = 64;
 
 /** Estimated rates; all times are in milliseconds. */
 export interface LearnedRates {
-  /** Sets whether any prompt is in prefill; idle time is not sampled. */
+  /**
+   * Sets whether any prompt is in prefill. Time without one is not part of a
+   * sample.
+   */
   setPrefillBusy(isBusy: boolean, now: number): void;
-  /** Records that so many prompt tokens were prefilled. */
+  /** Records that `tokens` prompt tokens were prefilled. */
   recordPrefill(tokens: number, now: number): void;
-  /** Records `count` tokens that came `elapsedMs` after the run's last ones. */
+  /**
+   * Records `count` decoded tokens of one run, which arrived `elapsedMs` after
+   * the run's previous tokens.
+   */
   recordDecode(count: number, elapsedMs: number): void;
   /** Records the duration of a call to a plain service. */
   recordCall(elapsedMs: number): void;
@@ -85,11 +98,11 @@
   recordRefusal(now: number): void;
   /** Prompt tokens prefilled per second, over all runs. */
   prefillTokensPerSec(): number;
-  /** Mean time of one decode step. */
+  /** Moving average of the time of one decode step. */
   stepMs(): number;
-  /** Mean time of one call to a plain service. */
+  /** Moving average of the time of one call to a plain service. */
   callMs(): number;
-  /** Predicted time to prefill so many tokens when nothing else runs. */
+  /** Predicted time to prefill `tokens` tokens when nothing else runs. */
   prefillMs(tokens: number): number;
   /** The predicted prefill time divided by the current optimism. */
   minPrefillMs(tokens: number, now: number): number;
@@ -106,13 +119,19 @@
   let meanCallMs = priors.callMs;
   let busySince: number | undefined;
   let sampleTokens = 0;
+  // Time and tokens are summed separately, and each sum decays. A mean of rates
+  // would weigh a step with one small prompt, which is mostly fixed cost, like a
+  // step full of tokens, and would underestimate the engine.
   let weightedMs = 0;
   let weightedTokens = 0;
   let callCount = 0;
-  /** Time of the first refusal since the last sample. */
+  /** Time of the first refusal since the last observation of any kind. */
   let refusingSince: number | undefined;
 
-  /** Factor by which a prediction may be too long. */
+  /**
+   * Factor by which a prediction may be too long. It is 1 for a learned rate
+   * until a period with refusals has passed.
+   */
   const optimism = (isLearned: boolean, now: number) => {
     const refusingMs = refusingSince === undefined ? 0 : now - refusingSince;
     const periods =
--- a/src/side/upstream_runner.ts
+++ b/src/side/upstream_runner.ts
@@ -16,20 +16,28 @@
 import {isHoldOnly, isFinished, prefillTokensLeft, ranOf} from './run.js';
 import type {Run} from './run.js';
 
-/** Runs work on the upstream. */
+/** Sends runs to the upstream and handles their events. */
 export interface UpstreamRunner {
   /** Sends a run to the upstream; at most once for each id. */
   start(run: Run, enginePriority: number): void;
-  /** Handles an event; drops events of earlier stream generations. */
+  /**
+   * Handles an event of the stream with this generation. Each new stream of a
+   * run has the next higher generation. Events of streams that were replaced
+   * are dropped.
+   */
   handle(run: Run, generation: number, event: UpstreamEvent): void;
-  /** Resumes a broken engine stream, unless it was replaced meanwhile. */
+  /** Resumes the engine stream of this generation, unless it was replaced. */
   resume(run: Run, generation: number): void;
-  /** Treats engine streams without an event for too long as broken. */
+  /**
+   * Treats an engine stream as broken if no event arrived on it for
+   * `engineSilenceMs`, or `firstEventTimeoutMs` before its first event.
+   */
   sweep(): void;
 }
 
 async function* emptyPrompt(): AsyncIterable<Uint8Array> {
-  // A run that only holds memory has no prompt.
+  // A group's engines prefill one prompt together. A member that is not the lead
+  // only holds memory for it, so its run has no prompt of its own.
 }
 
 /** Creates the runner of one side's upstream. */
@@ -41,6 +49,7 @@
   const {ctx, timing, options, table, tombstones, memory, rates} = core;
   const {upstream} = options;
 
+  /** Returns an `OnyxError` as it is, and wraps any other cause in one. */
   const toLostError = (run: Run, cause: unknown) =>
     cause instanceof OnyxError
       ? cause
@@ -52,6 +61,10 @@
           ran: ranOf(run),
         });
 
+  /**
+   * Starts a new stream generation of the run and sends its events to the
+   * `runs` service. The end of the stream counts as a break there.
+   */
   const listen = <E>(
     run: Run,
     source: Stream<E>,
@@ -76,6 +89,7 @@
     run.stream.unsubscribe = () => subscription.unsubscribe();
   };
 
+  /** Listens to an engine stream and starts the time limit on silence. */
   const listenToEngine = (run: Run, source: Stream<EngineEvent>) => {
     run.progress.lastEventAt = ctx.clock.now();
     listen(run, source, event => ({from: 'engine', event}));
@@ -84,6 +98,8 @@
   const sendToUpstream = (run: Run, enginePriority: number) => {
     const {offer} = run;
     if (upstream.kind === 'service') {
+      // `call` is set when the run is told to go, with the method, path and
+      // headers. The request below is sent if it was not set.
       const head = run.call ?? {method: 'GET', path: '/', headers: []};
       const answer = upstream.client.call(run.id, head, run.prompt.take());
       listen(run, answer, event => ({from: 'service', event}));
@@ -114,10 +130,18 @@
     rates.setPrefillBusy(isBusy, ctx.clock.now());
   };
 
+  /**
+   * Fails a run whose engine stream is lost. The error's code and `ran` describe
+   * only the last connection, so the run fails with `upstream-lost`, and whether
+   * it ran follows from its events.
+   */
   const failAsLost = (run: Run, error: OnyxError) =>
     lifecycle.fail(run, {code: 'upstream-lost', message: error.message});
 
-  /** Resumes a broken engine stream after a delay, or fails the run. */
+  /**
+   * Handles a broken engine stream: resumes it after a delay, or fails the run
+   * if it cannot be resumed.
+   */
   const handleEngineBreak = (run: Run, error: OnyxError) => {
     ctx.log(SIDE_EVENTS.streamBroken, {
       dispatchId: run.id,
@@ -126,12 +150,14 @@
       code: error.code,
       cause: error.message,
     });
+    // `error.ran` is about this stream only. After a resume, an earlier stream
+    // may have sent the run.
     const wasNotSent =
       error.ran === 'no' && !run.progress.eventSeen && run.stream.resumes === 0;
     stopListening(run);
-    // The connection was never established, so no byte of the run was sent. A
-    // resume would end with `ran: 'unknown'`, and a request that may not be
-    // repeated would be lost although another engine could serve it.
+    // No byte of the run was sent, so it is failed with `ran: 'no'` and not
+    // resumed. A resume would end with `ran: 'unknown'`, and a request that may
+    // not be repeated would be lost although another engine could serve it.
     if (wasNotSent) {
       return lifecycle.fail(run, {
         code: error.code,
@@ -163,13 +189,19 @@
     handleEngineBreak,
   );
 
-  /** Frees the slot of a late call after its upstream replied or broke. */
+  /**
+   * Frees the slot of a late call when its stream has ended or broken. A late
+   * call is finished here, for example cancelled, but its service has not
+   * replied yet. It keeps its slot until then, because the service may still
+   * be working on it.
+   */
   const releaseSlot = (run: Run) => {
     stopListening(run);
     run.lateCall = false;
     core.queueChanged = true;
   };
 
+  /** Handles an event of a call to a plain service. */
   const handleCallEvent = (run: Run, event: CallEvent) => {
     run.progress.eventSeen = true;
     if (isFinished(run)) {
@@ -190,6 +222,7 @@
     }
   };
 
+  /** Adds a chunk to the run's answer and sends what the entry may receive. */
   const appendChunk = (
     run: Run,
     data: Uint8Array,
@@ -199,11 +232,12 @@
     channels.sendPending(run);
   };
 
+  /** Fails a call whose stream broke. Calls are never resumed. */
   const handleCallBreak = (run: Run, error: OnyxError) => {
     if (isFinished(run)) return releaseSlot(run);
     stopListening(run);
-    // Only the client knows whether a byte was sent. An event from the service
-    // shows that one was.
+    // `error.ran` is `no` if the upstream's HTTP client sent no byte. An event
+    // from the service shows that the request was sent, whatever the error says.
     const wasNotSent = error.ran === 'no' && !run.progress.eventSeen;
     lifecycle.fail(run, {
       code: error.code,
