--- a/src/entry/front/callers_exchange.ts
+++ b/src/entry/front/callers_exchange.ts
@@ -1,7 +1,8 @@
 /**
- * What the route handlers of the callers' service share: their dependencies,
- * the HTTP exchange they answer, the refusal of an exchange, and the
- * connection between an exchange and a request of the `requests` service.
+ * What the route handlers of the callers' service share: their dependencies, the
+ * HTTP exchange that they answer, the refusal of an exchange, and the link that
+ * writes the events of a submitted request to the exchange. A submitted request
+ * is one that the `requests` service runs; it can outlive its exchange.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {OnyxError} from '../../types/errors.js';
@@ -26,10 +27,14 @@
   readonly authenticator: Authenticator;
   readonly bodyReader: BodyReader;
   readonly firstTokenMetrics: FirstTokenMetrics;
+  /**
+   * Timing of links. `lookupTimeoutMs` is the longest time for finding the state
+   * of a submitted request, in milliseconds; see `withLookupTimeout`.
+   */
   readonly timing: CallerLinkTiming & {readonly lookupTimeoutMs: number};
   /**
-   * Largest part of a response that may wait in memory for a slow caller. The
-   * connection is closed when more is waiting.
+   * Most bytes of a response that may wait in memory for a slow caller. The
+   * caller's connection is closed when more are waiting.
    */
   readonly maxUnsentResponseBytes: number;
   /** Largest request body, in bytes. A larger one is refused. */
@@ -40,17 +45,23 @@
 
 /** One HTTP request and its response. */
 export interface Exchange {
-  /** The id in the path, or a new random id for a new request. */
+  /**
+   * Id of the submitted request: the one in the HTTP path, or a random one for a
+   * new request.
+   */
   readonly id: RequestId;
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
-  /** Time when the headers were complete, in ms on this process's clock. */
+  /**
+   * Time at which the HTTP headers were complete, in milliseconds on this
+   * process's clock.
+   */
   readonly arrivedAt: number;
 }
 
 /**
- * Answers an exchange with an error before any request was submitted for it.
- * Closes the connection if a response has already begun.
+ * Answers the caller of an exchange with an error, when no request has been
+ * submitted for it. Closes the connection if a response has already begun.
  */
 export function refuse(
   deps: CallersDeps,
@@ -73,26 +84,31 @@
   sendError(res, error, id, status);
 }
 
-/** How a request is attached to an exchange. */
+/** How a submitted request is linked to an exchange. */
 export interface RequestLinkOptions {
+  /** Organisation that the submitted request belongs to. */
   readonly organisation: OrganisationId;
+  /** Writes the events of the submitted request to the HTTP response. */
   readonly writer: ResponseWriter;
   /** Sequence number of the first chunk to write. */
   readonly fromSeq: number;
   /**
-   * End of the request's time limit, in ms on this process's clock. Undefined
-   * for a resumed request, which another entry may have admitted.
+   * End of the submitted request's time limit, in milliseconds on this process's
+   * clock. Undefined for a resumed request, which another entry may have
+   * admitted.
    */
   readonly deadlineAt: number | undefined;
-  /** Released when the request has ended. */
+  /** Released when the link ends, even if the submitted request goes on. */
   readonly slot: RequestSlot;
+  /** Called when the first chunk arrives, before it is written. */
   readonly onFirstChunk: () => void;
 }
 
 /**
- * Connects a request to the exchange: the events of the request are written to
- * the response, and the run is cancelled if the caller disconnects for good.
- * Returns the listener to pass to the `requests` service.
+ * Links a submitted request to the exchange. The link writes the events of the
+ * request to the response, and cancels the request's run if the caller
+ * disconnects and does not come back in time. Returns the listener of the link,
+ * which the caller of this function passes to the `requests` service.
  */
 export function linkToRequest(
   deps: CallersDeps,
@@ -102,6 +118,7 @@
   const {ctx, state} = deps;
   const {id, res, arrivedAt} = exchange;
   const {organisation, slot} = options;
+  // Time from the exchange's arrival to the first chunk; 0 before that.
   let firstTokenMs = 0;
 
   const link = createCallerLink(ctx, {
@@ -136,7 +153,8 @@
 }
 
 /**
- * Settles as `pending` does. Rejects with `timeout` when that takes longer than
+ * Settles as `pending` does, which is a lookup of the state of a submitted
+ * request. Rejects with the code `timeout` if it takes longer than
  * `lookupTimeoutMs`.
  */
 export function withLookupTimeout<T>(
@@ -158,6 +176,7 @@
   });
 }
 
+/** Counts how the exchange ended, and for a refusal its error code. */
 function countOutcome(
   deps: CallersDeps,
   outcome: CallerOutcome,
@@ -169,6 +188,7 @@
   metrics.count('onyxloft_refusals_total', {code: error.code});
 }
 
+/** Fields of a log line about an error. */
 function errorFields(id: RequestId, error: OnyxError): LogFields {
   return {
     requestId: id,
--- a/src/entry/front/operator_handlers.ts
+++ b/src/entry/front/operator_handlers.ts
@@ -1,6 +1,8 @@
 /**
- * The operators' handlers of an entry. Each handler asks the service that holds
- * the information. Sides have handlers of their own.
+ * Handlers of the operators' HTTP API in an entry; processes with a side have
+ * other handlers. Most handlers ask the service that holds the information.
+ * `hosts` and a part of `status` use the last membership view and configuration
+ * number that this module received. `drain` calls a function of the process.
  */
 import {Left} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -20,20 +22,23 @@
 import {followMembership} from '../../membership/follow_membership.js';
 import type {CallersStatus} from './http_callers.js';
 
+/** Properties of the process, and its drain. */
 export interface EntryHandlersOptions {
   readonly node: NodeId;
   readonly incarnation: Incarnation;
-  /** The limits in the settings of this process, shown unchanged. */
+  /** The limits in the settings of this process; `status` shows them unchanged. */
   readonly limits: object;
   /** Starts the drain of the process. */
   readonly drain: () => void;
 }
 
-/** Creates the handlers of an entry. */
+/** Creates the handlers, and follows the membership and the configuration. */
 export function createEntryHandlers(
   ctx: ServiceContext<'operators'>,
   options: EntryHandlersOptions,
 ): OperatorHandlers {
+  // `allSides` has the addresses of all sides of the pools. `replicas` has the
+  // sides that this entry follows, with their state.
   let membership: MembershipView = {replicas: [], allSides: [], entries: []};
   let configNumber: ConfigNumber = 0;
   followMembership(ctx, view => {
@@ -73,6 +78,10 @@
     };
   };
 
+  /**
+   * Returns all known hosts. The time of a replica's load report is on this
+   * process's clock, so its age is shown instead.
+   */
   const hosts = () => {
     const now = ctx.clock.now();
     const replicas = membership.replicas.map(({loadAt, ...replica}) => ({
@@ -90,12 +99,18 @@
     ready: async () => (await orUndefined(askCallers()))?.ready ?? false,
     status,
     hosts,
+    // Rejects if the service does not reply.
     explain: id => ctx.ask('requests', reply => ({kind: 'explain', id, reply})),
     drain: options.drain,
     config: createConfigHandlers(ctx),
   };
 }
 
+/**
+ * Creates the handlers of the configuration. `show` and `history` resolve to a
+ * Left if the service `config` does not reply. `apply` rejects with that error,
+ * because its Left is a `ConfigRejection`, which the service alone can create.
+ */
 function createConfigHandlers(
   ctx: ServiceContext<'operators'>,
 ): ConfigHandlers {
@@ -136,12 +151,14 @@
 
 /**
  * Resolves to undefined when the service does not reply, for example because it
- * is not running. The status then shows it as absent.
+ * is not running. The status then shows no placement (null), or for the callers'
+ * service that the entry is not ready and has no open requests.
  */
 function orUndefined<T>(reply: Promise<T>): Promise<T | undefined> {
   return reply.catch(() => undefined);
 }
 
+/** Counts the peers in each state; the four usual states are always present. */
 function countStates(
   peers: ReadonlyArray<{readonly state: string}>,
 ): Readonly<Record<string, number>> {
--- a/src/upstream/http_connection.ts
+++ b/src/upstream/http_connection.ts
@@ -1,9 +1,9 @@
 /**
- * Performs each HTTP exchange on its own new connection. An idle connection may
- * have stopped delivering data, and the server may close a kept-alive
- * connection just as a request is sent on it. In the second case nobody can
- * tell whether the request ran. A new connection avoids both, and the client
- * knows whether it was established.
+ * Connection for one HTTP exchange with an upstream. The clients in this folder
+ * create a new one for each exchange. A connection that is kept idle may silently
+ * stop delivering data. The server may also close it just as a request is sent
+ * on it, and then nobody can tell whether the request ran. With a new connection
+ * the client knows that nothing was sent until the connection was established.
  */
 import {Client} from 'undici';
 import type {Dispatcher} from 'undici';
@@ -12,9 +12,9 @@
 
 /** Address and connect timeout of an upstream. */
 export interface HttpConnectionOptions {
-  /** `http://ip:port` of the upstream. */
+  /** URL of the upstream, as `http://ip:port`. */
   readonly url: string;
-  /** Time limit for establishing a connection. */
+  /** Time limit for establishing a connection, in milliseconds. */
   readonly connectTimeoutMs: number;
 }
 
@@ -35,7 +35,8 @@
   options: HttpConnectionOptions,
 ): HttpConnection {
   let established = false;
-  // The library's timeouts are disabled because they do not use our `Clock`.
+  // The library's timeouts for the head and the body are disabled, because they
+  // do not use our `Clock`.
   const client = new Client(options.url, {
     bodyTimeout: 0,
     headersTimeout: 0,
@@ -54,30 +55,36 @@
   };
 }
 
-/** Where an error occurred; input of `toOnyxError`. */
+/** What `toOnyxError` adds to an error. */
 export interface ErrorContext {
+  /** Step of the request's processing in which the error occurred. */
   readonly step: Step;
   /** URL of the upstream. */
   readonly peer: string;
-  /** Code of errors after the connection was established. */
+  /** Code of the resulting error if the connection had been established. */
   readonly code: ErrorCode;
 }
 
-/** Error codes of the library for a request that it cannot send at all. */
+/** The library's error codes for a request that it cannot send at all. */
 const UNSENDABLE_CODES: ReadonlySet<unknown> = new Set([
   'UND_ERR_INVALID_ARG',
   'UND_ERR_NOT_SUPPORTED',
 ]);
 
-/** Converts an error to one with step, peer and whether the work ran. */
+/**
+ * Converts an error of an exchange to an `OnyxError` with the step, the peer and
+ * whether the request ran. An `OnyxError` is returned as it is, unless it says
+ * that the request did not run although bytes of it may have been sent.
+ */
 export function toOnyxError(
   err: unknown,
   connection: HttpConnection,
   context: ErrorContext,
 ): OnyxError {
   const isEstablished = connection.isEstablished();
-  // An error of the body's source may carry `ran: 'no'` for its own step. Once
-  // bytes may have been sent, that value would let the request run twice.
+  // The source of the request's body may fail with `ran: 'no'`, which is about
+  // its own step. If bytes may have been sent by then, that value would let the
+  // request run twice.
   if (err instanceof OnyxError && !(isEstablished && err.ran === 'no'))
     return err;
   const {step, peer} = context;
