--- a/src/direct/load_codec.ts
+++ b/src/direct/load_codec.ts
@@ -23,8 +23,8 @@
 ];
 
 /**
- * Stands for an infinite `pauseAimMs`, which means that there is no pause objective.
- * JSON cannot represent infinity.
+ * Stands for an infinite `pauseAimMs`, which means that there is no pause
+ * objective. JSON cannot represent infinity.
  */
 const NO_PAUSE_AIM = -1;
 
--- a/src/direct/load_tracker.ts
+++ b/src/direct/load_tracker.ts
@@ -89,7 +89,7 @@
 
 /**
  * Prefills that take at least this long delay the streams on the same replica
- * by a large part of their allowed pause, so peers are informed of them at
+ * by a large part of their pause objective, so peers are informed of them at
  * once.
  */
 const LONG_PREFILL_MIN_MS = 100;
--- a/src/direct/quarantine_records.ts
+++ b/src/direct/quarantine_records.ts
@@ -62,8 +62,9 @@
    */
   clear(digest: string, isOwn: boolean): void;
   /**
-   * Resolves to true for one claim among all entries, and to undefined without
-   * an answer.
+   * Claims a trial of a quarantined request for this entry. Resolves to true for
+   * one claim among all entries, to false for the others, and to undefined if
+   * the call to the store failed.
    */
   claimTrial(digest: string, trial: number): Promise<boolean | undefined>;
   /** Reports all stored records again. */
--- a/src/direct/replica_load.ts
+++ b/src/direct/replica_load.ts
@@ -1,11 +1,11 @@
 /** The load of one replica, and functions that add up parts of it. */
 
-/**
- * Requests that a replica is decoding and that have the same limit on pauses
- * between events.
- */
+/** Requests that a replica is decoding and that have the same pause objective. */
 export interface DecodingGroup {
-  /** Longest pause between events that counts as on time, in milliseconds. */
+  /**
+   * Pause objective: the longest pause between events that counts as on time, in
+   * milliseconds.
+   */
   readonly pauseAimMs: number;
   /** Combined cost of late events for these requests; see `weightOf`. */
   readonly weight: number;
@@ -70,7 +70,7 @@
 }
 
 /**
- * Adds a group of decoding requests; groups with the same limit on pauses are
+ * Adds a group of decoding requests. Groups with the same pause objective are
  * merged.
  */
 export function addDecodingGroup(
--- a/src/direct/serve_call.ts
+++ b/src/direct/serve_call.ts
@@ -104,7 +104,10 @@
   });
 }
 
-/** Returns true when the request has its final answer or needs none. */
+/**
+ * Returns true when nothing is left to do: the final answer was sent, or the
+ * request ended before it. Returns false when another attempt may follow.
+ */
 function handleOutcome(
   ctx: ServeContext,
   exchange: Exchange,
--- a/src/direct/store_follower.ts
+++ b/src/direct/store_follower.ts
@@ -67,8 +67,8 @@
  */
 const QUARANTINE_WATCH_MS = 25_000;
 /**
- * Longest pause between attempts while the store fails and no peer answers, in
- * milliseconds.
+ * `maxRetryMs` of the followers, in milliseconds, while the store fails and no
+ * peer answers.
  */
 const MAX_RETRY_WITHOUT_PEER_MS = 500;
 /**
