--- a/src/stores/http_client.ts
+++ b/src/stores/http_client.ts
@@ -24,10 +24,10 @@
  * seconds or more; a call sent in that instant breaks with its effect unknown,
  * so the client is first, by a margin that a busy process does not use up.
  */
-const IDLE_MS = 3_000;
+const IDLE_TIMEOUT_MS = 3_000;
 
 /** One request to a platform service. */
-export interface HttpCall {
+export interface HttpRequest {
   readonly method: 'GET' | 'PUT' | 'POST' | 'DELETE';
   /** Path with query. */
   readonly path: string;
@@ -38,7 +38,7 @@
 }
 
 /** A whole answer, whatever its status. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: string;
   /** Header `ETag`; empty when there is none. */
@@ -67,20 +67,20 @@
 
 /** Pooled connections to one platform service. */
 export interface HttpClient {
-  call(call: HttpCall): Promise<Either<HttpFailure, HttpAnswer>>;
+  call(call: HttpRequest): Promise<Either<HttpFailure, HttpResponse>>;
   close(): Promise<void>;
 }
 
-function codeOf(err: unknown): string {
+function errorCode(err: unknown): string {
   return String((err as {code?: unknown} | undefined)?.code ?? '');
 }
 
-async function readAnswer(res: IncomingMessage): Promise<HttpAnswer> {
-  const pieces: Buffer[] = [];
-  for await (const piece of res) pieces.push(piece as Buffer);
+async function readResponse(res: IncomingMessage): Promise<HttpResponse> {
+  const chunks: Buffer[] = [];
+  for await (const chunk of res) chunks.push(chunk as Buffer);
   return {
     status: res.statusCode ?? 0,
-    body: Buffer.concat(pieces).toString('utf8'),
+    body: Buffer.concat(chunks).toString('utf8'),
     etag: res.headers.etag ?? '',
     headers: res.headers,
   };
@@ -92,11 +92,14 @@
   const agent = new Agent({
     keepAlive: true,
     // Ends idle connections only; calls have the timer below.
-    timeout: IDLE_MS,
+    timeout: IDLE_TIMEOUT_MS,
     maxSockets: options.connections ?? DEFAULT_CONNECTIONS,
   });
 
-  const exchange = (call: HttpCall, signal: AbortSignal): Promise<HttpAnswer> =>
+  const exchange = (
+    call: HttpRequest,
+    signal: AbortSignal,
+  ): Promise<HttpResponse> =>
     new Promise((resolve, reject) => {
       const req = request(new URL(call.path, url), {
         method: call.method,
@@ -106,7 +109,7 @@
       });
       req.on('error', reject);
       req.on('response', res => {
-        readAnswer(res).then(resolve, reject);
+        readResponse(res).then(resolve, reject);
       });
       req.end(call.body);
     });
@@ -123,7 +126,7 @@
         return Right(await exchange(call, abort.signal));
       } catch (err) {
         return Left({
-          sent: !NOT_SENT_CODES.has(codeOf(err)),
+          sent: !NOT_SENT_CODES.has(errorCode(err)),
           timedOut: abort.signal.aborted,
           message: err instanceof Error ? err.message : String(err),
         });
--- a/src/stores/http_host_list.ts
+++ b/src/stores/http_host_list.ts
@@ -3,7 +3,7 @@
 import type {HostList} from '../types/platform.js';
 import type {Clock} from '../types/runtime.js';
 import {createHttpClient} from './http_client.js';
-import {createRepeatedGet} from './http_json.js';
+import {createConditionalGet} from './http_json.js';
 
 const PATH = '/v1/hosts';
 const CONNECTIONS = 1;
@@ -47,7 +47,7 @@
     step: 'host-list',
     schema: listSchema,
   } as const;
-  const getList = createRepeatedGet(source);
+  const getList = createConditionalGet(source);
   return {
     list: async () => (await getList()).map(answer => answer.hosts),
     close: () => client.close(),
--- a/src/stores/http_json.ts
+++ b/src/stores/http_json.ts
@@ -4,7 +4,7 @@
 import type {z} from 'zod';
 import {OnyxError} from '../types/errors.js';
 import type {Step} from '../types/errors.js';
-import type {HttpAnswer, HttpClient} from './http_client.js';
+import type {HttpResponse, HttpClient} from './http_client.js';
 
 /** What to get, and how to read it. */
 export interface JsonSource<T> {
@@ -17,7 +17,7 @@
 }
 
 /** What an answer said before, kept to be asked for by its `ETag`. */
-interface Kept<T> {
+interface CachedResponse<T> {
   readonly etag: string;
   readonly body: string;
   readonly value: T;
@@ -30,21 +30,21 @@
  * value as before, so that the caller can tell by identity. Where the service
  * gives an `ETag`, what has not changed is not sent again.
  */
-export function createRepeatedGet<T>(
+export function createConditionalGet<T>(
   source: JsonSource<T>,
 ): () => Promise<Either<OnyxError, T>> {
-  let kept: Kept<T> | undefined;
+  let cached: CachedResponse<T> | undefined;
   return async () => {
-    const etag = kept?.etag ?? '';
+    const etag = cached?.etag ?? '';
     const headers: Readonly<Record<string, string>> =
       etag === '' ? {} : {'if-none-match': etag};
     const answered = await get(source, headers);
     return answered.chain(answer => {
       const isSame =
-        answer.status === NOT_MODIFIED || answer.body === kept?.body;
-      if (isSame && kept !== undefined) return Right(kept.value);
-      return parseAnswer(source, answer).ifRight(value => {
-        kept = {etag: answer.etag, body: answer.body, value};
+        answer.status === NOT_MODIFIED || answer.body === cached?.body;
+      if (isSame && cached !== undefined) return Right(cached.value);
+      return parseResponse(source, answer).ifRight(value => {
+        cached = {etag: answer.etag, body: answer.body, value};
       });
     });
   };
@@ -55,37 +55,37 @@
   source: JsonSource<T>,
 ): Promise<Either<OnyxError, T>> {
   const answered = await get(source, {});
-  return answered.chain(answer => parseAnswer(source, answer));
+  return answered.chain(answer => parseResponse(source, answer));
 }
 
 async function get<T>(
   source: JsonSource<T>,
   headers: Readonly<Record<string, string>>,
-): Promise<Either<OnyxError, HttpAnswer>> {
+): Promise<Either<OnyxError, HttpResponse>> {
   const {client, path} = source;
   const answered = await client.call({method: 'GET', path, headers});
   return answered.mapLeft(failure => {
     const code = failure.timedOut ? 'timeout' : 'peer-unreachable';
-    return failed(source, code, failure.message);
+    return requestError(source, code, failure.message);
   });
 }
 
-function parseAnswer<T>(
+function parseResponse<T>(
   source: JsonSource<T>,
-  {status, body}: HttpAnswer,
+  {status, body}: HttpResponse,
 ): Either<OnyxError, T> {
   if (status !== 200) {
-    return Left(failed(source, 'peer-unreachable', `status ${status}`));
+    return Left(requestError(source, 'peer-unreachable', `status ${status}`));
   }
   try {
     return Right(source.schema.parse(JSON.parse(body)));
   } catch (err) {
     const why = `unreadable answer: ${String(err)}`;
-    return Left(failed(source, 'internal', why));
+    return Left(requestError(source, 'internal', why));
   }
 }
 
-function failed<T>(
+function requestError<T>(
   {peer, path, step}: JsonSource<T>,
   code: 'timeout' | 'peer-unreachable' | 'internal',
   why: string,
--- a/src/stores/http_object_store.ts
+++ b/src/stores/http_object_store.ts
@@ -14,9 +14,9 @@
 } from '../types/platform.js';
 import type {Runtime} from '../types/runtime.js';
 import {createHttpClient} from './http_client.js';
-import type {HttpAnswer, HttpCall} from './http_client.js';
+import type {HttpResponse, HttpRequest} from './http_client.js';
 
-const OBJECTS = '/v1/objects';
+const OBJECTS_PATH = '/v1/objects';
 const DEFAULT_TIMEOUT_MS = 1_000;
 
 /** Counter of store calls by purpose, call and outcome. */
@@ -46,26 +46,27 @@
 
 type CallName = 'get' | 'create' | 'update' | 'remove' | 'list' | 'watch';
 
-interface StoreCall extends HttpCall {
+interface StoreCall extends HttpRequest {
   readonly name: CallName;
   readonly purpose: StorePurpose;
 }
 
-const pathOf = (key: string) => `${OBJECTS}/${encodeURIComponent(key)}`;
+const objectPath = (key: string) =>
+  `${OBJECTS_PATH}/${encodeURIComponent(key)}`;
 
 const isWrite = (call: StoreCall) => call.method !== 'GET';
 
 function unavailable(
   call: StoreCall,
-  mayHaveRun: boolean,
+  mayHaveTakenEffect: boolean,
   message: string,
 ): StoreError {
-  const effect = isWrite(call) && mayHaveRun ? 'unknown' : 'none';
+  const effect = isWrite(call) && mayHaveTakenEffect ? 'unknown' : 'none';
   return {kind: 'unavailable', effect, version: 0, message};
 }
 
 /** Version now stored, from the body of a conflict; 0 when it tells none. */
-function conflictVersion(answer: HttpAnswer): number {
+function conflictVersion(answer: HttpResponse): number {
   return parse(writtenSchema, answer.body).mapOrDefault(it => it.version, 0);
 }
 
@@ -77,21 +78,25 @@
   }
 }
 
-function refusal(call: StoreCall, answer: HttpAnswer): StoreError {
+function toStoreError(call: StoreCall, answer: HttpResponse): StoreError {
   const {status} = answer;
-  const refused = (kind: StoreError['kind'], version = 0): StoreError => ({
+  const rejected = (kind: StoreError['kind'], version = 0): StoreError => ({
     kind,
     effect: 'none',
     version,
     message: `the object API answered ${status} to ${call.name}`,
   });
-  if (status === 412) return refused('conflict', conflictVersion(answer));
-  if (status === 404) return refused('not-found');
-  if (status === 413) return refused('too-large');
+  if (status === 412) return rejected('conflict', conflictVersion(answer));
+  if (status === 404) return rejected('not-found');
+  if (status === 413) return rejected('too-large');
   // A gateway answers 5xx also when the store behind it went silent after it
   // got the write, so such an answer is no evidence that nothing happened.
-  const mayHaveRun = status >= 500;
-  return unavailable(call, mayHaveRun, `the object API answered ${status}`);
+  const mayHaveTakenEffect = status >= 500;
+  return unavailable(
+    call,
+    mayHaveTakenEffect,
+    `the object API answered ${status}`,
+  );
 }
 
 /** Client of the object API at `url`, for example `http://127.0.0.1:7400`. */
@@ -116,13 +121,13 @@
 
   const send = async (
     call: StoreCall,
-  ): Promise<Either<StoreError, HttpAnswer>> => {
+  ): Promise<Either<StoreError, HttpResponse>> => {
     const headers = {...call.headers, 'x-purpose': call.purpose};
     const answered = await client.call({...call, headers});
     const result = answered
       .mapLeft(failure => unavailable(call, failure.sent, failure.message))
       .chain(answer =>
-        answer.status < 300 ? Right(answer) : Left(refusal(call, answer)),
+        answer.status < 300 ? Right(answer) : Left(toStoreError(call, answer)),
       );
     const outcome = result.caseOf({Left: err => err.kind, Right: () => 'ok'});
     count(call, outcome);
@@ -161,27 +166,27 @@
 
   return {
     get: (key, purpose) =>
-      readOne({name: 'get', method: 'GET', path: pathOf(key), purpose}),
+      readOne({name: 'get', method: 'GET', path: objectPath(key), purpose}),
     create: (key, value, purpose) => {
       const headers = {'if-none-match': '*'};
-      const path = pathOf(key);
+      const path = objectPath(key);
       const call = {name: 'create', method: 'PUT', path, headers} as const;
       return write({...call, purpose}, key, value);
     },
     update: (key, value, version, purpose) => {
       const headers = {'if-match': `"${version}"`};
-      const path = pathOf(key);
+      const path = objectPath(key);
       const call = {name: 'update', method: 'PUT', path, headers} as const;
       return write({...call, purpose}, key, value);
     },
     remove: async (key, version, purpose) => {
       const headers = {'if-match': `"${version}"`};
-      const path = pathOf(key);
+      const path = objectPath(key);
       const call = {name: 'remove', method: 'DELETE', path, headers} as const;
       return (await send({...call, purpose})).map(() => undefined);
     },
     list: async (prefix, purpose) => {
-      const path = `${OBJECTS}?prefix=${encodeURIComponent(prefix)}`;
+      const path = `${OBJECTS_PATH}?prefix=${encodeURIComponent(prefix)}`;
       const call = {name: 'list', method: 'GET', path, purpose} as const;
       return (await read(call, keysSchema)).map(it => it.keys);
     },
@@ -189,7 +194,7 @@
       readOne({
         name: 'watch',
         method: 'GET',
-        path: `${pathOf(key)}?watch=${version}&wait=${waitMs}`,
+        path: `${objectPath(key)}?watch=${version}&wait=${waitMs}`,
         purpose,
         timeoutMs: waitMs + timeoutMs,
       }),
--- a/src/stores/lease.ts
+++ b/src/stores/lease.ts
@@ -25,13 +25,13 @@
 /** The holder renews this many times within the lease's duration. */
 const RENEWALS_PER_TTL = 3;
 /** Others look this many times within the lease's duration. */
-const LOOKS_PER_TTL = 2;
+const READS_PER_TTL = 2;
 /** After a failed call, the next try comes after this part of the duration. */
 const RETRIES_PER_TTL = 10;
 /** Pauses are spread by this share to either side, against herds. */
-const JITTER = 0.2;
+const JITTER_SHARE = 0.2;
 /** Pause between two looks of a process that is no candidate. */
-const IDLE_LOOK_MS = 60_000;
+const NON_CANDIDATE_READ_MS = 60_000;
 const NONCE_BYTES = 8;
 
 /** The lease to hold, its times, and who wants it. */
@@ -88,15 +88,15 @@
 }
 
 /** The lease as last seen in the store. */
-interface Seen {
+interface SeenLease {
   readonly version: number;
   readonly record: LeaseRecord;
   /** On this process's clock: when this version was first seen. */
-  readonly since: number;
+  readonly firstSeenAt: number;
 }
 
 /** Our lease, proven by a conditional update. */
-interface Held {
+interface HeldLease {
   readonly version: number;
   readonly record: LeaseRecord;
   /** On this process's clock: when the proving update was sent. */
@@ -104,7 +104,7 @@
 }
 
 /** A write of ours whose effect is not known yet. */
-interface Pending {
+interface PendingWrite {
   readonly record: LeaseRecord;
   /** When the first try of it was sent. */
   readonly sentAt: number;
@@ -115,17 +115,18 @@
   const {store, key, ttlMs, marginMs, runtime} = options;
   const {clock, random, log} = runtime;
   const nonce = random.hex(NONCE_BYTES);
-  let seen: Seen | undefined;
-  let held: Held | undefined;
-  let pending: Pending | undefined;
+  let seen: SeenLease | undefined;
+  let held: HeldLease | undefined;
+  let pendingWrite: PendingWrite | undefined;
   let seq = 0;
   let highestFence: FencingNumber = 0;
   let running = false;
-  let cancelNext: Cancel = () => undefined;
-  let turn: Promise<void> = Promise.resolve();
+  let cancelNextStep: Cancel = () => undefined;
+  let currentStep: Promise<void> = Promise.resolve();
   /** On this process's clock: since when no look found the object. */
   let missingSince: number | undefined;
-  let idleLookAt = clock.now() + IDLE_LOOK_MS * random.next();
+  let nextNonCandidateReadAt =
+    clock.now() + NON_CANDIDATE_READ_MS * random.next();
 
   // Computed from the clock at each call and never kept: a process that was
   // frozen past its lease wakes with timers unfired and answers queued, and
@@ -135,15 +136,15 @@
     held !== undefined &&
     clock.now() < held.provenAt + ttlMs - marginMs;
 
-  const see = (version: number, record: LeaseRecord) => {
+  const recordSeen = (version: number, record: LeaseRecord) => {
     // A stale read shows an older version. Taking it would restart the
     // holder's time, or show a holder that has lost the lease.
     if (seen !== undefined && version <= seen.version) return;
-    seen = {version, record, since: clock.now()};
+    seen = {version, record, firstSeenAt: clock.now()};
     highestFence = Math.max(highestFence, record.fence);
   };
 
-  const lose = (why: string) => {
+  const recordLoss = (why: string) => {
     if (held === undefined) return;
     log(PLATFORM_EVENTS.leaseLost, {
       key,
@@ -154,14 +155,18 @@
     options.onChange?.(false);
   };
 
-  const hold = (version: number, record: LeaseRecord, provenAt: number) => {
-    pending = undefined;
+  const recordHeld = (
+    version: number,
+    record: LeaseRecord,
+    provenAt: number,
+  ) => {
+    pendingWrite = undefined;
     runtime.invariant(record.fence >= highestFence, 'fence-grows', {
       key,
       fence: record.fence,
       highestFence,
     });
-    see(version, record);
+    recordSeen(version, record);
     const isNew = held === undefined;
     held = {version, record, provenAt};
     if (!isNew) return;
@@ -170,7 +175,7 @@
   };
 
   /** Reads the object; false when that gave no lease record to go by. */
-  const look = async (): Promise<boolean> => {
+  const readLease = async (): Promise<boolean> => {
     const read = await store.get(key, 'lease');
     if (read.isLeft()) return false;
     const object = read.unsafeCoerce().extract();
@@ -183,26 +188,29 @@
     missingSince = undefined;
     const record = parseLeaseRecord(object.value).extract();
     if (record === undefined) return false;
-    see(object.version, record);
-    settle();
+    recordSeen(object.version, record);
+    reconcile();
     return true;
   };
 
   /** Compares what was read with our own writes. */
-  const settle = () => {
+  const reconcile = () => {
     if (seen === undefined) return;
     const {version, record} = seen;
-    if (pending !== undefined && isSame(record, pending.record)) {
+    if (
+      pendingWrite !== undefined &&
+      isSameWrite(record, pendingWrite.record)
+    ) {
       // The write took effect though its answer was lost. It counts from the
       // first try: a later one may not be the one that took effect.
-      hold(version, record, pending.sentAt);
+      recordHeld(version, record, pendingWrite.sentAt);
     } else if (held !== undefined && version > held.version) {
-      lose('taken over');
-      pending = undefined;
+      recordLoss('taken over');
+      pendingWrite = undefined;
     }
   };
 
-  const isSame = (a: LeaseRecord, b: LeaseRecord) =>
+  const isSameWrite = (a: LeaseRecord, b: LeaseRecord) =>
     a.nonce === b.nonce && a.seq === b.seq;
 
   /** Writes `record` over `version`, or creates it for version 0. */
@@ -210,38 +218,38 @@
     // Counted from before the call: the answer may come any time later, and
     // others may count from any moment after the effect.
     const earlier =
-      pending !== undefined && isSame(pending.record, record)
-        ? pending
+      pendingWrite !== undefined && isSameWrite(pendingWrite.record, record)
+        ? pendingWrite
         : undefined;
-    const sent = earlier ?? {record, sentAt: clock.now()};
-    pending = sent;
+    const trackedWrite = earlier ?? {record, sentAt: clock.now()};
+    pendingWrite = trackedWrite;
     const value = formatLeaseRecord(record);
     const written =
       version === 0
         ? await store.create(key, value, 'lease')
         : await store.update(key, value, version, 'lease');
     await written.caseOf<void | Promise<void>>({
-      Right: object => hold(object.version, record, sent.sentAt),
+      Right: object => recordHeld(object.version, record, trackedWrite.sentAt),
       Left: err => {
-        if (err.effect === 'none') pending = earlier;
-        return settleFailure(err, version);
+        if (err.effect === 'none') pendingWrite = earlier;
+        return handleWriteFailure(err, version);
       },
     });
     return written.isRight();
   };
 
-  const settleFailure = async (err: StoreError, version: number) => {
+  const handleWriteFailure = async (err: StoreError, version: number) => {
     if (err.kind === 'unavailable' && err.effect === 'none') return;
     const isGone = err.kind !== 'unavailable' && err.version === 0;
     if (isGone && version > 0) {
-      lose('removed');
+      recordLoss('removed');
       seen = undefined;
-      pending = undefined;
+      pendingWrite = undefined;
       return;
     }
     // Conflict or lost answer: what is stored decides. A conflict may be
     // with our own earlier write, whose answer was lost.
-    await look();
+    await readLease();
   };
 
   const nextRecord = (number: FencingNumber): LeaseRecord => {
@@ -249,18 +257,18 @@
     return {holder: options.holder, nonce, seq, fence: number, ttlMs};
   };
 
-  const renew = async (mine: Held): Promise<boolean> => {
+  const renew = async (lease: HeldLease): Promise<boolean> => {
     // The same record is sent again until its fate is known. A new one would
     // make an earlier one, taking effect late, look like another's write.
-    const record = pending?.record ?? nextRecord(mine.record.fence);
-    return write(record, mine.version);
+    const record = pendingWrite?.record ?? nextRecord(lease.record.fence);
+    return write(record, lease.version);
   };
 
-  const isFree = (lease: Seen) => {
+  const isFree = (lease: SeenLease) => {
     if (lease.record.holder === FREE_HOLDER) return true;
     // The longer duration of the two, in case the setting was changed.
-    const lastsMs = Math.max(lease.record.ttlMs, ttlMs);
-    return clock.now() - lease.since > lastsMs;
+    const longerTtlMs = Math.max(lease.record.ttlMs, ttlMs);
+    return clock.now() - lease.firstSeenAt > longerTtlMs;
   };
 
   // Someone may have removed the object. A process that was just started has
@@ -270,36 +278,39 @@
     missingSince === undefined ||
     clock.now() - missingSince >= (options.createAfterMs ?? 0);
 
-  const tryTake = async (): Promise<boolean> => {
-    if (!(await look())) return false;
+  const tryAcquire = async (): Promise<boolean> => {
+    if (!(await readLease())) return false;
     if (held !== undefined) return true;
     if (seen !== undefined && !isFree(seen)) return true;
     if (!mayCreate()) return true;
     const floor = options.fenceFloor?.() ?? 0;
     const number = Math.max(floor, highestFence) + 1;
-    const reuse = pending?.record.fence === number ? pending.record : undefined;
-    return write(reuse ?? nextRecord(number), seen?.version ?? 0);
+    const reusableRecord =
+      pendingWrite?.record.fence === number ? pendingWrite.record : undefined;
+    return write(reusableRecord ?? nextRecord(number), seen?.version ?? 0);
   };
 
   /** Correct whoever looks, as only the conditional write takes the lease. */
-  const lookOrTake = async (): Promise<boolean> => {
-    const isIdle = options.isCandidate?.() === false;
-    if (isIdle && clock.now() < idleLookAt) return true;
-    idleLookAt = clock.now() + IDLE_LOOK_MS * (0.5 + random.next());
-    return tryTake();
+  const acquireIfDue = async (): Promise<boolean> => {
+    const isNonCandidate = options.isCandidate?.() === false;
+    if (isNonCandidate && clock.now() < nextNonCandidateReadAt) return true;
+    nextNonCandidateReadAt =
+      clock.now() + NON_CANDIDATE_READ_MS * (0.5 + random.next());
+    return tryAcquire();
   };
 
-  const pause = (ok: boolean) => {
+  const nextDelayMs = (ok: boolean) => {
     // A renewal may be proven only as of long ago; the next one is then due.
-    const isDue = !ok || (held !== undefined && !valid());
-    const usual = held === undefined ? LOOKS_PER_TTL : RENEWALS_PER_TTL;
-    const times = isDue ? RETRIES_PER_TTL : usual;
-    const spread = 1 + JITTER * (2 * random.next() - 1);
-    return (ttlMs / times) * spread;
+    const isRetry = !ok || (held !== undefined && !valid());
+    const usualStepsPerTtl =
+      held === undefined ? READS_PER_TTL : RENEWALS_PER_TTL;
+    const stepsPerTtl = isRetry ? RETRIES_PER_TTL : usualStepsPerTtl;
+    const jitterFactor = 1 + JITTER_SHARE * (2 * random.next() - 1);
+    return (ttlMs / stepsPerTtl) * jitterFactor;
   };
 
   const step = async () => {
-    const ok = held === undefined ? await lookOrTake() : await renew(held);
+    const ok = held === undefined ? await acquireIfDue() : await renew(held);
     if (!ok && held !== undefined) {
       log(PLATFORM_EVENTS.leaseNotRenewed, {
         key,
@@ -308,28 +319,28 @@
       });
     }
     if (!running) return;
-    cancelNext = clock.after(pause(ok), () => {
-      turn = step();
+    cancelNextStep = clock.after(nextDelayMs(ok), () => {
+      currentStep = step();
     });
   };
 
   const start = () => {
     if (running) return;
     running = true;
-    turn = step();
+    currentStep = step();
   };
 
   const stop = async () => {
     if (!running) return;
     // First not valid, then free: nobody can hold it while we still act.
     running = false;
-    cancelNext();
-    await turn;
+    cancelNextStep();
+    await currentStep;
     if (held === undefined) return;
     const {version, record} = held;
     const free = {...nextRecord(record.fence), holder: FREE_HOLDER};
     await store.update(key, formatLeaseRecord(free), version, 'lease');
-    lose('stopped');
+    recordLoss('stopped');
   };
 
   return {
--- a/src/wire/answer_stream.ts
+++ b/src/wire/answer_stream.ts
@@ -18,37 +18,37 @@
   type Req = PeerCalls[M]['req'];
   type Res = PeerCalls[M]['res'];
   const codec = CALL_CODECS[method] as unknown as MethodCodec<Req, Res>;
-  const names = STREAMED_CALLS[method] as unknown as StreamedCall<M>;
-  const decode = createDeltaDecoder(codec.req, names.req);
-  const encode = createDeltaEncoder(codec.res, names.res);
-  let turn: Promise<void> = Promise.resolve();
-  let open = true;
+  const streamedCall = STREAMED_CALLS[method] as unknown as StreamedCall<M>;
+  const decode = createDeltaDecoder(codec.req, streamedCall.req);
+  const encode = createDeltaEncoder(codec.res, streamedCall.res);
+  let previousAnswer: Promise<void> = Promise.resolve();
+  let isOpen = true;
 
   const answer = async (delta: Delta): Promise<void> => {
-    if (!open) return;
+    if (!isOpen) return;
     const res = await handle(decode(delta));
-    if (open) stream.write(encode(res));
+    if (isOpen) stream.write(encode(res));
   };
   const fail = (err: unknown): void => {
-    if (!open) return;
-    open = false;
+    if (!isOpen) return;
+    isOpen = false;
     onFailure(err);
   };
-  const shut = (): void => {
-    open = false;
+  const markClosed = (): void => {
+    isOpen = false;
   };
 
   stream.on('data', (delta: Delta) => {
-    turn = turn.then(() => answer(delta)).catch(fail);
+    previousAnswer = previousAnswer.then(() => answer(delta)).catch(fail);
   });
   stream.on('end', () => {
-    void turn.then(() => {
-      if (open) stream.end();
-      shut();
+    void previousAnswer.then(() => {
+      if (isOpen) stream.end();
+      markClosed();
     });
   });
-  stream.on('cancelled', shut);
-  stream.on('close', shut);
+  stream.on('cancelled', markClosed);
+  stream.on('close', markClosed);
   // Without a listener an error of the connection would end the process.
-  stream.on('error', shut);
+  stream.on('error', markClosed);
 }
--- a/src/wire/byte_counter.ts
+++ b/src/wire/byte_counter.ts
@@ -13,15 +13,15 @@
 const BYTES_METRIC = 'onyxloft_peer_bytes_total';
 const SAMPLE_PERIOD_MS = 1_000;
 
-const REQUEST_METHODS: ReadonlySet<string> = new Set<PeerMethod>([
+const REQUEST_TRAFFIC_METHODS: ReadonlySet<string> = new Set<PeerMethod>([
   'offer',
   'abandon',
   'locate',
 ]);
 
 /** Offers, abandons and locates are of a request; the rest is control. */
-export function trafficOf(method: PeerMethod): TrafficKind {
-  return REQUEST_METHODS.has(method) ? 'request' : 'control';
+export function trafficKindOf(method: PeerMethod): TrafficKind {
+  return REQUEST_TRAFFIC_METHODS.has(method) ? 'request' : 'control';
 }
 
 /** Counts the bytes of sockets by direction and kind of traffic. */
@@ -34,25 +34,25 @@
   close(): void;
 }
 
-interface Watched {
+interface WatchedSocket {
   readonly socket: Socket;
   readonly kind: () => TrafficKind | undefined;
-  read: number;
-  written: number;
+  countedRead: number;
+  countedWritten: number;
 }
 
 /** Starts to sample; `close` takes the last sample. */
 export function createByteCounter(clock: Clock, metrics: Metrics): ByteCounter {
-  const watched = new Set<Watched>();
+  const watchedSockets = new Set<WatchedSocket>();
 
-  const sample = (entry: Watched): void => {
+  const countNewBytes = (entry: WatchedSocket): void => {
     const kind = entry.kind();
     if (kind === undefined) return;
     const {bytesRead, bytesWritten} = entry.socket;
-    const read = bytesRead - entry.read;
-    const written = bytesWritten - entry.written;
-    entry.read = bytesRead;
-    entry.written = bytesWritten;
+    const read = bytesRead - entry.countedRead;
+    const written = bytesWritten - entry.countedWritten;
+    entry.countedRead = bytesRead;
+    entry.countedWritten = bytesWritten;
     if (read > 0) metrics.count(BYTES_METRIC, {direction: 'in', kind}, read);
     if (written > 0) {
       metrics.count(BYTES_METRIC, {direction: 'out', kind}, written);
@@ -60,21 +60,26 @@
   };
 
   const cancel: Cancel = clock.every(SAMPLE_PERIOD_MS, () => {
-    for (const entry of watched) sample(entry);
+    for (const entry of watchedSockets) countNewBytes(entry);
   });
 
   return {
     watch: (socket, kind) => {
-      const entry: Watched = {socket, kind, read: 0, written: 0};
-      watched.add(entry);
+      const entry: WatchedSocket = {
+        socket,
+        kind,
+        countedRead: 0,
+        countedWritten: 0,
+      };
+      watchedSockets.add(entry);
       socket.once('close', () => {
-        sample(entry);
-        watched.delete(entry);
+        countNewBytes(entry);
+        watchedSockets.delete(entry);
       });
     },
     close: () => {
       cancel();
-      for (const entry of watched) sample(entry);
+      for (const entry of watchedSockets) countNewBytes(entry);
     },
   };
 }
--- a/src/wire/call_errors.ts
+++ b/src/wire/call_errors.ts
@@ -4,7 +4,7 @@
 import type {Address} from '../types/ids.js';
 import type {PeerMethod} from '../types/peer_messages.js';
 
-const STEPS: Readonly<Record<PeerMethod, Step>> = {
+const STEP_BY_METHOD: Readonly<Record<PeerMethod, Step>> = {
   offer: 'offer',
   abandon: 'abandon',
   locate: 'locate',
@@ -16,14 +16,14 @@
 };
 
 /** The call reached no connection, so the peer has not seen it. */
-export function notSent(
+export function notSentError(
   method: PeerMethod,
   peer: Address,
   cause: string,
 ): OnyxError {
   return new OnyxError({
     code: 'peer-unreachable',
-    step: STEPS[method],
+    step: STEP_BY_METHOD[method],
     peer,
     message: `${method} was not sent to ${peer}: ${cause}`,
   });
@@ -33,28 +33,28 @@
  * The call was sent and no answer came. A connection lost after sending says
  * no more than a timeout does: the peer may have done what was asked.
  */
-export function outcomeUnknown(
+export function outcomeUnknownError(
   method: PeerMethod,
   peer: Address,
   cause: string,
 ): OnyxError {
   return new OnyxError({
     code: 'timeout',
-    step: STEPS[method],
+    step: STEP_BY_METHOD[method],
     peer,
     message: `${method} to ${peer} has an unknown outcome: ${cause}`,
   });
 }
 
 /** The peer answered that its handler failed. */
-export function failedAtPeer(
+export function failedAtPeerError(
   method: PeerMethod,
   peer: Address,
   cause: string,
 ): OnyxError {
   return new OnyxError({
     code: 'internal',
-    step: STEPS[method],
+    step: STEP_BY_METHOD[method],
     peer,
     message: `${method} failed at ${peer}: ${cause}`,
   });
--- a/src/wire/call_stream.ts
+++ b/src/wire/call_stream.ts
@@ -27,15 +27,15 @@
   close(): void;
 }
 
-interface Waiting<Res> {
+interface PendingCall<Res> {
   readonly settle: Settle<Res>;
   readonly cancelTimer: Cancel;
 }
 
-interface Opened<Req, Res> {
+interface OpenStream<Req, Res> {
   readonly stream: ClientDuplexStream<Delta, Delta>;
   readonly encode: (req: Req) => Delta;
-  readonly waiting: Array<Waiting<Res>>;
+  readonly pendingCalls: Array<PendingCall<Res>>;
 }
 
 /** Opens the stream with the first call, and anew after each loss. */
@@ -47,53 +47,55 @@
   type Req = PeerCalls[M]['req'];
   type Res = PeerCalls[M]['res'];
   const codec = CALL_CODECS[method] as unknown as MethodCodec<Req, Res>;
-  const names = STREAMED_CALLS[method] as unknown as StreamedCall<M>;
-  let current: Opened<Req, Res> | undefined;
+  const streamedCall = STREAMED_CALLS[method] as unknown as StreamedCall<M>;
+  let current: OpenStream<Req, Res> | undefined;
 
   /**
    * Answers are matched to calls by their order, so after one that is missing
    * none on that stream can be trusted: all that wait there fail with it.
    */
-  const lose = (
-    from: Opened<Req, Res>,
+  const failStream = (
+    failed: OpenStream<Req, Res>,
     timedOut: boolean,
     err?: ServiceError,
   ): void => {
-    if (current === from) current = undefined;
-    const sent = from.stream.getPeer() !== client.getChannel().getTarget();
-    for (const {settle, cancelTimer} of from.waiting.splice(0)) {
+    if (current === failed) current = undefined;
+    const sent = failed.stream.getPeer() !== client.getChannel().getTarget();
+    for (const {settle, cancelTimer} of failed.pendingCalls.splice(0)) {
       cancelTimer();
       settle({sent, timedOut, err});
     }
-    from.stream.cancel();
+    failed.stream.cancel();
   };
 
-  const open = (): Opened<Req, Res> => {
+  const openStream = (): OpenStream<Req, Res> => {
     const stream = client.makeBidiStreamRequest(
-      names.path,
+      streamedCall.path,
       DELTA_CODEC.encode,
       DELTA_CODEC.decode,
       new Metadata(),
     );
-    const encode = createDeltaEncoder(codec.req, names.req);
-    const decode = createDeltaDecoder(codec.res, names.res);
-    const opened: Opened<Req, Res> = {stream, encode, waiting: []};
+    const encode = createDeltaEncoder(codec.req, streamedCall.req);
+    const decode = createDeltaDecoder(codec.res, streamedCall.res);
+    const opened: OpenStream<Req, Res> = {stream, encode, pendingCalls: []};
     stream.on('data', (delta: Delta) => {
-      const first = opened.waiting.shift();
-      first?.cancelTimer();
-      first?.settle(undefined, decode(delta));
+      const oldest = opened.pendingCalls.shift();
+      oldest?.cancelTimer();
+      oldest?.settle(undefined, decode(delta));
     });
-    stream.on('error', (err: ServiceError) => lose(opened, false, err));
-    stream.on('end', () => lose(opened, false));
+    stream.on('error', (err: ServiceError) => failStream(opened, false, err));
+    stream.on('end', () => failStream(opened, false));
     return opened;
   };
 
   return {
     call: (req, timeoutMs, settle) => {
-      const on = (current ??= open());
-      const cancelTimer = clock.after(timeoutMs, () => lose(on, true));
-      on.waiting.push({settle, cancelTimer});
-      on.stream.write(on.encode(req));
+      const openedStream = (current ??= openStream());
+      const cancelTimer = clock.after(timeoutMs, () =>
+        failStream(openedStream, true),
+      );
+      openedStream.pendingCalls.push({settle, cancelTimer});
+      openedStream.stream.write(openedStream.encode(req));
     },
     close: () => current?.stream.end(),
   };
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -41,7 +41,7 @@
 type PackedHeartbeat = WireMessage &
   Omit<SideHeartbeatReq, 'owned'> & {readonly owned: readonly Buffer[]};
 
-interface Tagged {
+interface TaggedUnion {
   readonly kind: string;
 }
 
@@ -54,12 +54,12 @@
 };
 
 /** Leaves out message fields that were not set, which come as null. */
-function withoutUnset(message: WireMessage): WireMessage {
+function omitUnsetFields(message: WireMessage): WireMessage {
   const set = Object.entries(message).filter(([, value]) => value !== null);
   return Object.fromEntries(set);
 }
 
-function toUnion(value: Tagged): WireMessage {
+function toUnion(value: TaggedUnion): WireMessage {
   const {kind, ...fields} = value;
   return {[FIELD_OF_KIND[kind] ?? kind]: fields};
 }
@@ -67,7 +67,7 @@
 function fromUnion(message: WireMessage): WireMessage {
   const field = message['body'];
   if (typeof field !== 'string') throw new Error('message without a body');
-  const fields = withoutUnset(message[field] as WireMessage);
+  const fields = omitUnsetFields(message[field] as WireMessage);
   return {kind: KIND_OF_FIELD[field] ?? field, ...fields};
 }
 
@@ -76,57 +76,57 @@
   readonly deserialize: (bytes: Buffer) => WireMessage;
 }
 
-function plain<T>(raw: RawCodec): Codec<T> {
+function plainCodec<T>(raw: RawCodec): Codec<T> {
   return {
     encode: value => raw.serialize(value as WireMessage),
-    decode: bytes => withoutUnset(raw.deserialize(bytes)) as T,
+    decode: bytes => omitUnsetFields(raw.deserialize(bytes)) as T,
   };
 }
 
-function union<T extends Tagged>(raw: RawCodec): Codec<T> {
+function unionCodec<T extends TaggedUnion>(raw: RawCodec): Codec<T> {
   return {
     encode: value => raw.serialize(toUnion(value)),
     decode: bytes => fromUnion(raw.deserialize(bytes)) as unknown as T,
   };
 }
 
-function reqOf(method: WireMethod): RawCodec {
+function requestCodec(method: WireMethod): RawCodec {
   return {
     serialize: method.requestSerialize,
     deserialize: method.requestDeserialize as RawCodec['deserialize'],
   };
 }
 
-function resOf(method: WireMethod): RawCodec {
+function responseCodec(method: WireMethod): RawCodec {
   return {
     serialize: method.responseSerialize,
     deserialize: method.responseDeserialize as RawCodec['deserialize'],
   };
 }
 
-function plainCall<M extends PeerMethod>(
+function plainCallCodec<M extends PeerMethod>(
   name: string,
 ): MethodCodec<PeerCalls[M]['req'], PeerCalls[M]['res']> {
   const method = wireMethod(name);
   return {
     path: method.path,
-    req: plain(reqOf(method)),
-    res: plain(resOf(method)),
+    req: plainCodec(requestCodec(method)),
+    res: plainCodec(responseCodec(method)),
   };
 }
 
-function offerCall(): CallCodecs['offer'] {
+function offerCodec(): CallCodecs['offer'] {
   const method = wireMethod('Offer');
   return {
     path: method.path,
-    req: plain(reqOf(method)),
-    res: union<OfferRes>(resOf(method)),
+    req: plainCodec(requestCodec(method)),
+    res: unionCodec<OfferRes>(responseCodec(method)),
   };
 }
 
-function sideHeartbeatCall(): CallCodecs['sideHeartbeat'] {
-  const call = plainCall<'sideHeartbeat'>('SideHeartbeat');
-  const {serialize, deserialize} = reqOf(wireMethod('SideHeartbeat'));
+function sideHeartbeatCodec(): CallCodecs['sideHeartbeat'] {
+  const call = plainCallCodec<'sideHeartbeat'>('SideHeartbeat');
+  const {serialize, deserialize} = requestCodec(wireMethod('SideHeartbeat'));
   const encode = (req: SideHeartbeatReq): Buffer =>
     serialize({...req, owned: req.owned.map(packDispatchId)});
   const decode = (bytes: Buffer): SideHeartbeatReq => {
@@ -136,26 +136,26 @@
   return {...call, req: {encode, decode}};
 }
 
-function runStream(): MethodCodec<RunUp, RunDown> {
+function runCodec(): MethodCodec<RunUp, RunDown> {
   const method = wireMethod('Run');
   return {
     path: method.path,
-    req: union<RunUp>(reqOf(method)),
-    res: union<RunDown>(resOf(method)),
+    req: unionCodec<RunUp>(requestCodec(method)),
+    res: unionCodec<RunDown>(responseCodec(method)),
   };
 }
 
 /** Codecs of the calls by method. */
 export const CALL_CODECS: CallCodecs = {
-  offer: offerCall(),
-  abandon: plainCall<'abandon'>('Abandon'),
-  locate: plainCall<'locate'>('Locate'),
-  sideHeartbeat: sideHeartbeatCall(),
-  entryHeartbeat: plainCall<'entryHeartbeat'>('EntryHeartbeat'),
-  fetchConfig: plainCall<'fetchConfig'>('FetchConfig'),
-  grant: plainCall<'grant'>('Grant'),
-  order: plainCall<'order'>('Order'),
+  offer: offerCodec(),
+  abandon: plainCallCodec<'abandon'>('Abandon'),
+  locate: plainCallCodec<'locate'>('Locate'),
+  sideHeartbeat: sideHeartbeatCodec(),
+  entryHeartbeat: plainCallCodec<'entryHeartbeat'>('EntryHeartbeat'),
+  fetchConfig: plainCallCodec<'fetchConfig'>('FetchConfig'),
+  grant: plainCallCodec<'grant'>('Grant'),
+  order: plainCallCodec<'order'>('Order'),
 };
 
 /** Codec of a run's frames: `req` goes up to the side, `res` down. */
-export const RUN_CODEC: MethodCodec<RunUp, RunDown> = runStream();
+export const RUN_CODEC: MethodCodec<RunUp, RunDown> = runCodec();
--- a/src/wire/credentials.ts
+++ b/src/wire/credentials.ts
@@ -47,7 +47,7 @@
 type ConnectorArgs = Parameters<ChannelCredentials['_createSecureConnector']>;
 
 /** Credentials that show each TCP socket of theirs before it is used. */
-class WatchedCredentials extends ChannelCredentials {
+class SocketReportingCredentials extends ChannelCredentials {
   constructor(
     private readonly base: ChannelCredentials,
     private readonly onSocket: (socket: Socket) => void,
@@ -83,7 +83,7 @@
   tls: TlsOptions | undefined,
   onSocket: (socket: Socket) => void,
 ): ChannelCredentials {
-  return new WatchedCredentials(baseCredentials(peer, tls), onSocket);
+  return new SocketReportingCredentials(baseCredentials(peer, tls), onSocket);
 }
 
 /** Credentials to listen with; under TLS the caller must show a certificate. */
--- a/src/wire/delta.ts
+++ b/src/wire/delta.ts
@@ -23,21 +23,21 @@
   codec: Codec<T>,
   fields: FieldNames<T>,
 ): (value: T) => Delta {
-  let sent: ReadonlyArray<string | undefined> = [];
+  let previousTexts: ReadonlyArray<string | undefined> = [];
   return value => {
     const texts = fields.map(name => JSON.stringify(value[name]));
     const isSame = (i: number): boolean =>
-      sent.length > 0 && texts[i] === sent[i];
-    const left = fields.map((name, i) => [
+      previousTexts.length > 0 && texts[i] === previousTexts[i];
+    const entries = fields.map((name, i) => [
       name,
-      isSame(i) ? emptyOf(value[name]) : value[name],
+      isSame(i) ? emptyValueOf(value[name]) : value[name],
     ]);
     const same = fields.reduce(
       (bits, _, i) => (isSame(i) ? bits | (1 << i) : bits),
       0,
     );
-    sent = texts;
-    return {same, message: codec.encode(Object.fromEntries(left) as T)};
+    previousTexts = texts;
+    return {same, message: codec.encode(Object.fromEntries(entries) as T)};
   };
 }
 
@@ -46,21 +46,21 @@
   codec: Codec<T>,
   fields: FieldNames<T>,
 ): (delta: Delta) => T {
-  let before: T | undefined;
+  let previous: T | undefined;
   return ({same, message}) => {
-    const came = codec.decode(message);
-    if (same !== 0 && before === undefined) {
+    const received = codec.decode(message);
+    if (same !== 0 && previous === undefined) {
       throw new Error('the first message of a stream is not whole');
     }
-    const kept = fields.filter((_, i) => (same & (1 << i)) !== 0);
-    const known = kept.map(name => [name, before?.[name]]);
-    before = {...came, ...Object.fromEntries(known)} as T;
-    return before;
+    const unchanged = fields.filter((_, i) => (same & (1 << i)) !== 0);
+    const unchangedEntries = unchanged.map(name => [name, previous?.[name]]);
+    previous = {...received, ...Object.fromEntries(unchangedEntries)} as T;
+    return previous;
   };
 }
 
 /** The value that takes no bytes. */
-function emptyOf(value: unknown): unknown {
+function emptyValueOf(value: unknown): unknown {
   if (Array.isArray(value)) return [];
   switch (typeof value) {
     case 'string':
--- a/src/wire/frame_stream.ts
+++ b/src/wire/frame_stream.ts
@@ -13,53 +13,53 @@
   /** Ends the stream after the frames that came before. */
   end(): void;
   /** Ends the stream and drops the frames not yet handed over. */
-  cut(): void;
+  abort(): void;
 }
 
 /** `onObserve` is called once, when the observer comes. */
 export function createFrameStream<T>(
   onObserve: () => void = () => undefined,
 ): FrameStream<T> {
-  const waiting: T[] = [];
+  const bufferedFrames: T[] = [];
   let sink: Sink<T> | undefined;
-  let time: () => number = () => 0;
+  let currentTime: () => number = () => 0;
   let ended = false;
 
   /** An error of the observer ends its stream; the promise of it rejects. */
-  const hand = (to: Sink<T>, frame: T): void => {
+  const deliver = (to: Sink<T>, frame: T): void => {
     try {
-      to.event(time(), frame);
+      to.event(currentTime(), frame);
     } catch (err) {
       sink = undefined;
       ended = true;
-      to.error(time(), err as Error);
+      to.error(currentTime(), err as Error);
     }
   };
 
-  const finish = (): void => {
-    const ending = sink;
+  const endSink = (): void => {
+    const endingSink = sink;
     sink = undefined;
-    ending?.end(time());
+    endingSink?.end(currentTime());
   };
 
-  const start = (): void => {
+  const deliverBuffered = (): void => {
     for (;;) {
-      const frame = waiting.shift();
+      const frame = bufferedFrames.shift();
       if (sink === undefined || frame === undefined) break;
-      hand(sink, frame);
+      deliver(sink, frame);
     }
-    if (ended) finish();
+    if (ended) endSink();
   };
 
   const run = (to: Sink<T>, scheduler: Scheduler): Disposable<T> => {
     sink = to;
-    time = () => scheduler.now();
-    queueMicrotask(start);
+    currentTime = () => scheduler.now();
+    queueMicrotask(deliverBuffered);
     onObserve();
     return {
       dispose: () => {
         sink = undefined;
-        waiting.length = 0;
+        bufferedFrames.length = 0;
         return Promise.resolve();
       },
     } as Disposable<T>;
@@ -69,19 +69,20 @@
     stream: new Stream<T>({run}),
     push: frame => {
       if (ended) return;
-      if (sink === undefined || waiting.length > 0) waiting.push(frame);
-      else hand(sink, frame);
+      if (sink === undefined || bufferedFrames.length > 0)
+        bufferedFrames.push(frame);
+      else deliver(sink, frame);
     },
     end: () => {
       if (ended) return;
       ended = true;
-      if (waiting.length === 0) finish();
+      if (bufferedFrames.length === 0) endSink();
     },
-    cut: () => {
-      waiting.length = 0;
+    abort: () => {
+      bufferedFrames.length = 0;
       if (ended) return;
       ended = true;
-      finish();
+      endSink();
     },
   };
 }
--- a/src/wire/grpc_channel.ts
+++ b/src/wire/grpc_channel.ts
@@ -17,29 +17,29 @@
   const frames = createFrameStream<In>(() => {
     stream.on('data', (frame: In) => frames.push(frame));
   });
-  const waiting = new Set<() => void>();
-  let open = true;
+  const pendingSends = new Set<() => void>();
+  let isOpen = true;
 
-  const release = (): void => {
-    for (const resolve of waiting) resolve();
-    waiting.clear();
+  const resolvePendingSends = (): void => {
+    for (const resolve of pendingSends) resolve();
+    pendingSends.clear();
   };
 
-  const shut = (): boolean => {
-    if (!open) return false;
-    open = false;
+  const closeOnce = (): boolean => {
+    if (!isOpen) return false;
+    isOpen = false;
     stream.end();
-    release();
+    resolvePendingSends();
     onClosed();
     return true;
   };
 
   /** The other end closed, or the connection is lost. */
   const closedByPeer = (): void => {
-    if (shut()) frames.end();
+    if (closeOnce()) frames.end();
   };
 
-  stream.on('drain', release);
+  stream.on('drain', resolvePendingSends);
   stream.on('end', closedByPeer);
   stream.on('close', closedByPeer);
   stream.on('cancelled', closedByPeer);
@@ -49,11 +49,11 @@
   return {
     frames: frames.stream,
     send: frame => {
-      if (!open || stream.write(frame)) return Promise.resolve();
-      return new Promise(resolve => waiting.add(resolve));
+      if (!isOpen || stream.write(frame)) return Promise.resolve();
+      return new Promise(resolve => pendingSends.add(resolve));
     },
     close: () => {
-      if (shut()) frames.cut();
+      if (closeOnce()) frames.abort();
     },
   };
 }
--- a/src/wire/grpc_transport.ts
+++ b/src/wire/grpc_transport.ts
@@ -8,7 +8,7 @@
 import type {Address} from '../types/ids.js';
 import type {Clock, Metrics} from '../types/runtime.js';
 import type {Transport} from '../types/transport.js';
-import {createByteCounter, trafficOf} from './byte_counter.js';
+import {createByteCounter, trafficKindOf} from './byte_counter.js';
 import type {TrafficKind} from './byte_counter.js';
 import {CALL_CODECS} from './codec.js';
 import type {TlsOptions} from './credentials.js';
@@ -17,7 +17,7 @@
 import {listenForPeers} from './peer_server.js';
 
 /** Unused time after which the connections to a peer are dropped. */
-const UNUSED_AFTER_MS = 600_000;
+const MAX_UNUSED_MS = 600_000;
 
 /** Time, metrics and certificates of the transport. */
 export interface GrpcTransportOptions {
@@ -34,20 +34,20 @@
   const clients = new Map<string, PeerClient>();
 
   /** Hosts are replaced at any time; their addresses do not come back. */
-  const dropUnused = (): void => {
-    const before = clock.now() - UNUSED_AFTER_MS;
+  const closeUnusedClients = (): void => {
+    const usedBefore = clock.now() - MAX_UNUSED_MS;
     for (const [key, client] of clients) {
-      if (client.usedAt() > before) continue;
+      if (client.lastUsedAt() > usedBefore) continue;
       client.close();
       clients.delete(key);
     }
   };
 
-  const clientOf = (peer: Address, kind: TrafficKind): PeerClient => {
+  const getClient = (peer: Address, kind: TrafficKind): PeerClient => {
     const key = `${kind} ${peer}`;
-    const kept = clients.get(key);
-    if (kept !== undefined) return kept;
-    dropUnused();
+    const existing = clients.get(key);
+    if (existing !== undefined) return existing;
+    closeUnusedClients();
     const onSocket = (socket: Socket): void => bytes.watch(socket, () => kind);
     const client = createPeerClient({peer, clock, tls, onSocket});
     clients.set(key, client);
@@ -56,13 +56,13 @@
 
   return {
     call: (peer, method, req, timeoutMs) =>
-      clientOf(peer, trafficOf(method)).call(
+      getClient(peer, trafficKindOf(method)).call(
         method,
         CALL_CODECS[method],
         req,
         timeoutMs,
       ),
-    openRun: (peer, fresh) => clientOf(peer, 'request').openRun(fresh),
+    openRun: (peer, fresh) => getClient(peer, 'request').openRun(fresh),
     listen: (address, handlers) =>
       listenForPeers({address, handlers, clock, tls, bytes}),
     close: () => {
--- a/src/wire/heartbeat_streams.ts
+++ b/src/wire/heartbeat_streams.ts
@@ -25,7 +25,7 @@
   readonly res: FieldNames<PeerCalls[M]['res']>;
 }
 
-const SIDE_REQ: FieldNames<SideHeartbeatReq> = [
+const SIDE_REQUEST_FIELDS: FieldNames<SideHeartbeatReq> = [
   'entry',
   'entryIncarnation',
   'entryAddress',
@@ -34,7 +34,7 @@
   'owned',
 ];
 
-const SIDE_RES: FieldNames<SideHeartbeatRes> = [
+const SIDE_RESPONSE_FIELDS: FieldNames<SideHeartbeatRes> = [
   'node',
   'incarnation',
   'pool',
@@ -46,7 +46,7 @@
   'models',
 ];
 
-const ENTRY: FieldNames<EntryHeartbeatReq> = [
+const ENTRY_FIELDS: FieldNames<EntryHeartbeatReq> = [
   'node',
   'incarnation',
   'address',
@@ -62,13 +62,13 @@
 } = {
   sideHeartbeat: {
     path: wireMethod('SideHeartbeats').path,
-    req: SIDE_REQ,
-    res: SIDE_RES,
+    req: SIDE_REQUEST_FIELDS,
+    res: SIDE_RESPONSE_FIELDS,
   },
   entryHeartbeat: {
     path: wireMethod('EntryHeartbeats').path,
-    req: ENTRY,
-    res: ENTRY,
+    req: ENTRY_FIELDS,
+    res: ENTRY_FIELDS,
   },
 };
 
--- a/src/wire/peer_client.ts
+++ b/src/wire/peer_client.ts
@@ -16,7 +16,11 @@
 import type {PeerMethod, RunDown, RunUp} from '../types/peer_messages.js';
 import type {Clock} from '../types/runtime.js';
 import type {RunChannel} from '../types/transport.js';
-import {failedAtPeer, notSent, outcomeUnknown} from './call_errors.js';
+import {
+  failedAtPeerError,
+  notSentError,
+  outcomeUnknownError,
+} from './call_errors.js';
 import {createCallStream} from './call_stream.js';
 import type {CallStream} from './call_stream.js';
 import {RUN_CODEC} from './codec.js';
@@ -28,7 +32,7 @@
 import type {StreamedMethod} from './heartbeat_streams.js';
 
 /** Timeouts in a row after which a connection counts as silent. */
-const SILENT_AFTER_TIMEOUTS = 2;
+const SILENT_AFTER_CONSECUTIVE_TIMEOUTS = 2;
 /**
  * A connection younger than this is fresh to every run that asks for one. A
  * silent connection takes all its runs along, and they notice together; each
@@ -85,7 +89,7 @@
   ): Promise<Either<OnyxError, Res>>;
   openRun(fresh: boolean): RunChannel;
   /** When it was last used, on the process's clock. */
-  usedAt(): number;
+  lastUsedAt(): number;
   /** Ends the connection with the last call or run sent on it. */
   close(): void;
 }
@@ -95,7 +99,7 @@
   readonly dialledAt: number;
   /** Kept streams, by the method whose calls go over them. */
   readonly streams: Map<StreamedMethod, CallStream<unknown, unknown>>;
-  timeoutsInRow: number;
+  consecutiveTimeouts: number;
 }
 
 /** What became of a call, as seen by the transport. */
@@ -114,22 +118,22 @@
   status.UNIMPLEMENTED,
 ]);
 
-function toError(failure: CallFailure): OnyxError {
+function toCallError(failure: CallFailure): OnyxError {
   const {peer, method, sent, timedOut, err} = failure;
   if (ANSWERED_STATUSES.has(err.code)) {
-    return failedAtPeer(method, peer, err.details);
+    return failedAtPeerError(method, peer, err.details);
   }
   if (!sent) {
-    return notSent(method, peer, timedOut ? NO_CONNECTION : err.details);
+    return notSentError(method, peer, timedOut ? NO_CONNECTION : err.details);
   }
-  return outcomeUnknown(method, peer, timedOut ? NO_ANSWER : err.details);
+  return outcomeUnknownError(method, peer, timedOut ? NO_ANSWER : err.details);
 }
 
 /** Dials with the first call, and anew after timeouts in a row. */
 export function createPeerClient(options: PeerClientOptions): PeerClient {
   const {peer, clock, tls, onSocket} = options;
   const target = `${peer.startsWith('[') ? 'ipv6' : 'ipv4'}:${peer}`;
-  let usedAt = clock.now();
+  let lastUsedAt = clock.now();
 
   const dial = (): Connection => ({
     client: new Client(
@@ -139,20 +143,20 @@
     ),
     dialledAt: clock.now(),
     streams: new Map(),
-    timeoutsInRow: 0,
+    consecutiveTimeouts: 0,
   });
 
   let current = dial();
 
-  const take = (): Connection => {
-    usedAt = clock.now();
+  const useConnection = (): Connection => {
+    lastUsedAt = clock.now();
     return current;
   };
 
   /** An open stream would keep the connection for ever. */
-  const hangUp = (on: Connection): void => {
-    for (const stream of on.streams.values()) stream.close();
-    on.client.close();
+  const closeConnection = (connection: Connection): void => {
+    for (const stream of connection.streams.values()) stream.close();
+    connection.client.close();
   };
 
   /**
@@ -162,24 +166,28 @@
    * connect end as not sent.
    */
   const redial = (): void => {
-    const old = current;
+    const replaced = current;
     current = dial();
-    hangUp(old);
+    closeConnection(replaced);
   };
 
-  const noteTimeout = (on: Connection): void => {
-    on.timeoutsInRow++;
-    if (on === current && on.timeoutsInRow >= SILENT_AFTER_TIMEOUTS) redial();
+  const countTimeout = (connection: Connection): void => {
+    connection.consecutiveTimeouts++;
+    if (
+      connection === current &&
+      connection.consecutiveTimeouts >= SILENT_AFTER_CONSECUTIVE_TIMEOUTS
+    )
+      redial();
   };
 
-  const streamOf = (
-    on: Connection,
+  const getStream = (
+    connection: Connection,
     method: StreamedMethod,
   ): CallStream<unknown, unknown> => {
-    const kept = on.streams.get(method);
-    if (kept !== undefined) return kept;
-    const stream = createCallStream(on.client, clock, method);
-    on.streams.set(method, stream as CallStream<unknown, unknown>);
+    const existing = connection.streams.get(method);
+    if (existing !== undefined) return existing;
+    const stream = createCallStream(connection.client, clock, method);
+    connection.streams.set(method, stream as CallStream<unknown, unknown>);
     return stream as CallStream<unknown, unknown>;
   };
 
@@ -188,17 +196,17 @@
     req: Req,
     timeoutMs: number,
   ): Promise<Either<OnyxError, Res>> => {
-    const on = take();
+    const connection = useConnection();
     return new Promise(resolve => {
-      streamOf(on, method).call(req, timeoutMs, (failure, res) => {
-        if (failure?.timedOut === true) noteTimeout(on);
-        else on.timeoutsInRow = 0;
+      getStream(connection, method).call(req, timeoutMs, (failure, res) => {
+        if (failure?.timedOut === true) countTimeout(connection);
+        else connection.consecutiveTimeouts = 0;
         if (failure === undefined) {
           resolve(Right(res as Res));
           return;
         }
         const err = failure.err ?? STREAM_CLOSED;
-        resolve(Left(toError({...failure, peer, method, err})));
+        resolve(Left(toCallError({...failure, peer, method, err})));
       });
     });
   };
@@ -210,28 +218,29 @@
     timeoutMs: number,
   ): Promise<Either<OnyxError, Res>> => {
     if (isStreamed(method)) return callOnStream(method, req, timeoutMs);
-    const on = take();
+    const connection = useConnection();
     return new Promise(resolve => {
       let timedOut = false;
-      const done = (err: ServiceError | null, res?: Res): void => {
+      const settle = (err: ServiceError | null, res?: Res): void => {
         cancelTimer();
-        if (timedOut) noteTimeout(on);
-        else on.timeoutsInRow = 0;
+        if (timedOut) countTimeout(connection);
+        else connection.consecutiveTimeouts = 0;
         if (err === null) {
           resolve(Right(res as Res));
           return;
         }
         // The stream is bound to a connection from when it is sent on; until
         // then the call names the channel's target as its peer.
-        const sent = stream.getPeer() !== on.client.getChannel().getTarget();
-        resolve(Left(toError({peer, method, sent, timedOut, err})));
+        const sent =
+          stream.getPeer() !== connection.client.getChannel().getTarget();
+        resolve(Left(toCallError({peer, method, sent, timedOut, err})));
       };
-      const stream = on.client.makeUnaryRequest(
+      const stream = connection.client.makeUnaryRequest(
         codec.path,
         codec.req.encode,
         codec.res.decode,
         req,
-        done,
+        settle,
       );
       // The deadline is on the monotonic clock. That of grpc is a reading of
       // the wall clock, whose steps would end every call at once.
@@ -244,9 +253,9 @@
 
   const openRun = (fresh: boolean): RunChannel => {
     if (fresh && clock.now() - current.dialledAt >= FRESH_FOR_MS) redial();
-    const on = take();
+    const connection = useConnection();
     const stream: ClientDuplexStream<RunUp, RunDown> =
-      on.client.makeBidiStreamRequest(
+      connection.client.makeBidiStreamRequest(
         RUN_CODEC.path,
         RUN_CODEC.req.encode,
         RUN_CODEC.res.decode,
@@ -260,7 +269,7 @@
   return {
     call,
     openRun,
-    usedAt: () => usedAt,
-    close: () => hangUp(current),
+    lastUsedAt: () => lastUsedAt,
+    close: () => closeConnection(current),
   };
 }
--- a/src/wire/peer_server.ts
+++ b/src/wire/peer_server.ts
@@ -23,7 +23,7 @@
 import type {Clock} from '../types/runtime.js';
 import type {Listener, PeerHandlers} from '../types/transport.js';
 import {answerStream} from './answer_stream.js';
-import {trafficOf} from './byte_counter.js';
+import {trafficKindOf} from './byte_counter.js';
 import type {ByteCounter, TrafficKind} from './byte_counter.js';
 import {CALL_CODECS, RUN_CODEC} from './codec.js';
 import {ipOf, serverCredentials} from './credentials.js';
@@ -87,7 +87,7 @@
   responseDeserialize: RUN_CODEC.res.decode,
 };
 
-function definitionOf(handlers: PeerHandlers): ServiceDefinition {
+function serviceDefinitionFor(handlers: PeerHandlers): ServiceDefinition {
   const served = METHODS.filter(method => handlers[method] !== undefined);
   const calls = served.map(
     method =>
@@ -101,18 +101,18 @@
   return {...definition, run: RUN_DEFINITION};
 }
 
-type KindOfPeer = (peer: string, kind: TrafficKind) => void;
+type MarkTrafficKind = (peer: string, kind: TrafficKind) => void;
 
 function callHandler<M extends PeerMethod>(
   method: M,
   handle: (req: PeerCalls[M]['req']) => Promise<PeerCalls[M]['res']>,
-  mark: KindOfPeer,
+  markTrafficKind: MarkTrafficKind,
 ) {
   return (
     call: ServerUnaryCall<PeerCalls[M]['req'], PeerCalls[M]['res']>,
     answer: sendUnaryData<PeerCalls[M]['res']>,
   ): void => {
-    mark(call.getPeer(), trafficOf(method));
+    markTrafficKind(call.getPeer(), trafficKindOf(method));
     // An async function turns a handler's throw into a rejection as well.
     const handled = (async () => handle(call.request))();
     handled.then(
@@ -131,13 +131,13 @@
 function streamHandler<M extends StreamedMethod>(
   method: M,
   handle: (req: PeerCalls[M]['req']) => Promise<PeerCalls[M]['res']>,
-  mark: KindOfPeer,
-  kept: Set<DeltaStream>,
+  markTrafficKind: MarkTrafficKind,
+  openStreams: Set<DeltaStream>,
 ) {
   return (stream: DeltaStream): void => {
-    mark(stream.getPeer(), trafficOf(method));
-    kept.add(stream);
-    stream.once('close', () => kept.delete(stream));
+    markTrafficKind(stream.getPeer(), trafficKindOf(method));
+    openStreams.add(stream);
+    stream.once('close', () => openStreams.delete(stream));
     answerStream(method, handle, stream, err =>
       stream.emit('error', {
         code: status.FAILED_PRECONDITION,
@@ -147,10 +147,10 @@
   };
 }
 
-function implementationOf(
+function serviceImplementationFor(
   handlers: PeerHandlers,
-  mark: KindOfPeer,
-  kept: Set<DeltaStream>,
+  markTrafficKind: MarkTrafficKind,
+  openStreams: Set<DeltaStream>,
 ): UntypedServiceImplementation {
   const implementation: UntypedServiceImplementation = {};
   for (const method of METHODS) {
@@ -158,13 +158,13 @@
       ((req: unknown) => Promise<never>) | undefined;
     if (handle === undefined) continue;
     implementation[method] = isStreamed(method)
-      ? streamHandler(method, handle, mark, kept)
-      : callHandler(method, handle, mark);
+      ? streamHandler(method, handle, markTrafficKind, openStreams)
+      : callHandler(method, handle, markTrafficKind);
   }
   const {run} = handlers;
   if (run !== undefined) {
     implementation['run'] = (stream: ServerDuplexStream<RunUp, RunDown>) => {
-      mark(stream.getPeer(), 'request');
+      markTrafficKind(stream.getPeer(), 'request');
       run(createGrpcChannel<RunDown, RunUp>(stream));
     };
   }
@@ -191,29 +191,29 @@
   options: PeerServerOptions,
 ): Promise<Listener> {
   const {handlers, clock, tls, bytes} = options;
-  const kinds = new Map<string, TrafficKind>();
+  const kindByPeer = new Map<string, TrafficKind>();
   const server = new Server({'grpc.enable_channelz': 0});
-  const mark: KindOfPeer = (peer, kind) => {
-    if (kinds.get(peer) === undefined) kinds.set(peer, kind);
+  const markTrafficKind: MarkTrafficKind = (peer, kind) => {
+    if (kindByPeer.get(peer) === undefined) kindByPeer.set(peer, kind);
   };
-  const kept = new Set<DeltaStream>();
+  const openStreams = new Set<DeltaStream>();
   server.addService(
-    definitionOf(handlers),
-    implementationOf(handlers, mark, kept),
+    serviceDefinitionFor(handlers),
+    serviceImplementationFor(handlers, markTrafficKind, openStreams),
   );
   const injector = server.createConnectionInjector(serverCredentials(tls));
 
-  const open = new Set<Socket>();
+  const openSockets = new Set<Socket>();
   const listener = createServer((socket: Socket) => {
     const peer = `${socket.remoteAddress}:${socket.remotePort}`;
     socket.setNoDelay();
     // A reset before the handshake has no other listener yet.
     socket.on('error', () => socket.destroy());
-    bytes.watch(socket, () => kinds.get(peer));
-    open.add(socket);
+    bytes.watch(socket, () => kindByPeer.get(peer));
+    openSockets.add(socket);
     socket.once('close', () => {
-      open.delete(socket);
-      kinds.delete(peer);
+      openSockets.delete(socket);
+      kindByPeer.delete(peer);
     });
     injector.injectConnection(socket);
   });
@@ -223,10 +223,10 @@
     new Promise(resolve => {
       listener.close();
       // A kept stream has no end of its own; the close would wait for it.
-      for (const stream of kept) stream.end();
+      for (const stream of openStreams) stream.end();
       const cancel = clock.after(CLOSE_GRACE_MS, () => {
         server.forceShutdown();
-        for (const socket of open) socket.destroy();
+        for (const socket of openSockets) socket.destroy();
         resolve();
       });
       server.tryShutdown(() => {
--- a/src/wire/proto_file.ts
+++ b/src/wire/proto_file.ts
@@ -8,13 +8,13 @@
 import type {MethodDefinition, ServiceDefinition} from '@grpc/proto-loader';
 
 /** Beside this module, and as seen from the build's output folder. */
-const PLACES = ['./peers.proto', '../../../src/wire/peers.proto'];
+const CANDIDATE_PATHS = ['./peers.proto', '../../../src/wire/peers.proto'];
 
 const SERVICE = 'onyxloft.Peer';
 
 function findFile(): string {
-  const paths = PLACES.map(place =>
-    fileURLToPath(new URL(place, import.meta.url)),
+  const paths = CANDIDATE_PATHS.map(candidate =>
+    fileURLToPath(new URL(candidate, import.meta.url)),
   );
   const found = paths.find(path => existsSync(path));
   if (found !== undefined) return found;
--- a/standins/memory_network.ts
+++ b/standins/memory_network.ts
@@ -17,12 +17,12 @@
   RunChannel,
   Transport,
 } from '../src/types/transport.js';
-import {trafficOf} from '../src/wire/byte_counter.js';
+import {trafficKindOf} from '../src/wire/byte_counter.js';
 import type {TrafficKind} from '../src/wire/byte_counter.js';
 import {
-  failedAtPeer,
-  notSent,
-  outcomeUnknown,
+  failedAtPeerError,
+  notSentError,
+  outcomeUnknownError,
 } from '../src/wire/call_errors.js';
 import {createFrameRelay} from './memory_frames.js';
 import type {CopiedRun, FrameFaults} from './memory_frames.js';
@@ -135,7 +135,7 @@
       if (!answerLost) links.send(conn, conn.from, () => settle(result));
     };
     const fail = (cause: string): void =>
-      answer(Left(failedAtPeer(method, conn.to.address, cause)));
+      answer(Left(failedAtPeerError(method, conn.to.address, cause)));
     if (handler === undefined) {
       fail('no handler');
       return;
@@ -174,7 +174,7 @@
     counts.set(method, (counts.get(method) ?? 0) + 1);
     if (method === 'offer') relay.noteOffer(req as PeerCalls['offer']['req']);
     return new Promise(resolve => {
-      const conn = connect(from, peer, trafficOf(method), false);
+      const conn = connect(from, peer, trafficKindOf(method), false);
       let settled = false;
       const settle: CallState<PeerCalls[M]['res']>['settle'] = result => {
         if (settled) return;
@@ -188,7 +188,7 @@
         settle(result);
       };
       const lose = (cause: string): void => {
-        const toError = conn.established ? outcomeUnknown : notSent;
+        const toError = conn.established ? outcomeUnknownError : notSentError;
         settle(Left(toError(method, peer, cause)));
       };
       const connectionLost = (): void => lose('connection lost');
--- a/standins/memory_run.ts
+++ b/standins/memory_run.ts
@@ -103,7 +103,7 @@
     },
     close: () => {
       if (!shut(own)) return;
-      own.frames.cut();
+      own.frames.abort();
       sendInOrder(() => closedByPeer(other));
     },
   };
