--- a/src/stores/http_client.ts
+++ b/src/stores/http_client.ts
@@ -1,7 +1,8 @@
 /**
- * One HTTP call to a platform service, with a timeout, answered as a value.
- * A failure tells whether any byte of the request can have been sent, which
- * is what decides between "did not happen" and "unknown" for a write.
+ * HTTP client for the platform's services, with pooled connections and a
+ * timeout for each request. Failures are returned as values. A failure states
+ * whether any byte of the request may have been sent. The caller of a write
+ * needs this to tell "did not happen" from "outcome unknown".
  */
 import {Agent, request} from 'node:http';
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
@@ -9,7 +10,7 @@
 import type {Either} from 'purify-ts';
 import type {Clock} from '../types/runtime.js';
 
-/** Failures of dialling: the request had no connection to go out on. */
+/** Errors of connecting. The request was not sent, as no connection existed. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -17,36 +18,40 @@
   'EADDRNOTAVAIL',
 ]);
 
+/** Time limit of a request, in milliseconds. A slower request is aborted. */
 const DEFAULT_TIMEOUT_MS = 1_000;
+/** Maximum number of open connections. Further requests wait for a free one. */
 const DEFAULT_CONNECTIONS = 16;
 /**
- * An idle connection is given up after this time. Servers do it after five
- * seconds or more; a call sent in that instant breaks with its effect unknown,
- * so the client is first, by a margin that a busy process does not use up.
+ * The client closes a connection that was idle for this many milliseconds.
+ * Servers close idle connections after five seconds or more. A request that is
+ * sent while the server closes the connection fails with an unknown outcome.
+ * The client therefore closes first. The margin is large enough for a busy
+ * process.
  */
 const IDLE_TIMEOUT_MS = 3_000;
 
 /** One request to a platform service. */
 export interface HttpRequest {
   readonly method: 'GET' | 'PUT' | 'POST' | 'DELETE';
-  /** Path with query. */
+  /** Path with the query string. */
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
-  /** Replaces the client's timeout, in milliseconds. */
+  /** Overrides the client's timeout, in milliseconds. */
   readonly timeoutMs?: number;
 }
 
-/** A whole answer, whatever its status. */
+/** A complete response, with any status. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: string;
-  /** Header `ETag`; empty when there is none. */
+  /** Value of the `ETag` header; empty when the header is missing. */
   readonly etag: string;
   readonly headers: IncomingHttpHeaders;
 }
 
-/** No whole answer came. */
+/** Failure of a request that got no complete response. */
 export interface HttpFailure {
   /** False only when the request cannot have reached the service. */
   readonly sent: boolean;
@@ -54,18 +59,21 @@
   readonly message: string;
 }
 
-/** Address and bounds of a client. */
+/** Address and limits of a client. */
 export interface HttpClientOptions {
-  /** Base, for example `http://127.0.0.1:7400`. */
+  /** Base URL, for example `http://127.0.0.1:7400`. */
   readonly url: string;
   readonly clock: Clock;
-  /** Limit from the call to the whole answer. @default 1000 */
+  /**
+   * Limit from the call to the complete response, in milliseconds.
+   * @default 1000
+   */
   readonly timeoutMs?: number;
-  /** Connections at once. @default 16 */
+  /** Maximum number of open connections. @default 16 */
   readonly connections?: number;
 }
 
-/** Pooled connections to one platform service. */
+/** Client of one platform service, with pooled connections. */
 export interface HttpClient {
   call(call: HttpRequest): Promise<Either<HttpFailure, HttpResponse>>;
   close(): Promise<void>;
@@ -86,12 +94,12 @@
   };
 }
 
-/** Makes a client; nothing is dialled before the first call. */
+/** Creates a client. It connects at the first call. */
 export function createHttpClient(options: HttpClientOptions): HttpClient {
   const {url, clock, timeoutMs = DEFAULT_TIMEOUT_MS} = options;
   const agent = new Agent({
     keepAlive: true,
-    // Ends idle connections only; calls have the timer below.
+    // Closes idle connections only. The timer below limits each request.
     timeout: IDLE_TIMEOUT_MS,
     maxSockets: options.connections ?? DEFAULT_CONNECTIONS,
   });
@@ -116,9 +124,9 @@
 
   return {
     call: async call => {
-      // A connection can go silent for good while new ones work: the caller
-      // would wait for ever. The abort destroys the connection, so the next
-      // call dials a new one.
+      // A connection can stop delivering data for good while new connections
+      // work. Without a limit the caller would wait forever. The abort destroys
+      // the connection, so the next request opens a new one.
       const abort = new AbortController();
       const limitMs = call.timeoutMs ?? timeoutMs;
       const cancel = clock.after(limitMs, () => abort.abort());
--- a/src/stores/http_host_list.ts
+++ b/src/stores/http_host_list.ts
@@ -1,4 +1,7 @@
-/** The platform's host list over HTTP. */
+/**
+ * HTTP client of the platform's host list. It checks each response against a
+ * schema and returns the same array while the list has not changed.
+ */
 import {z} from 'zod';
 import type {HostList} from '../types/platform.js';
 import type {Clock} from '../types/runtime.js';
@@ -21,20 +24,20 @@
   ),
 });
 
-/** Clock and time limit of the calls. */
+/** Clock and time limit of the requests. */
 export interface HttpHostListOptions {
   readonly clock: Clock;
-  /** Limit of each call. @default 1000 */
+  /** Time limit of each request, in milliseconds. @default 1000 */
   readonly timeoutMs?: number;
 }
 
-/** The host list with its connections. */
+/** The host list and the connections that it is read over. */
 export interface HttpHostList {
   readonly list: HostList;
   close(): Promise<void>;
 }
 
-/** Client of the host list at `url`, for example `http://127.0.0.1:7401`. */
+/** Creates a client of the host list at `url` (`http://127.0.0.1:7401`). */
 export function createHttpHostList(
   url: string,
   options: HttpHostListOptions,
--- a/src/stores/http_json.ts
+++ b/src/stores/http_json.ts
@@ -1,4 +1,8 @@
-/** One GET of a platform service whose answer must fit a schema. */
+/**
+ * GET requests to a platform service whose JSON responses must match a schema.
+ * A conditional variant returns the previous value while the response is
+ * unchanged.
+ */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
 import type {z} from 'zod';
@@ -6,17 +10,17 @@
 import type {Step} from '../types/errors.js';
 import type {HttpResponse, HttpClient} from './http_client.js';
 
-/** What to get, and how to read it. */
+/** The resource to get and the schema of its JSON. */
 export interface JsonSource<T> {
   readonly client: HttpClient;
-  /** Address, for errors. */
+  /** Address of the service, for error messages. */
   readonly peer: string;
   readonly path: string;
   readonly step: Step;
   readonly schema: z.ZodType<T>;
 }
 
-/** What an answer said before, kept to be asked for by its `ETag`. */
+/** The last response with its parsed value, revalidated by its `ETag`. */
 interface CachedResponse<T> {
   readonly etag: string;
   readonly body: string;
@@ -26,9 +30,9 @@
 const NOT_MODIFIED = 304;
 
 /**
- * Gets one path again and again. An answer that has not changed gives the same
- * value as before, so that the caller can tell by identity. Where the service
- * gives an `ETag`, what has not changed is not sent again.
+ * Creates a function that gets one path repeatedly. An unchanged response gives
+ * the identical value, so the caller can detect a change by identity. If the
+ * service sends an `ETag`, it does not send an unchanged body again.
  */
 export function createConditionalGet<T>(
   source: JsonSource<T>,
@@ -50,7 +54,10 @@
   };
 }
 
-/** Left: `timeout`, `peer-unreachable`, or `internal` for an odd answer. */
+/**
+ * Gets and parses a JSON resource. Left: `timeout`, `peer-unreachable`, or
+ * `internal` for a response that does not match the schema.
+ */
 export async function getJson<T>(
   source: JsonSource<T>,
 ): Promise<Either<OnyxError, T>> {
--- a/src/stores/http_object_store.ts
+++ b/src/stores/http_object_store.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's object API over HTTP. Each failure is told with its effect:
- * a write that was sent and got no clear answer may have taken effect, and
- * only the caller knows how to find out.
+ * HTTP client of the platform's object API. Each failure states its effect. A
+ * write that was sent and got no conclusive response may have taken effect.
+ * Only the caller knows how to find out.
  */
 import {Just, Left, Nothing, Right} from 'purify-ts';
 import type {Either, Maybe} from 'purify-ts';
@@ -17,9 +17,10 @@
 import type {HttpResponse, HttpRequest} from './http_client.js';
 
 const OBJECTS_PATH = '/v1/objects';
+/** Time limit of a request, in milliseconds. A slower request fails. */
 const DEFAULT_TIMEOUT_MS = 1_000;
 
-/** Counter of store calls by purpose, call and outcome. */
+/** Name of the counter of store calls by purpose, call and outcome. */
 export const STORE_CALLS_METRIC = 'onyxloft_store_calls_total';
 
 const objectSchema = z.object({
@@ -30,16 +31,19 @@
 const writtenSchema = z.object({version: z.number()});
 const keysSchema = z.object({keys: z.array(z.string())});
 
-/** Runtime and bounds of the calls. */
+/** Runtime and limits of the requests. */
 export interface HttpObjectStoreOptions {
   readonly runtime: Pick<Runtime, 'clock' | 'metrics'>;
-  /** Limit of each call; of a watch, beyond its wait. @default 1000 */
+  /**
+   * Time limit of each request, in milliseconds. A watch may take this much
+   * longer than its wait time. @default 1000
+   */
   readonly timeoutMs?: number;
-  /** Connections at once. @default 16 */
+  /** Maximum number of open connections. @default 16 */
   readonly connections?: number;
 }
 
-/** The object API with its connections. */
+/** The object API and the connections that it is called over. */
 export interface HttpObjectStore extends ObjectStore {
   close(): Promise<void>;
 }
@@ -65,7 +69,7 @@
   return {kind: 'unavailable', effect, version: 0, message};
 }
 
-/** Version now stored, from the body of a conflict; 0 when it tells none. */
+/** The stored version in the body of a conflict; 0 when the body has none. */
 function conflictVersion(answer: HttpResponse): number {
   return parse(writtenSchema, answer.body).mapOrDefault(it => it.version, 0);
 }
@@ -89,8 +93,9 @@
   if (status === 412) return rejected('conflict', conflictVersion(answer));
   if (status === 404) return rejected('not-found');
   if (status === 413) return rejected('too-large');
-  // A gateway answers 5xx also when the store behind it went silent after it
-  // got the write, so such an answer is no evidence that nothing happened.
+  // A gateway also responds with 5xx when the store behind it received the
+  // write and then stopped responding. A 5xx does not prove that the write had
+  // no effect.
   const mayHaveTakenEffect = status >= 500;
   return unavailable(
     call,
@@ -99,7 +104,7 @@
   );
 }
 
-/** Client of the object API at `url`, for example `http://127.0.0.1:7400`. */
+/** Creates a client of the object API at `url` (`http://127.0.0.1:7400`). */
 export function createHttpObjectStore(
   url: string,
   options: HttpObjectStoreOptions,
--- a/src/stores/http_weight_store.ts
+++ b/src/stores/http_weight_store.ts
@@ -1,4 +1,7 @@
-/** The platform's weight store over HTTP: its rate and its load. */
+/**
+ * HTTP client of the platform's weight store. It reads the transfer rate and
+ * the number of active and queued transfers.
+ */
 import {z} from 'zod';
 import type {WeightStore} from '../types/platform.js';
 import type {Clock} from '../types/runtime.js';
@@ -14,20 +17,20 @@
   queuedTransfers: z.number(),
 });
 
-/** Clock and time limit of the calls. */
+/** Clock and time limit of the requests. */
 export interface HttpWeightStoreOptions {
   readonly clock: Clock;
-  /** Limit of each call. @default 1000 */
+  /** Time limit of each request, in milliseconds. @default 1000 */
   readonly timeoutMs?: number;
 }
 
-/** The weight store with its connections. */
+/** The weight store and the connections that it is read over. */
 export interface HttpWeightStore {
   readonly status: WeightStore;
   close(): Promise<void>;
 }
 
-/** Client of the weight store at `url`. */
+/** Creates a client of the weight store at `url`. */
 export function createHttpWeightStore(
   url: string,
   options: HttpWeightStoreOptions,
--- a/src/stores/lease.ts
+++ b/src/stores/lease.ts
@@ -1,14 +1,14 @@
 /**
  * A lease on one object of the platform's store, with a fencing number. The
- * clocks of two hosts never need to agree: each process measures durations on
- * its own monotonic clock only.
+ * clocks of two hosts need not agree. Each process measures durations on its
+ * own monotonic clock only.
  *
- * The holder proves itself by conditional updates. Another process takes over
- * when the object's version stood still for longer than the lease's duration
- * on that process's clock. The holder counts from the moment it *sent* its
- * last successful update, the others from the moment they first *saw* its
- * version, which is later; so the holder gives up first, by a margin that
- * covers unlike clock rates.
+ * The holder renews the lease by conditional updates. Another process takes the
+ * lease over when the object's version has not changed for longer than the
+ * lease's duration on that process's clock. The holder measures the duration
+ * from the time it *sent* its last successful update. The others measure it
+ * from the time they first *saw* that version, which is later. The holder
+ * therefore stops first. A margin covers clocks that run at different rates.
  */
 import type {ServiceContext, ServiceName} from '../types/kernel.js';
 import type {FencingNumber, NodeId} from '../types/ids.js';
@@ -22,95 +22,102 @@
 } from './lease_record.js';
 import type {LeaseRecord} from './lease_record.js';
 
-/** The holder renews this many times within the lease's duration. */
+/** Number of renewals by the holder within the lease's duration. */
 const RENEWALS_PER_TTL = 3;
-/** Others look this many times within the lease's duration. */
+/** Number of reads by another candidate within the lease's duration. */
 const READS_PER_TTL = 2;
-/** After a failed call, the next try comes after this part of the duration. */
+/** Number of retries within the lease's duration after a failed call. */
 const RETRIES_PER_TTL = 10;
-/** Pauses are spread by this share to either side, against herds. */
+/**
+ * Each delay varies at random by up to this share in either direction. This
+ * prevents many processes from calling the store at the same time.
+ */
 const JITTER_SHARE = 0.2;
-/** Pause between two looks of a process that is no candidate. */
+/** Mean time between two reads by a process that is not a candidate. */
 const NON_CANDIDATE_READ_MS = 60_000;
 const NONCE_BYTES = 8;
 
-/** The lease to hold, its times, and who wants it. */
+/** The lease to acquire, its durations, and the process that acquires it. */
 export interface LeaseOptions {
-  /** Its calls must end within a time limit, as failures if need be. */
+  /** Each call must end within a time limit, with a failure if necessary. */
   readonly store: ObjectStore;
+  /** Key of the lease's object in the store. */
   readonly key: string;
-  /** How long the lease lasts after a renewal. */
+  /** How long the lease lasts after a renewal, in milliseconds. */
   readonly ttlMs: number;
   /**
-   * The holder stops this long before the end. It covers clocks that run at
-   * unlike rates and the time from a check of `valid()` to the effect of what
-   * is done on its strength.
+   * The holder stops this many milliseconds before the lease's end. The margin
+   * covers clocks that run at different rates, and the time between a check of
+   * `valid()` and the effect of the action that follows the check.
    */
   readonly marginMs: number;
   /** Name of this process. */
   readonly holder: NodeId;
   readonly runtime: Pick<Runtime, 'clock' | 'random' | 'log' | 'invariant'>;
   /**
-   * Highest fencing number that this process heard of elsewhere. Keeps the
-   * numbers growing when the object was removed. @default always 0
+   * Highest fencing number that this process received from other sources. It
+   * keeps the numbers increasing after the object was removed.
+   * @default always 0
    */
   readonly fenceFloor?: () => FencingNumber;
   /**
-   * Whether this process should be among the few that look at the lease often.
-   * The others look once in `IDLE_LOOK_MS`, so that the calls to the store do
-   * not grow with the fleet. @default always true
+   * Whether this process is one of the few candidates that read the lease
+   * often. The others read it about once in `NON_CANDIDATE_READ_MS`. This keeps
+   * the number of store calls from growing with the number of hosts.
+   * @default always true
    */
   readonly isCandidate?: () => boolean;
   /**
-   * How long the object must have been missing before it is made, in
-   * milliseconds. With heartbeats that carry `fenceFloor` it should be over
-   * what those take, and over the time for which a holder still believes.
-   * @default 0
+   * How long the object must have been missing before this process creates it,
+   * in milliseconds. If heartbeats carry `fenceFloor`, this time must be longer
+   * than a heartbeat takes, and longer than a former holder may still consider
+   * its lease valid. @default 0
    */
   readonly createAfterMs?: number;
-  /** Called when this process gains the lease or learns that it lost it. */
+  /** Called when this process acquires the lease or detects its loss. */
   readonly onChange?: (held: boolean) => void;
 }
 
-/** This process's part in a lease. */
+/** A lease as used by one process. */
 export interface Lease {
-  /** Whether this process may act now; to be asked before each action. */
+  /** Whether this process may act now. Must be called before each action. */
   valid(): boolean;
-  /** Number of the newest lease seen, ours or another's; 0 before any. */
+  /** Fencing number of the newest lease seen, of any holder; initially 0. */
   fence(): FencingNumber;
-  /** Holder of the newest lease seen; empty when there is none. */
+  /** Holder of the newest lease seen; empty when nobody holds it. */
   holder(): NodeId;
-  /** Starts, and stops when the service that owns it ends. */
+  /** Starts the lease, and stops it when the service in `ctx` ends. */
   run(ctx: Pick<ServiceContext<ServiceName>, 'own'>): void;
+  /** Starts to read, acquire and renew the lease. */
   start(): void;
-  /** Gives the lease up, so that another may take it at once. */
+  /** Releases the lease, so that another process can acquire it at once. */
   stop(): Promise<void>;
 }
 
-/** The lease as last seen in the store. */
+/** The newest version of the lease that this process saw in the store. */
 interface SeenLease {
   readonly version: number;
   readonly record: LeaseRecord;
-  /** On this process's clock: when this version was first seen. */
+  /** Time when this version was first seen, on this process's clock. */
   readonly firstSeenAt: number;
 }
 
-/** Our lease, proven by a conditional update. */
+/** The lease held by this process, proven by a conditional update. */
 interface HeldLease {
   readonly version: number;
   readonly record: LeaseRecord;
-  /** On this process's clock: when the proving update was sent. */
+  /** Time when the proving update was sent, on this process's clock. */
   readonly provenAt: number;
 }
 
-/** A write of ours whose effect is not known yet. */
+/** A write by this process whose effect is not known yet. */
 interface PendingWrite {
   readonly record: LeaseRecord;
-  /** When the first try of it was sent. */
+  /** Time when the first attempt was sent, on this process's clock. */
   readonly sentAt: number;
 }
 
-/** Makes a lease that nobody tries for until `run` or `start`. */
+/** Creates a lease. The process starts to acquire it at `run` or `start`. */
 export function createLease(options: LeaseOptions): Lease {
   const {store, key, ttlMs, marginMs, runtime} = options;
   const {clock, random, log} = runtime;
@@ -123,22 +130,23 @@
   let running = false;
   let cancelNextStep: Cancel = () => undefined;
   let currentStep: Promise<void> = Promise.resolve();
-  /** On this process's clock: since when no look found the object. */
+  /** Time since which no read found the object, on this process's clock. */
   let missingSince: number | undefined;
   let nextNonCandidateReadAt =
     clock.now() + NON_CANDIDATE_READ_MS * random.next();
 
-  // Computed from the clock at each call and never kept: a process that was
-  // frozen past its lease wakes with timers unfired and answers queued, and
-  // must find itself without the lease before any of them runs.
+  // The result is computed from the clock at each call and never cached. A
+  // process that was suspended past the end of its lease resumes with overdue
+  // timers and queued responses. Its lease must be invalid before any of their
+  // handlers runs.
   const valid = () =>
     running &&
     held !== undefined &&
     clock.now() < held.provenAt + ttlMs - marginMs;
 
   const recordSeen = (version: number, record: LeaseRecord) => {
-    // A stale read shows an older version. Taking it would restart the
-    // holder's time, or show a holder that has lost the lease.
+    // A stale read returns an older version. Recording it would restart the
+    // holder's duration, or show a holder that has lost the lease.
     if (seen !== undefined && version <= seen.version) return;
     seen = {version, record, firstSeenAt: clock.now()};
     highestFence = Math.max(highestFence, record.fence);
@@ -174,13 +182,13 @@
     options.onChange?.(true);
   };
 
-  /** Reads the object; false when that gave no lease record to go by. */
+  /** Reads the object. False if the read failed or gave no lease record. */
   const readLease = async (): Promise<boolean> => {
     const read = await store.get(key, 'lease');
     if (read.isLeft()) return false;
     const object = read.unsafeCoerce().extract();
-    // A stale read may show nothing where there is a lease; only a
-    // conditional write decides that there is none.
+    // A stale read may find no object although a lease exists. Only a
+    // conditional write proves that the object does not exist.
     if (object === undefined) {
       missingSince ??= clock.now();
       return true;
@@ -193,7 +201,7 @@
     return true;
   };
 
-  /** Compares what was read with our own writes. */
+  /** Compares the newest lease seen with this process's own writes. */
   const reconcile = () => {
     if (seen === undefined) return;
     const {version, record} = seen;
@@ -201,8 +209,8 @@
       pendingWrite !== undefined &&
       isSameWrite(record, pendingWrite.record)
     ) {
-      // The write took effect though its answer was lost. It counts from the
-      // first try: a later one may not be the one that took effect.
+      // The write took effect although its response was lost. The lease runs
+      // from the first attempt, which may be the one that took effect.
       recordHeld(version, record, pendingWrite.sentAt);
     } else if (held !== undefined && version > held.version) {
       recordLoss('taken over');
@@ -215,8 +223,8 @@
 
   /** Writes `record` over `version`, or creates it for version 0. */
   const write = async (record: LeaseRecord, version: number) => {
-    // Counted from before the call: the answer may come any time later, and
-    // others may count from any moment after the effect.
+    // The lease runs from a time before the call. The response may arrive much
+    // later, while others may measure from any time after the write's effect.
     const earlier =
       pendingWrite !== undefined && isSameWrite(pendingWrite.record, record)
         ? pendingWrite
@@ -247,8 +255,9 @@
       pendingWrite = undefined;
       return;
     }
-    // Conflict or lost answer: what is stored decides. A conflict may be
-    // with our own earlier write, whose answer was lost.
+    // After a conflict or a lost response, the stored object decides. The
+    // conflict may be with an earlier write by this process, whose response
+    // was lost.
     await readLease();
   };
 
@@ -258,22 +267,24 @@
   };
 
   const renew = async (lease: HeldLease): Promise<boolean> => {
-    // The same record is sent again until its fate is known. A new one would
-    // make an earlier one, taking effect late, look like another's write.
+    // The same record is sent again until its outcome is known. If a new record
+    // were sent, an earlier one that takes effect late would look like a write
+    // by another process.
     const record = pendingWrite?.record ?? nextRecord(lease.record.fence);
     return write(record, lease.version);
   };
 
   const isFree = (lease: SeenLease) => {
     if (lease.record.holder === FREE_HOLDER) return true;
-    // The longer duration of the two, in case the setting was changed.
+    // The setting may have changed, so the longer of both durations applies.
     const longerTtlMs = Math.max(lease.record.ttlMs, ttlMs);
     return clock.now() - lease.firstSeenAt > longerTtlMs;
   };
 
-  // Someone may have removed the object. A process that was just started has
-  // heard of no number, would begin at 1 again, and sides could not tell its
-  // orders from those of the placer before, which may still believe.
+  // An operator may have removed the object. A process that has just started
+  // knows no fencing number and would start at 1 again. Sides could then not
+  // distinguish its orders from those of the previous placer, which may still
+  // consider its lease valid.
   const mayCreate = () =>
     missingSince === undefined ||
     clock.now() - missingSince >= (options.createAfterMs ?? 0);
@@ -290,7 +301,11 @@
     return write(reusableRecord ?? nextRecord(number), seen?.version ?? 0);
   };
 
-  /** Correct whoever looks, as only the conditional write takes the lease. */
+  /**
+   * Tries to acquire the lease, unless this process is not a candidate and its
+   * next read is not due. Any process may try at any time, as only the
+   * conditional write acquires the lease.
+   */
   const acquireIfDue = async (): Promise<boolean> => {
     const isNonCandidate = options.isCandidate?.() === false;
     if (isNonCandidate && clock.now() < nextNonCandidateReadAt) return true;
@@ -300,7 +315,8 @@
   };
 
   const nextDelayMs = (ok: boolean) => {
-    // A renewal may be proven only as of long ago; the next one is then due.
+    // A renewal may be proven for a time so long ago that the lease is already
+    // invalid. The next renewal is then due soon.
     const isRetry = !ok || (held !== undefined && !valid());
     const usualStepsPerTtl =
       held === undefined ? READS_PER_TTL : RENEWALS_PER_TTL;
@@ -332,7 +348,8 @@
 
   const stop = async () => {
     if (!running) return;
-    // First not valid, then free: nobody can hold it while we still act.
+    // The lease becomes invalid here before it is released in the store, so no
+    // other process can hold it while this one still acts.
     running = false;
     cancelNextStep();
     await currentStep;
--- a/src/stores/lease_record.ts
+++ b/src/stores/lease_record.ts
@@ -1,21 +1,22 @@
-/** The object that a lease is kept in. */
+/** The content of the stored object that represents a lease, as JSON. */
 import {Just, Nothing} from 'purify-ts';
 import type {Maybe} from 'purify-ts';
 import {z} from 'zod';
 import type {FencingNumber, NodeId} from '../types/ids.js';
 
-/** Holder of a lease that was given up. */
+/** Value of `holder` in a lease that its holder has released. */
 export const FREE_HOLDER: NodeId = '';
 
-/** Content of the object. */
+/** Content of the stored object. */
 export interface LeaseRecord {
   readonly holder: NodeId;
-  /** Random per process start: tells two processes of one name apart. */
+  /** Random for each process start; distinguishes processes of one name. */
   readonly nonce: string;
-  /** Counts the holder's writes: tells which of them took effect. */
+  /** Number of the holder's write. Shows which write took effect. */
   readonly seq: number;
-  /** Grows by one with each take-over. */
+  /** Fencing number; increases with each acquisition of the lease. */
   readonly fence: FencingNumber;
+  /** How long the lease lasts after a renewal, in milliseconds. */
   readonly ttlMs: number;
 }
 
@@ -27,12 +28,15 @@
   ttlMs: z.number(),
 });
 
-/** JSON text; `parseLeaseRecord` reads it back. */
+/** Formats a record as JSON, which `parseLeaseRecord` reads. */
 export function formatLeaseRecord(record: LeaseRecord): string {
   return JSON.stringify(record);
 }
 
-/** Nothing when the object is no lease, as after a slip of an operator. */
+/**
+ * Parses a stored record. Nothing if the object is not a lease record, for
+ * example after an operator overwrote it by mistake.
+ */
 export function parseLeaseRecord(value: string): Maybe<LeaseRecord> {
   try {
     return Just(recordSchema.parse(JSON.parse(value)));
--- a/src/wire/answer_stream.ts
+++ b/src/wire/answer_stream.ts
@@ -1,4 +1,7 @@
-/** The answering end of calls that go over one kept stream. */
+/**
+ * Server side of calls that share one long-lived stream. It answers the calls
+ * of the stream in the order in which they arrive.
+ */
 import type {ServerDuplexStream} from '@grpc/grpc-js';
 import type {PeerCalls} from '../types/peer_messages.js';
 import {CALL_CODECS} from './codec.js';
@@ -8,7 +11,7 @@
 import {STREAMED_CALLS} from './heartbeat_streams.js';
 import type {StreamedCall, StreamedMethod} from './heartbeat_streams.js';
 
-/** Answers each call in the order of their arrival, until the caller ends. */
+/** Answers the calls in order of arrival until the caller ends the stream. */
 export function answerStream<M extends StreamedMethod>(
   method: M,
   handle: (req: PeerCalls[M]['req']) => Promise<PeerCalls[M]['res']>,
@@ -49,6 +52,6 @@
   });
   stream.on('cancelled', markClosed);
   stream.on('close', markClosed);
-  // Without a listener an error of the connection would end the process.
+  // Without a listener, a connection error would end the process.
   stream.on('error', markClosed);
 }
--- a/src/wire/byte_counter.ts
+++ b/src/wire/byte_counter.ts
@@ -1,16 +1,20 @@
 /**
  * Counts the bytes of connections between the system's processes at their
- * sockets, TLS and framing included, apart by control and request traffic.
- * Each connection carries one of the two, so a socket's bytes are of one kind.
+ * sockets, including TLS and framing. Control and request traffic are counted
+ * separately. Each connection carries only one of the two kinds.
  */
 import type {Socket} from 'node:net';
 import type {PeerMethod} from '../types/peer_messages.js';
 import type {Cancel, Clock, Metrics} from '../types/runtime.js';
 
-/** Control keeps the fleet together; request is the path of requests. */
+/**
+ * Kind of traffic on a connection: `request` for the messages of a request,
+ * `control` for all other messages, such as heartbeats and configuration.
+ */
 export type TrafficKind = 'control' | 'request';
 
 const BYTES_METRIC = 'onyxloft_peer_bytes_total';
+/** Interval at which the counters are updated, in milliseconds. */
 const SAMPLE_PERIOD_MS = 1_000;
 
 const REQUEST_TRAFFIC_METHODS: ReadonlySet<string> = new Set<PeerMethod>([
@@ -19,7 +23,7 @@
   'locate',
 ]);
 
-/** Offers, abandons and locates are of a request; the rest is control. */
+/** Offer, abandon and locate calls are request traffic, others are control. */
 export function trafficKindOf(method: PeerMethod): TrafficKind {
   return REQUEST_TRAFFIC_METHODS.has(method) ? 'request' : 'control';
 }
@@ -27,21 +31,24 @@
 /** Counts the bytes of sockets by direction and kind of traffic. */
 export interface ByteCounter {
   /**
-   * Counts a socket until it closes. `kind` is asked at each sample; while it
-   * is undefined the bytes wait for it.
+   * Counts the bytes of a socket until it closes. `kind` is called at each
+   * sample. While it returns undefined, the bytes are left for a later sample.
    */
   watch(socket: Socket, kind: () => TrafficKind | undefined): void;
+  /** Stops sampling after a last sample. */
   close(): void;
 }
 
 interface WatchedSocket {
   readonly socket: Socket;
   readonly kind: () => TrafficKind | undefined;
+  /** Received bytes that the metrics already include. */
   countedRead: number;
+  /** Sent bytes that the metrics already include. */
   countedWritten: number;
 }
 
-/** Starts to sample; `close` takes the last sample. */
+/** Creates a counter that samples its sockets until `close`. */
 export function createByteCounter(clock: Clock, metrics: Metrics): ByteCounter {
   const watchedSockets = new Set<WatchedSocket>();
 
--- a/src/wire/call_errors.ts
+++ b/src/wire/call_errors.ts
@@ -1,4 +1,7 @@
-/** Errors of calls between processes, the same for every transport. */
+/**
+ * Errors of calls between processes, shared by all transports. They tell apart
+ * a call that was not sent, one with an unknown outcome, and one that failed.
+ */
 import {OnyxError} from '../types/errors.js';
 import type {Step} from '../types/errors.js';
 import type {Address} from '../types/ids.js';
@@ -15,7 +18,7 @@
   order: 'order',
 };
 
-/** The call reached no connection, so the peer has not seen it. */
+/** Error of a call that reached no connection. The peer did not receive it. */
 export function notSentError(
   method: PeerMethod,
   peer: Address,
@@ -30,8 +33,9 @@
 }
 
 /**
- * The call was sent and no answer came. A connection lost after sending says
- * no more than a timeout does: the peer may have done what was asked.
+ * Error of a call that was sent and not answered. The code is `timeout` also if
+ * the connection was lost after sending. In both cases the peer may have
+ * executed the call.
  */
 export function outcomeUnknownError(
   method: PeerMethod,
@@ -46,7 +50,7 @@
   });
 }
 
-/** The peer answered that its handler failed. */
+/** Error of a call whose handler failed at the peer. */
 export function failedAtPeerError(
   method: PeerMethod,
   peer: Address,
--- a/src/wire/call_stream.ts
+++ b/src/wire/call_stream.ts
@@ -1,4 +1,7 @@
-/** The calling end of calls that go over one kept stream; answers in order. */
+/**
+ * Client side of calls that share one long-lived stream. Answers carry no id.
+ * They are matched to the calls by their order.
+ */
 import {Metadata} from '@grpc/grpc-js';
 import type {Client, ClientDuplexStream, ServiceError} from '@grpc/grpc-js';
 import type {PeerCalls} from '../types/peer_messages.js';
@@ -10,7 +13,7 @@
 import {DELTA_CODEC, STREAMED_CALLS} from './heartbeat_streams.js';
 import type {StreamedCall, StreamedMethod} from './heartbeat_streams.js';
 
-/** What came of a call without an answer. */
+/** Failure of a call that got no answer. */
 export interface StreamFailure {
   /** False when the request never reached a connection. */
   readonly sent: boolean;
@@ -21,9 +24,11 @@
 
 type Settle<Res> = (failure: StreamFailure | undefined, res?: Res) => void;
 
-/** Calls of one method over one kept stream, answered in order. */
+/** Calls of one method over one long-lived stream, answered in order. */
 export interface CallStream<Req, Res> {
+  /** Sends a call. `settle` is called once, with a failure or an answer. */
   call(req: Req, timeoutMs: number, settle: Settle<Res>): void;
+  /** Ends the stream after the calls already sent on it. */
   close(): void;
 }
 
@@ -32,13 +37,14 @@
   readonly cancelTimer: Cancel;
 }
 
+/** An open stream and the calls on it that wait for an answer. */
 interface OpenStream<Req, Res> {
   readonly stream: ClientDuplexStream<Delta, Delta>;
   readonly encode: (req: Req) => Delta;
   readonly pendingCalls: Array<PendingCall<Res>>;
 }
 
-/** Opens the stream with the first call, and anew after each loss. */
+/** Opens the stream at the first call, and a new one after each failure. */
 export function createCallStream<M extends StreamedMethod>(
   client: Client,
   clock: Clock,
@@ -51,8 +57,9 @@
   let current: OpenStream<Req, Res> | undefined;
 
   /**
-   * Answers are matched to calls by their order, so after one that is missing
-   * none on that stream can be trusted: all that wait there fail with it.
+   * Fails all pending calls of a stream and cancels the stream. Answers are
+   * matched to calls by their order. After a missing answer, every later answer
+   * on that stream would be matched to the wrong call.
    */
   const failStream = (
     failed: OpenStream<Req, Res>,
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -1,7 +1,8 @@
 /**
- * Turns the contracts of `types/peer_messages.ts` into the messages of
- * `peers.proto` and back. Most fields go as they are; unions go as a oneof
- * named by their `kind`, and fields that are not set are left out again.
+ * Converts the types of `types/peer_messages.ts` to the messages of
+ * `peers.proto` and back. Most fields are encoded unchanged. A union becomes a
+ * oneof whose field is named by the union's `kind`. Unset fields are removed
+ * when a message is decoded.
  */
 import type {
   OfferRes,
@@ -15,16 +16,16 @@
 import {wireMethod} from './proto_file.js';
 import type {WireMessage, WireMethod} from './proto_file.js';
 
-/** Message to bytes and back. */
+/** Encodes and decodes messages of one type. */
 export interface Codec<T> {
   readonly encode: (value: T) => Buffer;
-  /** Throws on bytes that are no such message. */
+  /** Throws if the bytes are not a message of this type. */
   readonly decode: (bytes: Buffer) => T;
 }
 
-/** How one method goes over the wire. */
+/** Path and codecs of one method. */
 export interface MethodCodec<Req, Res> {
-  /** Path of the method in grpc. */
+  /** gRPC path of the method. */
   readonly path: string;
   readonly req: Codec<Req>;
   readonly res: Codec<Res>;
@@ -38,14 +39,16 @@
   >;
 };
 
+/** A side heartbeat with its dispatch ids in packed form. */
 type PackedHeartbeat = WireMessage &
   Omit<SideHeartbeatReq, 'owned'> & {readonly owned: readonly Buffer[]};
 
+/** A member of a union that is told apart by `kind`. */
 interface TaggedUnion {
   readonly kind: string;
 }
 
-/** Names of the oneof's fields by `kind`, where they differ. */
+/** Field names in the oneof by `kind`, for kinds with a different name. */
 const FIELD_OF_KIND: Readonly<Record<string, string>> = {
   'prompt-end': 'promptEnd',
 };
@@ -53,7 +56,7 @@
   promptEnd: 'prompt-end',
 };
 
-/** Leaves out message fields that were not set, which come as null. */
+/** Removes unset message fields, which are decoded as null. */
 function omitUnsetFields(message: WireMessage): WireMessage {
   const set = Object.entries(message).filter(([, value]) => value !== null);
   return Object.fromEntries(set);
@@ -71,6 +74,7 @@
   return {kind: KIND_OF_FIELD[field] ?? field, ...fields};
 }
 
+/** Codec of a method's plain objects, as `proto-loader` provides it. */
 interface RawCodec {
   readonly serialize: (value: WireMessage) => Buffer;
   readonly deserialize: (bytes: Buffer) => WireMessage;
@@ -145,7 +149,7 @@
   };
 }
 
-/** Codecs of the calls by method. */
+/** Codecs of all calls, by method. */
 export const CALL_CODECS: CallCodecs = {
   offer: offerCodec(),
   abandon: plainCallCodec<'abandon'>('Abandon'),
@@ -157,5 +161,5 @@
   order: plainCallCodec<'order'>('Order'),
 };
 
-/** Codec of a run's frames: `req` goes up to the side, `res` down. */
+/** Codec of a run's frames. `req` is sent to the side, `res` to the entry. */
 export const RUN_CODEC: MethodCodec<RunUp, RunDown> = runCodec();
--- a/src/wire/credentials.ts
+++ b/src/wire/credentials.ts
@@ -1,19 +1,20 @@
 /**
- * Credentials of connections between the system's processes: plain TCP, or
- * mutual TLS under the operators' own certificate authority.
+ * Credentials of connections between the system's processes. Connections use
+ * plain TCP, or mutual TLS with the operators' own certificate authority.
  *
- * Peers are addressed by IP, so a server's certificate has to name the dialled
- * IP among its subject alternative names. That is enough: the authority signs
- * for this system only, and a certificate taken from one host can't be used to
- * pose as another. A client has to show a certificate of the authority; which
- * host it is does not matter, since any entry may call any side.
+ * Peers are addressed by IP. A server's certificate must therefore list the
+ * dialled IP among its subject alternative names. This check is sufficient: the
+ * authority signs for this system only, and a certificate stolen from one host
+ * can't be used to impersonate another. A client must present a certificate of
+ * the authority. The client's host is not checked, since any entry may call any
+ * side.
  */
 import type {Socket} from 'node:net';
 import {checkServerIdentity} from 'node:tls';
 import {ChannelCredentials, ServerCredentials} from '@grpc/grpc-js';
 import type {Address} from '../types/ids.js';
 
-/** PEM texts. */
+/** Certificate, private key and certificate authority, in PEM format. */
 export interface TlsOptions {
   readonly cert: Buffer;
   readonly key: Buffer;
@@ -22,12 +23,12 @@
 }
 
 /**
- * Name sent in the handshake, where an IP is not allowed (RFC 6066). It is not
- * what the certificate is checked for.
+ * Server name sent in the TLS handshake, where RFC 6066 does not allow an IP.
+ * The certificate is checked for the dialled IP, not for this name.
  */
 export const TLS_SERVER_NAME = 'onyxloft-peer';
 
-/** The IP of an address `ip:port`; of IPv6 without its brackets. */
+/** Returns the IP of an address `ip:port`, without the brackets of IPv6. */
 export function ipOf(address: Address): string {
   const host = address.slice(0, address.lastIndexOf(':'));
   return host.replace(/^\[|\]$/g, '');
@@ -46,7 +47,7 @@
 type Connector = ReturnType<ChannelCredentials['_createSecureConnector']>;
 type ConnectorArgs = Parameters<ChannelCredentials['_createSecureConnector']>;
 
-/** Credentials that show each TCP socket of theirs before it is used. */
+/** Credentials that pass each TCP socket to `onSocket` before its use. */
 class SocketReportingCredentials extends ChannelCredentials {
   constructor(
     private readonly base: ChannelCredentials,
@@ -77,7 +78,7 @@
   }
 }
 
-/** Credentials to dial `peer`; `onSocket` gets each connection's socket. */
+/** Credentials to dial `peer`. `onSocket` receives each connection's socket. */
 export function clientCredentials(
   peer: Address,
   tls: TlsOptions | undefined,
@@ -86,7 +87,7 @@
   return new SocketReportingCredentials(baseCredentials(peer, tls), onSocket);
 }
 
-/** Credentials to listen with; under TLS the caller must show a certificate. */
+/** Credentials to listen with. With TLS, clients must present a certificate. */
 export function serverCredentials(
   tls: TlsOptions | undefined,
 ): ServerCredentials {
--- a/src/wire/delta.ts
+++ b/src/wire/delta.ts
@@ -1,24 +1,28 @@
 /**
- * Delta encoding of the messages of one stream. Heartbeats hardly differ from
- * one to the next, and most of their bytes were names that both ends know. A
- * field that equals that of the message before is left out, and a bit in
- * `same` tells so. A stream keeps order and loses nothing, so both ends
- * remember the same message; each new stream begins with a whole one.
+ * Delta encoding of the messages of one stream. Successive heartbeats hardly
+ * differ, and most of their bytes were names that both ends already know. The
+ * encoder omits each field that equals the field of the previous message, and
+ * sets its bit in `same`. A stream preserves order and loses no message, so
+ * both ends know the same previous message. Each stream starts with a complete
+ * message.
  */
 import type {Codec} from './codec.js';
 
-/** What goes over the wire; see `Delta` in `peers.proto`. */
+/** A delta-encoded message; see `Delta` in `peers.proto`. */
 export interface Delta {
-  /** Bit `i` is set when field `i` is that of the message before. */
+  /** Bit `i` is set if field `i` equals that of the previous message. */
   readonly same: number;
-  /** The message without those fields. */
+  /** The encoded message without the unchanged fields. */
   readonly message: Buffer;
 }
 
-/** Names of a message's fields; new ones go to the end, 31 at most. */
+/**
+ * Names of a message's fields, by their bit in `same`. New fields must be added
+ * at the end. At most 31 fields are possible.
+ */
 export type FieldNames<T> = ReadonlyArray<keyof T & string>;
 
-/** Encodes the messages of one stream, in the order in which they are sent. */
+/** Creates the encoder of one stream. Messages are sent in encoding order. */
 export function createDeltaEncoder<T extends object>(
   codec: Codec<T>,
   fields: FieldNames<T>,
@@ -41,7 +45,7 @@
   };
 }
 
-/** Decodes the messages of one stream, in the order in which they came. */
+/** Creates the decoder of one stream. Messages must be passed in order. */
 export function createDeltaDecoder<T extends object>(
   codec: Codec<T>,
   fields: FieldNames<T>,
@@ -50,7 +54,7 @@
   return ({same, message}) => {
     const received = codec.decode(message);
     if (same !== 0 && previous === undefined) {
-      throw new Error('the first message of a stream is not whole');
+      throw new Error('the first message of a stream is not complete');
     }
     const unchanged = fields.filter((_, i) => (same & (1 << i)) !== 0);
     const unchangedEntries = unchanged.map(name => [name, previous?.[name]]);
@@ -59,7 +63,7 @@
   };
 }
 
-/** The value that takes no bytes. */
+/** Returns the value of the same type that is encoded in zero bytes. */
 function emptyValueOf(value: unknown): unknown {
   if (Array.isArray(value)) return [];
   switch (typeof value) {
--- a/src/wire/frame_stream.ts
+++ b/src/wire/frame_stream.ts
@@ -1,22 +1,22 @@
 /**
- * Frames that came in on a channel, as a `most` stream with one observer. What
- * comes before the observer does is kept for it.
+ * Frames received on a channel, as a `most` stream with one observer. Frames
+ * that arrive before the observer subscribes are buffered.
  */
 import {Stream} from 'most';
 import type {Disposable, Scheduler, Sink} from 'most';
 
-/** A stream with the end that feeds it. */
+/** A stream and the functions that write to it. */
 export interface FrameStream<T> {
   readonly stream: Stream<T>;
-  /** Hands a frame to the observer; dropped after the end. */
+  /** Delivers a frame to the observer. Frames after the end are dropped. */
   push(frame: T): void;
-  /** Ends the stream after the frames that came before. */
+  /** Ends the stream after all earlier frames have been delivered. */
   end(): void;
-  /** Ends the stream and drops the frames not yet handed over. */
+  /** Ends the stream and drops the frames not yet delivered. */
   abort(): void;
 }
 
-/** `onObserve` is called once, when the observer comes. */
+/** Creates a stream. `onObserve` is called when the observer subscribes. */
 export function createFrameStream<T>(
   onObserve: () => void = () => undefined,
 ): FrameStream<T> {
@@ -25,7 +25,7 @@
   let currentTime: () => number = () => 0;
   let ended = false;
 
-  /** An error of the observer ends its stream; the promise of it rejects. */
+  /** An error of the observer ends the stream and rejects its promise. */
   const deliver = (to: Sink<T>, frame: T): void => {
     try {
       to.event(currentTime(), frame);
--- a/src/wire/grpc_channel.ts
+++ b/src/wire/grpc_channel.ts
@@ -1,19 +1,22 @@
-/** A run's channel over one grpc stream, at either end. */
+/**
+ * A run's channel over one gRPC stream. The client and the server both use it.
+ * It limits the sender by the flow control of the stream.
+ */
 import type {ClientDuplexStream, ServerDuplexStream} from '@grpc/grpc-js';
 import type {Channel} from '../types/transport.js';
 import {createFrameStream} from './frame_stream.js';
 
 /**
- * Makes a channel of a grpc stream. `close` ends the own direction, which
- * tells the other end; `onClosed` is called once when the channel has closed,
- * from here or from there.
+ * Creates a channel over a gRPC stream. `close` ends the outgoing direction,
+ * which notifies the peer. `onClosed` is called once, when either end has
+ * closed the channel.
  */
 export function createGrpcChannel<Out, In>(
   stream: ClientDuplexStream<Out, In> | ServerDuplexStream<In, Out>,
   onClosed: () => void = () => undefined,
 ): Channel<Out, In> {
-  // Nothing is read before somebody observes the frames, so that until then
-  // flow control holds the sender back.
+  // Reading starts when the frames are observed. Until then, flow control
+  // limits the sender.
   const frames = createFrameStream<In>(() => {
     stream.on('data', (frame: In) => frames.push(frame));
   });
@@ -34,7 +37,7 @@
     return true;
   };
 
-  /** The other end closed, or the connection is lost. */
+  /** Handles a close by the peer and the loss of the connection. */
   const closedByPeer = (): void => {
     if (closeOnce()) frames.end();
   };
@@ -43,7 +46,7 @@
   stream.on('end', closedByPeer);
   stream.on('close', closedByPeer);
   stream.on('cancelled', closedByPeer);
-  // Without a listener an error of the connection would end the process.
+  // Without a listener, a connection error would end the process.
   stream.on('error', closedByPeer);
 
   return {
--- a/src/wire/grpc_transport.ts
+++ b/src/wire/grpc_transport.ts
@@ -1,8 +1,8 @@
 /**
- * The transport between processes, by grpc over TCP. Each peer has one
- * connection for control traffic and one for requests, so that heartbeats do
- * not wait behind a prompt of megabytes and the bytes of both can be told
- * apart at the socket.
+ * Transport between processes over gRPC and TCP. Each peer has one connection
+ * for control traffic and one for requests. Heartbeats therefore do not wait
+ * behind prompts of several megabytes, and the bytes of both kinds can be
+ * counted separately at the sockets.
  */
 import type {Socket} from 'node:net';
 import type {Address} from '../types/ids.js';
@@ -16,10 +16,13 @@
 import type {PeerClient} from './peer_client.js';
 import {listenForPeers} from './peer_server.js';
 
-/** Unused time after which the connections to a peer are dropped. */
+/**
+ * Connections to a peer that were unused for this many milliseconds are closed
+ * when the next client is created.
+ */
 const MAX_UNUSED_MS = 600_000;
 
-/** Time, metrics and certificates of the transport. */
+/** Clock, metrics and certificates of the transport. */
 export interface GrpcTransportOptions {
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -27,13 +30,16 @@
   readonly tls?: TlsOptions;
 }
 
-/** Makes a transport; nothing is dialled before the first call. */
+/** Creates a transport. It connects to a peer at the first call or run. */
 export function createGrpcTransport(options: GrpcTransportOptions): Transport {
   const {clock, metrics, tls} = options;
   const bytes = createByteCounter(clock, metrics);
   const clients = new Map<string, PeerClient>();
 
-  /** Hosts are replaced at any time; their addresses do not come back. */
+  /**
+   * Closes the clients of peers that are no longer called. Hosts may be
+   * replaced at any time, and their addresses are not used again.
+   */
   const closeUnusedClients = (): void => {
     const usedBefore = clock.now() - MAX_UNUSED_MS;
     for (const [key, client] of clients) {
--- a/src/wire/heartbeat_streams.ts
+++ b/src/wire/heartbeat_streams.ts
@@ -1,7 +1,8 @@
 /**
- * Which calls go over a kept stream rather than each as a call of its own.
- * Heartbeats come for ever: the headers of a call for each cost more bytes and
- * processor time than what they say. docs/CAPACITY.md has the figures.
+ * Defines the calls that share a long-lived stream instead of being unary
+ * calls. Heartbeats are sent continuously. As unary calls, their headers would
+ * cost more bytes and processor time than their content. docs/CAPACITY.md has
+ * the figures.
  */
 import type {
   EntryHeartbeatReq,
@@ -18,7 +19,7 @@
 /** Methods whose calls share a stream. */
 export type StreamedMethod = 'sideHeartbeat' | 'entryHeartbeat';
 
-/** A streamed method's path and the fields of its messages. */
+/** gRPC path of a streamed method and the field names of its messages. */
 export interface StreamedCall<M extends StreamedMethod> {
   readonly path: string;
   readonly req: FieldNames<PeerCalls[M]['req']>;
@@ -56,7 +57,10 @@
   'fence',
 ];
 
-/** Field order is part of the wire form: deltas name fields by position. */
+/**
+ * Path and fields of each streamed method. The order of the fields is part of
+ * the wire format, since deltas identify fields by position.
+ */
 export const STREAMED_CALLS: {
   readonly [M in StreamedMethod]: StreamedCall<M>;
 } = {
@@ -78,7 +82,7 @@
 
 const {requestSerialize, requestDeserialize} = wireMethod('SideHeartbeats');
 
-/** Codec of the stream's own messages, in both directions. */
+/** Codec of the deltas on a heartbeat stream, for both directions. */
 export const DELTA_CODEC: Codec<Delta> = {
   encode: delta => requestSerialize(delta as unknown as WireMessage),
   decode: bytes => requestDeserialize(bytes) as unknown as Delta,
--- a/src/wire/packed_id.ts
+++ b/src/wire/packed_id.ts
@@ -1,17 +1,21 @@
 /**
- * Dispatch ids in half their length. An entry names the dispatches it owns in
- * each heartbeat, which makes them the larger part of it.
+ * Packs dispatch ids into about half their length. An entry sends the ids of
+ * its dispatches in each heartbeat, where they take most of the bytes.
  */
 import type {DispatchId} from '../types/ids.js';
 
-/** 128 bits in hex, a dot, and an attempt that fits a byte. */
+/** A standard id: 128 bits in hex, a dot, and an attempt of up to 3 digits. */
 const STANDARD_ID = /^([0-9a-f]{32})\.(0|[1-9][0-9]{0,2})$/;
+/** Highest attempt that fits one byte. Ids with a higher one go as text. */
 const MAX_ATTEMPT = 255;
+/** First byte of a packed standard id. */
 const STANDARD_TAG = 1;
+/** First byte of an id in text form. */
 const TEXT_TAG = 0;
+/** End of the request's 16 bytes, which follow the tag. */
 const REQUEST_END_OFFSET = 17;
 
-/** Any text is taken; those of the usual form come out as 18 bytes. */
+/** Packs an id of any form. A standard id takes 18 bytes. */
 export function packDispatchId(id: DispatchId): Buffer {
   const parts = STANDARD_ID.exec(id);
   const attempt = Number(parts?.[2]);
@@ -22,7 +26,7 @@
   return Buffer.concat([Buffer.of(STANDARD_TAG), request, Buffer.of(attempt)]);
 }
 
-/** Throws on bytes that `packDispatchId` does not make. */
+/** Unpacks an id. Throws if `packDispatchId` can't have produced the bytes. */
 export function unpackDispatchId(bytes: Buffer): DispatchId {
   if (bytes[0] === TEXT_TAG) return bytes.toString('utf8', 1);
   if (bytes[0] !== STANDARD_TAG || bytes.length !== REQUEST_END_OFFSET + 1) {
--- a/src/wire/peer_client.ts
+++ b/src/wire/peer_client.ts
@@ -1,6 +1,7 @@
 /**
- * Connections to one peer for one kind of traffic: kept between calls, dialled
- * again by grpc when lost, and given up for a new one when it went silent.
+ * Client of one peer for one kind of traffic. It keeps its connection open
+ * between calls. gRPC reconnects after a loss. The client replaces the
+ * connection when the peer has stopped responding on it.
  */
 import type {Socket} from 'node:net';
 import {Client, Metadata, status} from '@grpc/grpc-js';
@@ -31,16 +32,23 @@
 import {isStreamed} from './heartbeat_streams.js';
 import type {StreamedMethod} from './heartbeat_streams.js';
 
-/** Timeouts in a row after which a connection counts as silent. */
+/**
+ * Number of consecutive timeouts after which a connection is considered silent
+ * and is replaced.
+ */
 const SILENT_AFTER_CONSECUTIVE_TIMEOUTS = 2;
 /**
- * A connection younger than this is fresh to every run that asks for one. A
- * silent connection takes all its runs along, and they notice together; each
- * on a connection of its own would be hundreds of them at once. Silence takes
- * longer than this to notice, so no run gets back the connection it left.
+ * A connection younger than this, in milliseconds, is given to every run that
+ * requests a fresh connection. When a connection becomes silent, all its runs
+ * detect it at the same time. A new connection for each run would mean hundreds
+ * at once. Detecting silence takes longer than this time, so no run gets the
+ * connection that it abandoned.
  */
 const FRESH_FOR_MS = 500;
-/** Time for a closed run's last frames before its stream is cut. */
+/**
+ * Time in milliseconds to send the last frames of a closed run. The stream is
+ * cancelled after it.
+ */
 const CLOSE_GRACE_MS = 1_000;
 
 const NO_CONNECTION = 'no connection in time';
@@ -52,18 +60,18 @@
 };
 
 const CHANNEL_OPTIONS: ChannelOptions = {
-  // Each client has connections of its own, so that a new client is a new
-  // connection and control traffic never waits behind a prompt.
+  // Each client has its own connections. A new client thus opens a new
+  // connection, and control traffic never waits behind a prompt.
   'grpc.use_local_subchannel_pool': 1,
-  // Who calls decides on retries: it knows what may be repeated.
+  // Callers decide on retries, since they know which calls may be repeated.
   'grpc.enable_retries': 0,
   'grpc.enable_http_proxy': 0,
   'grpc.enable_channelz': 0,
   'grpc.service_config_disable_resolution': 1,
   'grpc.initial_reconnect_backoff_ms': 100,
   'grpc.max_reconnect_backoff_ms': 1_000,
-  // Ends a connection that went silent under an open stream. Streams notice
-  // sooner by their own beats; this frees the socket.
+  // Closes a connection that stopped responding under an open stream. The
+  // stream detects this sooner by its own beat frames. This frees the socket.
   'grpc.keepalive_time_ms': 20_000,
   'grpc.keepalive_timeout_ms': 5_000,
   'grpc.keepalive_permit_without_calls': 0,
@@ -71,7 +79,7 @@
   'grpc.default_authority': TLS_SERVER_NAME,
 };
 
-/** One peer, and how to dial it. `onSocket` gets each new connection. */
+/** A peer and how to dial it. `onSocket` receives each new socket. */
 export interface PeerClientOptions {
   readonly peer: Address;
   readonly clock: Clock;
@@ -79,7 +87,7 @@
   readonly onSocket: (socket: Socket) => void;
 }
 
-/** Connections to one peer. */
+/** Client of one peer. */
 export interface PeerClient {
   call<Req, Res>(
     method: PeerMethod,
@@ -87,22 +95,25 @@
     req: Req,
     timeoutMs: number,
   ): Promise<Either<OnyxError, Res>>;
+  /** Opens a run; `fresh` requests a newly opened connection. */
   openRun(fresh: boolean): RunChannel;
-  /** When it was last used, on the process's clock. */
+  /** Time of the last call or run, on the process's clock. */
   lastUsedAt(): number;
-  /** Ends the connection with the last call or run sent on it. */
+  /** Closes the connection when the last call or run on it has ended. */
   close(): void;
 }
 
+/** A gRPC client with one connection and the streams on it. */
 interface Connection {
   readonly client: Client;
+  /** Time when the client was created, on the process's clock. */
   readonly dialledAt: number;
-  /** Kept streams, by the method whose calls go over them. */
+  /** Long-lived streams by the method whose calls they carry. */
   readonly streams: Map<StreamedMethod, CallStream<unknown, unknown>>;
   consecutiveTimeouts: number;
 }
 
-/** What became of a call, as seen by the transport. */
+/** Failure of a call, as seen by the transport. */
 interface CallFailure {
   readonly peer: Address;
   readonly method: PeerMethod;
@@ -112,7 +123,7 @@
   readonly err: Pick<ServiceError, 'code' | 'details'>;
 }
 
-/** Answers that the peer's own server gives when a handler fails. */
+/** Statuses that the peer's server returns if a handler fails or is missing. */
 const ANSWERED_STATUSES: ReadonlySet<status> = new Set([
   status.FAILED_PRECONDITION,
   status.UNIMPLEMENTED,
@@ -129,7 +140,7 @@
   return outcomeUnknownError(method, peer, timedOut ? NO_ANSWER : err.details);
 }
 
-/** Dials with the first call, and anew after timeouts in a row. */
+/** Connects at the first call, and again after consecutive timeouts. */
 export function createPeerClient(options: PeerClientOptions): PeerClient {
   const {peer, clock, tls, onSocket} = options;
   const target = `${peer.startsWith('[') ? 'ipv6' : 'ipv4'}:${peer}`;
@@ -153,17 +164,17 @@
     return current;
   };
 
-  /** An open stream would keep the connection for ever. */
+  /** Ends the streams first, since an open stream keeps the connection open. */
   const closeConnection = (connection: Connection): void => {
     for (const stream of connection.streams.values()) stream.close();
     connection.client.close();
   };
 
   /**
-   * An established connection can go silent for good: writes succeed and no
-   * answer comes, call after call. A new connection is the cure. Calls and
-   * runs already sent on the old one go on; those that still wait for it to
-   * connect end as not sent.
+   * Replaces the connection. An established connection can become silent for
+   * good: writes succeed, but no call is answered. Calls and runs already sent
+   * on the old connection continue. Those that still wait for it to connect
+   * fail as not sent.
    */
   const redial = (): void => {
     const replaced = current;
@@ -229,8 +240,8 @@
           resolve(Right(res as Res));
           return;
         }
-        // The stream is bound to a connection from when it is sent on; until
-        // then the call names the channel's target as its peer.
+        // A call is bound to a connection when it is sent. Until then,
+        // `getPeer` returns the channel's target.
         const sent =
           stream.getPeer() !== connection.client.getChannel().getTarget();
         resolve(Left(toCallError({peer, method, sent, timedOut, err})));
@@ -242,8 +253,8 @@
         req,
         settle,
       );
-      // The deadline is on the monotonic clock. That of grpc is a reading of
-      // the wall clock, whose steps would end every call at once.
+      // The timeout uses the monotonic clock. A gRPC deadline uses the wall
+      // clock, and a step of the wall clock would end every call at once.
       const cancelTimer = clock.after(timeoutMs, () => {
         timedOut = true;
         stream.cancel();
--- a/src/wire/peer_server.ts
+++ b/src/wire/peer_server.ts
@@ -1,6 +1,6 @@
 /**
- * The listening end: takes connections, hands calls to handlers, and tells
- * which connection carries which kind of traffic.
+ * Server for calls and runs from peers. It accepts connections, passes calls to
+ * the handlers, and records the kind of traffic of each connection.
  */
 import {createServer} from 'node:net';
 import type {Server as NetServer, Socket} from 'node:net';
@@ -33,10 +33,13 @@
 import {DELTA_CODEC, STREAMED_CALLS, isStreamed} from './heartbeat_streams.js';
 import type {StreamedMethod} from './heartbeat_streams.js';
 
-/** Time for open calls to end after `close`, before they are cut. */
+/**
+ * Time in milliseconds for open calls to end after `close`. Calls still open
+ * after it are aborted.
+ */
 const CLOSE_GRACE_MS = 1_000;
 
-/** Where to listen, and who answers. */
+/** Address to listen at, handlers of the calls, and the byte counter. */
 export interface PeerServerOptions {
   readonly address: Address;
   readonly handlers: PeerHandlers;
@@ -113,7 +116,8 @@
     answer: sendUnaryData<PeerCalls[M]['res']>,
   ): void => {
     markTrafficKind(call.getPeer(), trafficKindOf(method));
-    // An async function turns a handler's throw into a rejection as well.
+    // The async function also turns an exception of the handler into a
+    // rejection.
     const handled = (async () => handle(call.request))();
     handled.then(
       res => answer(null, res),
@@ -186,7 +190,7 @@
   });
 }
 
-/** Listens at an address; port 0 takes a free one. */
+/** Listens at an address. Port 0 selects a free port. */
 export async function listenForPeers(
   options: PeerServerOptions,
 ): Promise<Listener> {
@@ -207,7 +211,7 @@
   const listener = createServer((socket: Socket) => {
     const peer = `${socket.remoteAddress}:${socket.remotePort}`;
     socket.setNoDelay();
-    // A reset before the handshake has no other listener yet.
+    // No other listener exists if the connection is reset before the handshake.
     socket.on('error', () => socket.destroy());
     bytes.watch(socket, () => kindByPeer.get(peer));
     openSockets.add(socket);
@@ -222,7 +226,8 @@
   const close = (): Promise<void> =>
     new Promise(resolve => {
       listener.close();
-      // A kept stream has no end of its own; the close would wait for it.
+      // Heartbeat streams do not end by themselves. Without this, the close
+      // would wait for them.
       for (const stream of openStreams) stream.end();
       const cancel = clock.after(CLOSE_GRACE_MS, () => {
         server.forceShutdown();
--- a/src/wire/proto_file.ts
+++ b/src/wire/proto_file.ts
@@ -1,13 +1,14 @@
 /**
- * Loads `peers.proto`, so that no generator is needed. The compiler leaves the
- * file where it is, so the built program finds it in the source folder.
+ * Loads `peers.proto` at run time, so that no code generator is needed. The
+ * compiler does not copy the file, so the built program loads it from the
+ * source folder.
  */
 import {existsSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 import {loadSync} from '@grpc/proto-loader';
 import type {MethodDefinition, ServiceDefinition} from '@grpc/proto-loader';
 
-/** Beside this module, and as seen from the build's output folder. */
+/** Paths relative to this module: in the source and in the build folder. */
 const CANDIDATE_PATHS = ['./peers.proto', '../../../src/wire/peers.proto'];
 
 const SERVICE = 'onyxloft.Peer';
@@ -19,12 +20,12 @@
   const found = paths.find(path => existsSync(path));
   if (found !== undefined) return found;
   throw new Error(
-    `peers.proto is at none of ${paths.join(', ')}; ` +
-      'put it beside the built module or keep the source folder',
+    `peers.proto was not found at any of ${paths.join(', ')}; ` +
+      'put it next to the built module or keep the source folder',
   );
 }
 
-/** Decoded messages are plain objects with the names of the contracts. */
+/** Decodes messages to plain objects with the names in `peer_messages.ts`. */
 const definitions = loadSync(findFile(), {
   arrays: true,
   defaults: true,
@@ -33,13 +34,13 @@
   oneofs: true,
 });
 
-/** A message as `proto-loader` takes and gives it. */
+/** A message as `proto-loader` encodes and decodes it. */
 export type WireMessage = Readonly<Record<string, unknown>>;
 
-/** A grpc method with messages as plain objects. */
+/** A gRPC method whose messages are plain objects. */
 export type WireMethod = MethodDefinition<WireMessage, WireMessage>;
 
-/** Definition of a method by its name in `peers.proto`. */
+/** Returns the definition of a method by its name in `peers.proto`. */
 export function wireMethod(name: string): WireMethod {
   const service = definitions[SERVICE] as ServiceDefinition;
   return service[name] as WireMethod;
--- a/test/grpc_tls.test.ts
+++ b/test/grpc_tls.test.ts
@@ -17,16 +17,16 @@
 const REQ = {requestId: 'r', organisation: 'o'};
 
 let authority: Authority;
-let stranger: Authority;
+let otherAuthority: Authority;
 
 beforeAll(() => {
   authority = createAuthority();
-  stranger = createAuthority();
+  otherAuthority = createAuthority();
 });
 
 afterAll(() => {
   authority.remove();
-  stranger.remove();
+  otherAuthority.remove();
 });
 
 function listenWith(tls: TlsOptions, onCall: () => void): Promise<string> {
@@ -39,7 +39,7 @@
   return listen(handlers, newTransport(undefined, tls));
 }
 
-/** What a call gives, and whether a handler saw it. */
+/** Makes a call; returns its outcome and whether a handler received it. */
 async function tryCall(server: TlsOptions, client?: TlsOptions) {
   let handled = false;
   const address = await listenWith(server, () => {
@@ -56,7 +56,7 @@
 }
 
 describe('mutual TLS between processes', () => {
-  it('lets two hosts of the authority talk', async () => {
+  it('accepts a call between two hosts of the same authority', async () => {
     const server = authority.issue('127.0.0.1');
     const client = authority.issue('127.0.0.2');
     expect(await tryCall(server, client)).toEqual({
@@ -65,7 +65,7 @@
     });
   });
 
-  it('refuses a caller that shows no certificate', async () => {
+  it('refuses a caller that presents no certificate', async () => {
     const server = authority.issue('127.0.0.1');
     let handled = false;
     const address = await listenWith(server, () => {
@@ -96,15 +96,14 @@
 
   it('refuses a caller of another authority', async () => {
     const server = authority.issue('127.0.0.1');
-    const client = {...stranger.issue('127.0.0.2'), ca: server.ca};
+    const client = {...otherAuthority.issue('127.0.0.2'), ca: server.ca};
     const {outcome, handled} = await tryCall(server, client);
     expect(outcome).not.toBe('ok');
     expect(handled).toBe(false);
   });
 
-  // A host's certificate was taken and another process poses as a side with
-  // it. The entry dials the side's IP, is shown a certificate for another one
-  // and sends nothing, although the authority signed it.
+  // Another process impersonates a side with a stolen host's certificate. The
+  // authority signed it, but it names another IP, so the entry sends nothing.
   it('refuses a server whose certificate names another IP', async () => {
     const server = authority.issue('127.0.0.9');
     const client = authority.issue('127.0.0.2');
--- a/test/grpc_transport.test.ts
+++ b/test/grpc_transport.test.ts
@@ -35,8 +35,8 @@
 const SEED = 20260101;
 const TIMEOUT_MS = 10_000;
 
-/** Forwards bytes to a peer until it is told to swallow them. */
-async function listenSilenceable(target: string) {
+/** Forwards bytes to a peer. After `silence` it discards them. */
+async function listenAsProxy(target: string) {
   const sockets = new Set<Socket>();
   const silenced = new Set<Socket>();
   const [ip, port] = target.split(':');
@@ -69,7 +69,7 @@
   };
 }
 
-/** A run whose frames are taken one by one. */
+/** Opens a run whose frames are read one at a time with `next`. */
 function openRun(transport: Transport, peer: string, fresh: boolean) {
   const channel = transport.openRun(peer, fresh);
   const frames: RunDown[] = [];
@@ -89,7 +89,7 @@
   return {channel, next};
 }
 
-/** Buffers compare as the plain byte arrays that they are. */
+/** Converts buffers to plain byte arrays, so that they compare as equal. */
 function withPlainBytes<T extends object>(frame: T): T {
   if (!('data' in frame)) return frame;
   return {...frame, data: Uint8Array.from(frame.data as Uint8Array)};
@@ -147,38 +147,46 @@
 };
 
 describe('calls over loopback', () => {
-  it.each(METHODS)('carries any %s there and back unchanged', async method => {
-    let seen: unknown;
-    let next: unknown;
-    const address = await listen({
-      [method]: async (req: unknown) => {
-        seen = req;
-        return next;
-      },
-    } as PeerHandlers);
-    const transport = newTransport();
-    const {req, res} = CALL_ARBITRARIES[method] as {
-      readonly req: Arbitrary<never>;
-      readonly res: Arbitrary<never>;
-    };
-    await fc.assert(
-      fc.asyncProperty(req, res, async (question, reply) => {
-        next = reply;
-        const got = await transport.call(address, method, question, TIMEOUT_MS);
-        expect(seen).toEqual(question);
-        expect(got.extract()).toEqual(reply);
-      }),
-      {seed: SEED, numRuns: 50},
-    );
-  });
+  it.each(METHODS)(
+    'transfers any %s request and response unchanged',
+    async method => {
+      let seen: unknown;
+      let next: unknown;
+      const address = await listen({
+        [method]: async (req: unknown) => {
+          seen = req;
+          return next;
+        },
+      } as PeerHandlers);
+      const transport = newTransport();
+      const {req, res} = CALL_ARBITRARIES[method] as {
+        readonly req: Arbitrary<never>;
+        readonly res: Arbitrary<never>;
+      };
+      await fc.assert(
+        fc.asyncProperty(req, res, async (question, reply) => {
+          next = reply;
+          const got = await transport.call(
+            address,
+            method,
+            question,
+            TIMEOUT_MS,
+          );
+          expect(seen).toEqual(question);
+          expect(got.extract()).toEqual(reply);
+        }),
+        {seed: SEED, numRuns: 50},
+      );
+    },
+  );
 
-  it('keeps a heartbeat within 160 bytes each way', () => {
+  it('encodes a heartbeat and its answer in at most 160 bytes each', () => {
     const {req, res} = CALL_CODECS.sideHeartbeat;
     expect(req.encode(HEARTBEAT).length).toBeLessThanOrEqual(160);
     expect(res.encode(HEARTBEAT_RES).length).toBeLessThanOrEqual(160);
   });
 
-  it('tells a failed handler from a lost answer', async () => {
+  it('distinguishes a failed handler from a lost answer', async () => {
     const address = await listen({
       abandon: () => Promise.reject(new Error('no such dispatch')),
     });
@@ -191,7 +199,7 @@
 });
 
 describe('a run over loopback', () => {
-  it('carries frames both ways in order and ends at both ends', async () => {
+  it('transfers frames in order in both directions and ends at both ends', async () => {
     const up = fc.sample(RUN_UP_ARBITRARY, {seed: SEED, numRuns: 300});
     const down = fc.sample(RUN_DOWN_ARBITRARY, {seed: SEED, numRuns: 300});
     const atSide: RunUp[] = [];
@@ -216,7 +224,7 @@
     expect(atSide).toEqual(up);
   });
 
-  it('holds back a sender while nobody observes the frames', async () => {
+  it('limits a sender while nobody observes the frames', async () => {
     const opened: RunServerChannel[] = [];
     const address = await listen({run: channel => void opened.push(channel)});
     const channel = newTransport().openRun(address, false);
@@ -229,7 +237,7 @@
       }
     };
     const filled = fill();
-    // A call that went there and back tells that the sender had its turns.
+    // The calls give the sender enough event loop turns to send more.
     const idle = await listen({locate: async () => LOCATED});
     const transport = newTransport();
     for (let turn = 0; turn < 200; turn++) {
@@ -249,7 +257,7 @@
 });
 
 describe('faults of the connection', () => {
-  it('says that a call was not sent when nobody listens', async () => {
+  it('reports that a call was not sent when nobody listens', async () => {
     const got = await newTransport().call(
       '127.0.0.1:1',
       'sideHeartbeat',
@@ -263,7 +271,7 @@
     });
   });
 
-  it('says that the outcome is unknown when the peer goes mid-call', async () => {
+  it('reports an unknown outcome when the peer closes during a call', async () => {
     let arrived = (): void => undefined;
     const calls = new Promise<void>(resolve => {
       arrived = resolve;
@@ -287,68 +295,65 @@
     expect(err).toMatchObject({code: 'timeout', peer: listener.address});
   });
 
-  // A connection stays open while something between the two ends has lost
-  // track of it: calls are sent and time out one after the other. After the
-  // second the next call goes out on a new connection and is answered; without
-  // that every later call would time out for good.
-  it('dials anew after two timeouts in a row', async () => {
+  // A connection stays open but delivers nothing, so its calls time out.
+  // Without a new connection every later call would time out as well.
+  it('opens a new connection after two consecutive timeouts', async () => {
     const address = await listen({sideHeartbeat: async () => HEARTBEAT_RES});
-    const silent = await listenSilenceable(address);
+    const proxy = await listenAsProxy(address);
     const transport = newTransport();
-    const beat = async (timeoutMs: number): Promise<string> => {
+    const sendHeartbeat = async (timeoutMs: number): Promise<string> => {
       const got = await transport.call(
-        silent.address,
+        proxy.address,
         'sideHeartbeat',
         HEARTBEAT,
         timeoutMs,
       );
       return got.caseOf({Left: err => err.code, Right: () => 'ok'});
     };
-    expect(await beat(TIMEOUT_MS)).toBe('ok');
-    silent.silence();
-    expect(await beat(50)).toBe('timeout');
-    expect(await beat(50)).toBe('timeout');
-    expect(await beat(TIMEOUT_MS)).toBe('ok');
-    expect(silent.connections()).toBe(2);
+    expect(await sendHeartbeat(TIMEOUT_MS)).toBe('ok');
+    proxy.silence();
+    expect(await sendHeartbeat(50)).toBe('timeout');
+    expect(await sendHeartbeat(50)).toBe('timeout');
+    expect(await sendHeartbeat(TIMEOUT_MS)).toBe('ok');
+    expect(proxy.connections()).toBe(2);
   });
 
-  // An established connection went silent under a run. The run opens again on
-  // a new connection, which works, while a run on the old one goes on for as
-  // long as it lasts; were the old one closed, that run would be cut as well.
-  it('opens fresh runs on a new connection and cuts no other', async () => {
+  // A run on a silent connection opens again on a new one. Closing the old
+  // connection would also abort the other runs on it.
+  it('opens fresh runs on a new connection and aborts no other run', async () => {
     const address = await listen({
       run: channel => {
         void channel.frames.observe(() => void channel.send({kind: 'beat'}));
         void channel.send({kind: 'started'});
       },
     });
-    const silent = await listenSilenceable(address);
+    const proxy = await listenAsProxy(address);
     const clock = createVirtualClock();
     const metrics = createRecordedMetrics();
     const transport = createGrpcTransport({clock, metrics});
     closeAfterTest(() => transport.close());
-    const kept = openRun(transport, silent.address, false);
-    expect(await kept.next()).toEqual({kind: 'started'});
+    const older = openRun(transport, proxy.address, false);
+    expect(await older.next()).toEqual({kind: 'started'});
 
     clock.advance(1_000);
-    const fresh = openRun(transport, silent.address, true);
-    const sharing = openRun(transport, silent.address, true);
+    const fresh = openRun(transport, proxy.address, true);
+    const sharing = openRun(transport, proxy.address, true);
     expect(await fresh.next()).toEqual({kind: 'started'});
     expect(await sharing.next()).toEqual({kind: 'started'});
-    expect(silent.connections()).toBe(2);
-    await kept.channel.send({kind: 'beat'});
-    expect(await kept.next()).toEqual({kind: 'beat'});
+    expect(proxy.connections()).toBe(2);
+    await older.channel.send({kind: 'beat'});
+    expect(await older.next()).toEqual({kind: 'beat'});
 
     clock.advance(1_000);
-    silent.silence();
-    const again = openRun(transport, silent.address, true);
+    proxy.silence();
+    const again = openRun(transport, proxy.address, true);
     expect(await again.next()).toEqual({kind: 'started'});
-    expect(silent.connections()).toBe(3);
+    expect(proxy.connections()).toBe(3);
   });
 });
 
 describe('bytes of peers', () => {
-  it('are counted at both ends, control apart from requests', async () => {
+  it('are counted at both ends, separately for control and requests', async () => {
     const client = createRecordedMetrics();
     const server = createRecordedMetrics();
     const serving = newTransport(server);
@@ -361,7 +366,7 @@
     );
     const transport = newTransport(client);
     for (let beat = 0; beat < 20; beat++) {
-      // What a heartbeat repeats of the one before takes no bytes.
+      // Varies the entry, since a field equal to the previous one is omitted.
       const entry = `${beat}`.padStart(140, 'e');
       const req = {...HEARTBEAT, entry};
       await transport.call(address, 'sideHeartbeat', req, TIMEOUT_MS);
@@ -375,8 +380,8 @@
     const control = bytes(client, 'control', 'out');
     expect(control).toBeGreaterThan(20 * 140);
     expect(bytes(client, 'request', 'out')).toBeLessThan(20 * 140);
-    // Both ends count the same but for the frames of the connection itself
-    // that are on their way.
+    // Both ends count the same bytes, except for frames of the connection
+    // itself that are still in transit.
     for (const kind of ['control', 'request']) {
       const sent = bytes(client, kind, 'out');
       const answered = bytes(server, kind, 'out');
--- a/test/heartbeat_streams.test.ts
+++ b/test/heartbeat_streams.test.ts
@@ -15,31 +15,36 @@
 
 const {req: REQ, res: RES} = CALL_ARBITRARIES.sideHeartbeat;
 
-/** Messages that each share some of their fields with the one before. */
-function drift<T extends object>(whole: readonly T[]): readonly T[] {
+/** Copies some fields of each message from the previous message. */
+function shareSomeFields<T extends object>(whole: readonly T[]): readonly T[] {
   const keys: readonly string[] = Object.keys(whole[0] ?? {});
   return whole.reduce<readonly T[]>((done, one, i) => {
     const before = done.at(-1);
-    const kept = keys.filter((_, at) => before && (i >> (at % 4)) % 2 === 1);
-    const same = kept.map(key => [key, before?.[key as keyof T]]);
-    return [...done, {...one, ...Object.fromEntries(same)}];
+    const sharedKeys = keys.filter(
+      (_, at) => before && (i >> (at % 4)) % 2 === 1,
+    );
+    const sharedEntries = sharedKeys.map(key => [
+      key,
+      before?.[key as keyof T],
+    ]);
+    return [...done, {...one, ...Object.fromEntries(sharedEntries)}];
   }, []);
 }
 
 describe('heartbeats over one stream', () => {
-  test('come as they were given, whatever they share', async () => {
+  test('are decoded unchanged, whichever fields they share', async () => {
     const options = {seed: SEED, numRuns: 100};
-    const reqs = drift<SideHeartbeatReq>(fc.sample(REQ, options));
-    const answers = drift<SideHeartbeatRes>(fc.sample(RES, options));
-    const heard: SideHeartbeatReq[] = [];
+    const reqs = shareSomeFields<SideHeartbeatReq>(fc.sample(REQ, options));
+    const answers = shareSomeFields<SideHeartbeatRes>(fc.sample(RES, options));
+    const receivedRequests: SideHeartbeatReq[] = [];
     const address = await listen({
       sideHeartbeat: async req => {
-        heard.push(req);
-        return answers[heard.length - 1] as SideHeartbeatRes;
+        receivedRequests.push(req);
+        return answers[receivedRequests.length - 1] as SideHeartbeatRes;
       },
     });
     const transport = newTransport();
-    const got: SideHeartbeatRes[] = [];
+    const receivedAnswers: SideHeartbeatRes[] = [];
     for (const req of reqs) {
       const res = await transport.call(
         address,
@@ -47,38 +52,35 @@
         req,
         TIMEOUT_MS,
       );
-      got.push(res.unsafeCoerce());
+      receivedAnswers.push(res.unsafeCoerce());
     }
-    expect(heard).toEqual(reqs);
-    expect(got).toEqual(answers);
+    expect(receivedRequests).toEqual(reqs);
+    expect(receivedAnswers).toEqual(answers);
   });
 
   test('cost at most 60 bytes each way when nothing has changed', async () => {
     const [req] = fc.sample(REQ, {seed: SEED, numRuns: 1});
     const [res] = fc.sample(RES, {seed: SEED, numRuns: 1});
     const address = await listen({sideHeartbeat: async () => res});
-    const bytesOf = async (beats: number): Promise<number> => {
+    const bytesOf = async (heartbeats: number): Promise<number> => {
       const metrics = createRecordedMetrics();
       const transport = newTransport(metrics);
-      for (let i = 0; i < beats; i++) {
+      for (let i = 0; i < heartbeats; i++) {
         await transport.call(address, 'sideHeartbeat', req, TIMEOUT_MS);
       }
       await transport.close();
       return metrics.total('onyxloft_peer_bytes_total', {kind: 'control'});
     };
-    const more = (await bytesOf(110)) - (await bytesOf(10));
-    expect(more / 100).toBeLessThan(2 * 60);
+    const addedBytes = (await bytesOf(110)) - (await bytesOf(10));
+    expect(addedBytes / 100).toBeLessThan(2 * 60);
   });
 
-  // The entry hears nothing of one heartbeat until its time is over, and the
-  // side answers it later, when the entry already waits for the next answer.
-  // Were the stream kept, the late answer would pass for that of the next. The
-  // stream stands before: the time of the one that is held must not pass while
-  // a busy machine still dials, since the side would hold the next one then.
-  test('never take a late answer for that of the next', async () => {
+  // The answer of a timed-out heartbeat must not count for the next one. The
+  // first call connects, so that a slow dial can't use up the 50 ms timeout.
+  test('never match a late answer to the next heartbeat', async () => {
     const [first, second] = fc.sample(RES, {seed: SEED, numRuns: 2});
     let release: (res: SideHeartbeatRes) => void = () => undefined;
-    const held = new Promise<SideHeartbeatRes>(resolve => {
+    const delayedAnswer = new Promise<SideHeartbeatRes>(resolve => {
       release = resolve;
     });
     let calls = 0;
@@ -86,7 +88,7 @@
       sideHeartbeat: () => {
         calls += 1;
         if (calls === 1) return Promise.resolve(second);
-        if (calls === 2) return held;
+        if (calls === 2) return delayedAnswer;
         release(first);
         return Promise.resolve(second);
       },
@@ -106,7 +108,7 @@
     expect(calls).toBe(3);
   });
 
-  test('tell a failed handler, and go on after it', async () => {
+  test('report a failed handler and continue after it', async () => {
     const [res] = fc.sample(RES, {seed: SEED, numRuns: 1});
     let calls = 0;
     const address = await listen({
@@ -126,10 +128,9 @@
     expect((await call()).unsafeCoerce()).toEqual(res);
   });
 
-  // A process closes while others send it heartbeats. Their streams have no
-  // end of their own: the close would last until its grace is over, which the
-  // clock of this test never reaches.
-  test('hold up no close of the process that answers them', async () => {
+  // Heartbeat streams do not end by themselves, so a close could wait for its
+  // full grace time. The clock of this test never reaches that time.
+  test('do not delay the close of the process that answers them', async () => {
     const [res] = fc.sample(RES, {seed: SEED, numRuns: 1});
     const [req] = fc.sample(REQ, {seed: SEED, numRuns: 1});
     const serving = createGrpcTransport({
--- a/test/http_client.test.ts
+++ b/test/http_client.test.ts
@@ -1,4 +1,4 @@
-/** The client of the platform's services, and connections that are kept. */
+/** Reuse of idle connections by the client of the platform's services. */
 import {createServer} from 'node:http';
 import type {Server} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -6,14 +6,14 @@
 import {createHttpClient} from '../src/stores/http_client.js';
 import {createProcessClock} from '../src/utils/clock.js';
 
-const SERVER_KEEPS_MS = 5_000;
+const SERVER_IDLE_TIMEOUT_MS = 5_000;
 
 let server: Server;
 let connections = 0;
 beforeEach(async () => {
   connections = 0;
   server = createServer((_req, res) => res.end('well'));
-  server.keepAliveTimeout = SERVER_KEEPS_MS;
+  server.keepAliveTimeout = SERVER_IDLE_TIMEOUT_MS;
   server.on('connection', () => connections++);
   await new Promise<void>(resolve => {
     server.listen(0, '127.0.0.1', resolve);
@@ -26,12 +26,10 @@
 
 const wait = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
-describe('a kept connection', () => {
-  // The server closes a connection that was idle for five seconds. A call sent
-  // on it in that instant breaks, and whether it took effect is unknown: a
-  // request that may not repeat would be refused for it. So a connection is
-  // given up well before the server does it.
-  test('is used again at once, and not shortly before its end', async () => {
+describe('an idle connection', () => {
+  // A call that is sent while the server closes its idle connection has an
+  // unknown outcome. The client therefore closes it well before the server.
+  test('is reused at once, but not shortly before the server closes it', async () => {
     const {port} = server.address() as AddressInfo;
     const client = createHttpClient({
       url: `http://127.0.0.1:${port}`,
@@ -41,7 +39,7 @@
     await call();
     await call();
     expect(connections).toBe(1);
-    await wait(SERVER_KEEPS_MS - 1_000);
+    await wait(SERVER_IDLE_TIMEOUT_MS - 1_000);
     expect((await call()).isRight()).toBe(true);
     expect(connections).toBe(2);
     await client.close();
--- a/test/http_platform.test.ts
+++ b/test/http_platform.test.ts
@@ -67,7 +67,7 @@
     expect(metrics.total(STORE_CALLS_METRIC, labels)).toBe(1);
   });
 
-  it('tells each refusal and the version now stored', async () => {
+  it('reports each refusal and the stored version', async () => {
     const {store} = openStore(api.url);
     const made = (await store.create('r', '1', 'status')).unsafeCoerce();
     const refusals = await Promise.all([
@@ -84,7 +84,7 @@
     ]);
   });
 
-  it('wakes a watch at the change it waits for', async () => {
+  it('ends a watch when the watched object changes', async () => {
     const {store} = openStore(api.url);
     const {version} = (await store.create('w', '1', 'config')).unsafeCoerce();
     const watched = store.watch('w', version, 4_000, 'config');
@@ -93,10 +93,9 @@
     expect(object?.value).toBe('2');
   });
 
-  // The store takes the write, and the connection breaks before its answer.
-  // Told as "nothing happened", the caller would write again or give up on a
-  // write that stands.
-  it('tells a lost answer to a write as effect unknown', async () => {
+  // The connection breaks after the store took the write. Reported as "no
+  // effect", the caller would repeat or abandon a write that took effect.
+  it('reports effect unknown when the answer to a write is lost', async () => {
     const {store} = openStore(api.url);
     await postJson(`${api.url}/faults`, {loseEvery: 1});
     const lost = await store.create('lost', '1', 'claim');
@@ -105,7 +104,7 @@
     expect(found.isJust()).toBe(true);
   });
 
-  it('tells an outage as unavailable', async () => {
+  it('reports an outage as unavailable', async () => {
     const {store} = openStore(api.url);
     await postJson(`${api.url}/faults`, {outage: true});
     const read = await store.get('x', 'config');
@@ -124,9 +123,8 @@
     expect(made.swap().map(failure).extract()).toBe('unavailable none 0');
   });
 
-  // A connection takes bytes and never answers, as when something between the
-  // two ends lost track of it. Without a limit the call would wait for ever,
-  // and the next one would go out on the same dead connection.
+  // A connection accepts bytes but never answers. Without a time limit the call
+  // would wait forever, and the next call would use the same dead connection.
   it('gives up on a silent connection and dials a new one', async () => {
     const calls: string[] = [];
     let dialled = 0;
@@ -151,7 +149,7 @@
 });
 
 describe('host list over HTTP', () => {
-  it('shows hosts, their leaving and a frozen list', async () => {
+  it('lists live and leaving hosts, and the old list while it is frozen', async () => {
     const program = await startProgram('standins/host_list.ts');
     closers.push(() => program.end());
     const client = createHttpHostList(program.url, {clock});
@@ -182,8 +180,8 @@
   });
 });
 
-describe('host list that stays the same', () => {
-  it('is not sent again, and gives the same list', async () => {
+describe('unchanged host list', () => {
+  it('is not sent again and gives the identical array', async () => {
     const program = await startProgram('standins/host_list.ts');
     closers.push(() => program.end());
     const sent: number[] = [];
@@ -214,7 +212,7 @@
     expect(sent).toEqual([200, 304, 200]);
   });
 
-  it('gives the same list where the service knows no tags', async () => {
+  it('gives the identical array when the service sends no ETag', async () => {
     const body = JSON.stringify({version: 1, hosts: []});
     const server = createHttpServer((_, res) => void res.end(body));
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
@@ -228,7 +226,7 @@
 });
 
 describe('weight store over HTTP', () => {
-  it('tells its rate and its running transfers', async () => {
+  it('reports its rate and its active and queued transfers', async () => {
     const args = ['--bytes-per-sec', '1000', '--max-active', '1'];
     const program = await startProgram('standins/weight_store.ts', args);
     closers.push(() => program.end());
--- a/test/lease.test.ts
+++ b/test/lease.test.ts
@@ -11,15 +11,18 @@
 const MARGIN_MS = 300;
 
 interface MemberOptions {
-  /** Speed of its clock against true time. */
+  /** Rate of the host's clock relative to true time. */
   readonly rate?: number;
   readonly marginMs?: number;
-  /** Each other of its reads shows the state of this long ago. */
-  readonly flickerMs?: number;
+  /** Age in milliseconds of the state that every second read returns. */
+  readonly staleReadMs?: number;
 }
 
-/** The store with each other read stale. */
-function flickering(core: ObjectStoreCore, staleMs: number): ObjectStoreCore {
+/** Wraps the store so that every second read is stale. */
+function withStaleReads(
+  core: ObjectStoreCore,
+  staleMs: number,
+): ObjectStoreCore {
   let isStale = false;
   return {
     ...core,
@@ -31,20 +34,20 @@
   };
 }
 
-/** Processes that want the same lease, each on its own host. */
+/** Creates processes that try to hold the same lease, each on its own host. */
 function createMembers(seed = 1) {
   const test = createTestRuntime(seed);
   const {clock, random, runtime} = test;
   const core = createObjectStoreCore({clock, random});
   const leases: Lease[] = [];
   const actions: Array<{readonly holder: string; readonly fence: number}> = [];
-  let mostAtOnce = 0;
+  let maxValidLeases = 0;
 
   const add = (holder: string, options: MemberOptions = {}) => {
     const host = createHostClock(clock, options.rate);
-    const {flickerMs} = options;
+    const {staleReadMs: flickerMs} = options;
     const client = {
-      core: flickerMs === undefined ? core : flickering(core, flickerMs),
+      core: flickerMs === undefined ? core : withStaleReads(core, flickerMs),
       clock: host,
       timeoutMs: 200,
     };
@@ -58,7 +61,7 @@
       runtime: {...runtime, clock: host},
     });
     leases.push(lease);
-    // What a holder does on the strength of its lease.
+    // Records an action whenever the process considers its lease valid.
     host.every(10, () => {
       if (lease.valid()) actions.push({holder, fence: lease.fence()});
     });
@@ -66,12 +69,12 @@
     return {lease, host, store};
   };
 
-  /** Runs on and counts at each millisecond how many believe to hold it. */
+  /** Runs the clock and counts the valid leases at each millisecond. */
   const runFor = async (ms: number) => {
     for (let passed = 0; passed < ms; passed++) {
       await clock.runFor(1);
-      const believers = leases.filter(lease => lease.valid()).length;
-      mostAtOnce = Math.max(mostAtOnce, believers);
+      const validLeases = leases.filter(lease => lease.valid()).length;
+      maxValidLeases = Math.max(maxValidLeases, validLeases);
     }
   };
 
@@ -83,7 +86,7 @@
     runFor,
     actions,
     fencesInOrder,
-    mostAtOnce: () => mostAtOnce,
+    maxValidLeases: () => maxValidLeases,
   };
 }
 
@@ -91,17 +94,17 @@
   [...numbers].sort((a, b) => a - b);
 
 describe('lease', () => {
-  it('goes to one of several and stays with it', async () => {
+  it('is acquired by one of several processes, which keeps it', async () => {
     const members = createMembers();
     const all = ['a', 'b', 'c'].map(name => members.add(name));
     await members.runFor(10 * TTL_MS);
     expect(all.filter(member => member.lease.valid())).toHaveLength(1);
     expect(new Set(all.map(it => it.lease.holder())).size).toBe(1);
     expect(all.map(it => it.lease.fence())).toEqual([1, 1, 1]);
-    expect(members.mostAtOnce()).toBe(1);
+    expect(members.maxValidLeases()).toBe(1);
   });
 
-  it('is free at once when its holder stops', async () => {
+  it('can be acquired at once when its holder stops', async () => {
     const members = createMembers();
     const a = members.add('a');
     await members.runFor(100);
@@ -114,11 +117,9 @@
     expect(b.lease.fence()).toBe(2);
   });
 
-  // A holder is frozen for several leases' time and wakes. It still has its
-  // old state, its timers are overdue and answers wait in its sockets. The
-  // other has taken over; had the frozen one kept "I hold it" as a flag, its
-  // first action on waking would go out beside the new holder's.
-  it('is not valid for a frozen holder from its first moment awake', async () => {
+  // Another process took over while the holder was frozen. If the holder had
+  // stored validity as a flag, its first action after the thaw would conflict.
+  it('is invalid for a frozen holder from the moment it resumes', async () => {
     const members = createMembers();
     const a = members.add('a');
     await members.runFor(100);
@@ -132,14 +133,13 @@
     expect(members.actions.slice(before)).toEqual([]);
     await members.runFor(2 * TTL_MS);
     expect(a.lease.holder()).toBe('b');
-    expect(members.mostAtOnce()).toBe(1);
+    expect(members.maxValidLeases()).toBe(1);
     expect(members.fencesInOrder()).toEqual(sorted(members.fencesInOrder()));
   });
 
-  // The renewal reaches the store, the process freezes before its answer, and
-  // wakes after another took over. Counted from the answer, the old renewal
-  // would look fresh and both would act; so it counts from its sending.
-  it('counts a renewal from its sending, not from its answer', async () => {
+  // The holder freezes before the answer to its renewal and resumes after
+  // another took over. Measured from the answer, both leases would be valid.
+  it('measures a renewal from its sending, not from its answer', async () => {
     const members = createMembers();
     const a = members.add('a');
     await members.runFor(100);
@@ -154,13 +154,12 @@
     expect(b.lease.valid()).toBe(true);
     a.host.thaw();
     await members.runFor(TTL_MS);
-    expect(members.mostAtOnce()).toBe(1);
+    expect(members.maxValidLeases()).toBe(1);
   });
 
-  // The holder's host loses the platform while the others keep it, and its
-  // clock runs slower than theirs: by its own clock the lease lasts longer
-  // than by theirs. The margin makes it stop before the others may start.
-  it('has no two believers when clocks run at unlike rates', async () => {
+  // The holder loses the store and its clock is slow, so its lease seems to
+  // last longer. The margin makes it stop before another can take over.
+  it('is valid for at most one process when clock rates differ', async () => {
     for (let seed = 1; seed <= 15; seed++) {
       const members = createMembers(seed);
       const a = members.add('a', {rate: 0.7, marginMs: 1_000});
@@ -171,14 +170,13 @@
       await members.runFor(3 * TTL_MS);
       expect(b.lease.valid()).toBe(true);
       expect(b.lease.fence()).toBe(2);
-      expect(members.mostAtOnce()).toBe(1);
+      expect(members.maxValidLeases()).toBe(1);
     }
   });
 
-  // Each other write takes effect and its answer is lost. Taken as failed,
-  // the holder's next renewal would name an old version, conflict with its
-  // own write, and the lease would change hands although nobody failed.
-  it('settles lost answers by reading back', async () => {
+  // Every second write takes effect but its answer is lost. Treated as failed,
+  // the next renewal would conflict with it and a healthy holder would lose.
+  it('resolves lost answers by reading the object', async () => {
     const members = createMembers();
     members.core.setFaults({loseEvery: 2});
     const a = members.add('a');
@@ -187,26 +185,24 @@
     expect(members.actions.length).toBeGreaterThan(1_000);
     expect(new Set(members.fencesInOrder())).toEqual(new Set([1]));
     expect(a.lease.fence()).toBe(1);
-    expect(members.mostAtOnce()).toBe(1);
+    expect(members.maxValidLeases()).toBe(1);
   });
 
-  // The holder is dead and each other read shows a version from before its
-  // last one. Taken as changes, old and new in turn would look like a holder
-  // that renews, and the lease would stay with the dead one for good.
-  it('is taken over also when some reads are stale', async () => {
+  // The holder has died and every second read returns an older version. Taken
+  // as renewals, these alternating versions would keep the lease with it.
+  it('is taken over even when some reads are stale', async () => {
     const members = createMembers();
     const a = members.add('a');
     await members.runFor(4 * TTL_MS);
     a.host.freeze();
-    const b = members.add('b', {flickerMs: 3 * TTL_MS});
+    const b = members.add('b', {staleReadMs: 3 * TTL_MS});
     await members.runFor(2.5 * TTL_MS);
     expect(b.lease.valid()).toBe(true);
   });
 
-  // The store is out for several leases' time: the lease lapses by itself and
-  // nobody holds it. Nobody may take it on the age of what was seen before
-  // the outage; after it, one holds it again.
-  it('lapses in a store outage and comes back after it', async () => {
+  // The lease expires in a long store outage. Nobody may acquire it during the
+  // outage by the age of an earlier read. One process holds it afterwards.
+  it('expires in a store outage and is acquired again after it', async () => {
     const members = createMembers();
     const all = ['a', 'b', 'c'].map(name => members.add(name));
     await members.runFor(TTL_MS);
@@ -218,12 +214,12 @@
     members.core.setFaults({outage: false});
     await members.runFor(2 * TTL_MS);
     expect(all.filter(member => member.lease.valid())).toHaveLength(1);
-    expect(members.mostAtOnce()).toBe(1);
+    expect(members.maxValidLeases()).toBe(1);
   });
 
-  // All faults at once, by chance, over many take-overs. The judge is outside
-  // the lease: never two believers, and actions in the order of their fences.
-  it('keeps one believer through random faults', async () => {
+  // Combines all faults at random over many take-overs. At most one lease is
+  // valid at any time, and actions come in the order of their fencing numbers.
+  it('is valid for at most one process under random faults', async () => {
     let takeOvers = 0;
     for (let seed = 1; seed <= 10; seed++) {
       const members = createMembers(seed);
@@ -245,12 +241,12 @@
         });
         await members.runFor(random.next() * 2 * TTL_MS);
       }
-      expect(members.mostAtOnce()).toBe(1);
+      expect(members.maxValidLeases()).toBe(1);
       const fences = members.fencesInOrder();
       expect(fences).toEqual(sorted(fences));
       takeOvers += new Set(fences).size - 1;
     }
-    // Else the faults would never have put the lease to the test.
+    // With fewer take-overs the faults would hardly have tested the lease.
     expect(takeOvers).toBeGreaterThan(20);
   });
 });
--- a/test/support/grpc_transports.ts
+++ b/test/support/grpc_transports.ts
@@ -1,4 +1,4 @@
-/** Transports on loopback that are closed after each test. */
+/** Creates gRPC transports on loopback and closes them after each test. */
 import {afterEach} from 'vitest';
 import type {PeerHandlers, Transport} from '../../src/types/transport.js';
 import {createProcessClock} from '../../src/utils/clock.js';
@@ -12,11 +12,12 @@
   for (const close of closers.splice(0).reverse()) await close();
 });
 
-/** Closes it after the test, before what was given earlier. */
+/** Registers a close function. They run after the test in reverse order. */
 export function closeAfterTest(close: () => Promise<void>): void {
   closers.push(close);
 }
 
+/** Creates a transport that is closed after the test. */
 export function newTransport(
   metrics = createRecordedMetrics(),
   tls?: TlsOptions,
@@ -27,7 +28,7 @@
   return transport;
 }
 
-/** Returns the address. */
+/** Listens on a free loopback port until the test ends; returns the address. */
 export async function listen(
   handlers: PeerHandlers,
   transport = newTransport(),
--- a/test/support/message_arbitraries.ts
+++ b/test/support/message_arbitraries.ts
@@ -1,4 +1,4 @@
-/** Random values of each message between processes. */
+/** fast-check arbitraries for each message between processes. */
 import fc from 'fast-check';
 import type {Arbitrary} from 'fast-check';
 import type {
@@ -106,7 +106,7 @@
   };
 };
 
-/** Requests and responses by method. */
+/** Arbitraries of requests and responses, by method. */
 export const CALL_ARBITRARIES: CallArbitraries = {
   offer: {
     req: offerReq,
@@ -223,7 +223,7 @@
 };
 const beat = fc.record({kind: fc.constant('beat' as const)});
 
-/** Frames from entry to side. */
+/** Arbitrary of the frames from entry to side. */
 export const RUN_UP_ARBITRARY: Arbitrary<RunUp> = fc.oneof(
   fc.record(go),
   fc.record({...go, call}),
@@ -242,7 +242,7 @@
   fc.record({kind: fc.constant('cancel' as const)}),
 );
 
-/** Frames from side to entry. */
+/** Arbitrary of the frames from side to entry. */
 export const RUN_DOWN_ARBITRARY: Arbitrary<RunDown> = fc.oneof(
   fc.record({kind: fc.constant('started' as const)}),
   fc.record(chunk),
