--- a/src/stores/http_object_store.ts
+++ b/src/stores/http_object_store.ts
@@ -50,6 +50,7 @@
 
 type CallName = 'get' | 'create' | 'update' | 'remove' | 'list' | 'watch';
 
+/** A request to the object API, with the labels of its counter. */
 interface StoreCall extends HttpRequest {
   readonly name: CallName;
   readonly purpose: StorePurpose;
--- a/src/wire/byte_counter.ts
+++ b/src/wire/byte_counter.ts
@@ -39,6 +39,7 @@
   close(): void;
 }
 
+/** A counted socket and the bytes of it that the metrics already include. */
 interface WatchedSocket {
   readonly socket: Socket;
   readonly kind: () => TrafficKind | undefined;
--- a/src/wire/call_errors.ts
+++ b/src/wire/call_errors.ts
@@ -7,6 +7,7 @@
 import type {Address} from '../types/ids.js';
 import type {PeerMethod} from '../types/peer_messages.js';
 
+/** The `step` field of an error, by the method of the call. */
 const STEP_BY_METHOD: Readonly<Record<PeerMethod, Step>> = {
   offer: 'offer',
   abandon: 'abandon',
--- a/src/wire/call_stream.ts
+++ b/src/wire/call_stream.ts
@@ -22,6 +22,7 @@
   readonly err: ServiceError | undefined;
 }
 
+/** Receives the failure of a call, or undefined and its answer. */
 type Settle<Res> = (failure: StreamFailure | undefined, res?: Res) => void;
 
 /** Calls of one method over one long-lived stream, answered in order. */
@@ -32,6 +33,7 @@
   close(): void;
 }
 
+/** A call that waits for its answer, and the timer of its timeout. */
 interface PendingCall<Res> {
   readonly settle: Settle<Res>;
   readonly cancelTimer: Cancel;
--- a/src/wire/heartbeat_streams.ts
+++ b/src/wire/heartbeat_streams.ts
@@ -76,6 +76,7 @@
   },
 };
 
+/** Whether calls of a method share a stream instead of being unary calls. */
 export function isStreamed(method: PeerMethod): method is StreamedMethod {
   return method in STREAMED_CALLS;
 }
--- a/src/wire/peer_client.ts
+++ b/src/wire/peer_client.ts
@@ -54,6 +54,7 @@
 const NO_CONNECTION = 'no connection in time';
 const NO_ANSWER = 'no answer in time';
 
+/** Error of a call whose stream was closed by the peer before the answer. */
 const STREAM_CLOSED = {
   code: status.UNAVAILABLE,
   details: 'the peer closed the stream',
--- a/src/wire/peer_server.ts
+++ b/src/wire/peer_server.ts
@@ -104,6 +104,7 @@
   return {...definition, run: RUN_DEFINITION};
 }
 
+/** Records the kind of traffic on the connection of a peer address. */
 type MarkTrafficKind = (peer: string, kind: TrafficKind) => void;
 
 function callHandler<M extends PeerMethod>(
