--- a/src/stores/http_host_list.ts
+++ b/src/stores/http_host_list.ts
@@ -1,9 +1,12 @@
-/** The platform's host list over HTTP. */
+/**
+ * HTTP client of the platform's host list. It checks each response against a
+ * schema and returns the same array while the list has not changed.
+ */
 import {z} from 'zod';
 import type {HostList} from '../types/platform.js';
 import type {Clock} from '../types/runtime.js';
 import {createHttpClient} from './http_client.js';
-import {createRepeatedGet} from './http_json.js';
+import {createConditionalGet} from './http_json.js';
 
 const PATH = '/v1/hosts';
 const CONNECTIONS = 1;
@@ -21,20 +24,20 @@
   ),
 });
 
-/** Clock and time limit of the calls. */
+/** Clock and time limit of the requests. */
 export interface HttpHostListOptions {
   readonly clock: Clock;
-  /** Limit of each call. @default 1000 */
+  /** Time limit of each request, in milliseconds. @default 1000 */
   readonly timeoutMs?: number;
 }
 
-/** The host list with its connections. */
+/** The host list and the connections that it is read over. */
 export interface HttpHostList {
   readonly list: HostList;
   close(): Promise<void>;
 }
 
-/** Client of the host list at `url`, for example `http://127.0.0.1:7401`. */
+/** Creates a client of the host list at `url` (`http://127.0.0.1:7401`). */
 export function createHttpHostList(
   url: string,
   options: HttpHostListOptions,
@@ -47,7 +50,7 @@
     step: 'host-list',
     schema: listSchema,
   } as const;
-  const getList = createRepeatedGet(source);
+  const getList = createConditionalGet(source);
   return {
     list: async () => (await getList()).map(answer => answer.hosts),
     close: () => client.close(),
--- a/src/stores/http_json.ts
+++ b/src/stores/http_json.ts
@@ -1,23 +1,27 @@
-/** One GET of a platform service whose answer must fit a schema. */
+/**
+ * GET requests to a platform service whose JSON responses must match a schema.
+ * A conditional variant returns the previous value while the response is
+ * unchanged.
+ */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
 import type {z} from 'zod';
 import {OnyxError} from '../types/errors.js';
 import type {Step} from '../types/errors.js';
-import type {HttpAnswer, HttpClient} from './http_client.js';
+import type {HttpResponse, HttpClient} from './http_client.js';
 
-/** What to get, and how to read it. */
+/** The resource to get and the schema of its JSON. */
 export interface JsonSource<T> {
   readonly client: HttpClient;
-  /** Address, for errors. */
+  /** Address of the service, for error messages. */
   readonly peer: string;
   readonly path: string;
   readonly step: Step;
   readonly schema: z.ZodType<T>;
 }
 
-/** What an answer said before, kept to be asked for by its `ETag`. */
-interface Kept<T> {
+/** The last response with its parsed value, revalidated by its `ETag`. */
+interface CachedResponse<T> {
   readonly etag: string;
   readonly body: string;
   readonly value: T;
@@ -26,66 +30,69 @@
 const NOT_MODIFIED = 304;
 
 /**
- * Gets one path again and again. An answer that has not changed gives the same
- * value as before, so that the caller can tell by identity. Where the service
- * gives an `ETag`, what has not changed is not sent again.
+ * Creates a function that gets one path repeatedly. An unchanged response gives
+ * the identical value, so the caller can detect a change by identity. If the
+ * service sends an `ETag`, it does not send an unchanged body again.
  */
-export function createRepeatedGet<T>(
+export function createConditionalGet<T>(
   source: JsonSource<T>,
 ): () => Promise<Either<OnyxError, T>> {
-  let kept: Kept<T> | undefined;
+  let cached: CachedResponse<T> | undefined;
   return async () => {
-    const etag = kept?.etag ?? '';
+    const etag = cached?.etag ?? '';
     const headers: Readonly<Record<string, string>> =
       etag === '' ? {} : {'if-none-match': etag};
     const answered = await get(source, headers);
     return answered.chain(answer => {
       const isSame =
-        answer.status === NOT_MODIFIED || answer.body === kept?.body;
-      if (isSame && kept !== undefined) return Right(kept.value);
-      return parseAnswer(source, answer).ifRight(value => {
-        kept = {etag: answer.etag, body: answer.body, value};
+        answer.status === NOT_MODIFIED || answer.body === cached?.body;
+      if (isSame && cached !== undefined) return Right(cached.value);
+      return parseResponse(source, answer).ifRight(value => {
+        cached = {etag: answer.etag, body: answer.body, value};
       });
     });
   };
 }
 
-/** Left: `timeout`, `peer-unreachable`, or `internal` for an odd answer. */
+/**
+ * Gets and parses a JSON resource. Left: `timeout`, `peer-unreachable`, or
+ * `internal` for a response that does not match the schema.
+ */
 export async function getJson<T>(
   source: JsonSource<T>,
 ): Promise<Either<OnyxError, T>> {
   const answered = await get(source, {});
-  return answered.chain(answer => parseAnswer(source, answer));
+  return answered.chain(answer => parseResponse(source, answer));
 }
 
 async function get<T>(
   source: JsonSource<T>,
   headers: Readonly<Record<string, string>>,
-): Promise<Either<OnyxError, HttpAnswer>> {
+): Promise<Either<OnyxError, HttpResponse>> {
   const {client, path} = source;
   const answered = await client.call({method: 'GET', path, headers});
   return answered.mapLeft(failure => {
     const code = failure.timedOut ? 'timeout' : 'peer-unreachable';
-    return failed(source, code, failure.message);
+    return requestError(source, code, failure.message);
   });
 }
 
-function parseAnswer<T>(
+function parseResponse<T>(
   source: JsonSource<T>,
-  {status, body}: HttpAnswer,
+  {status, body}: HttpResponse,
 ): Either<OnyxError, T> {
   if (status !== 200) {
-    return Left(failed(source, 'peer-unreachable', `status ${status}`));
+    return Left(requestError(source, 'peer-unreachable', `status ${status}`));
   }
   try {
     return Right(source.schema.parse(JSON.parse(body)));
   } catch (err) {
     const why = `unreadable answer: ${String(err)}`;
-    return Left(failed(source, 'internal', why));
+    return Left(requestError(source, 'internal', why));
   }
 }
 
-function failed<T>(
+function requestError<T>(
   {peer, path, step}: JsonSource<T>,
   code: 'timeout' | 'peer-unreachable' | 'internal',
   why: string,
--- a/src/stores/http_object_store.ts
+++ b/src/stores/http_object_store.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's object API over HTTP. Each failure is told with its effect:
- * a write that was sent and got no clear answer may have taken effect, and
- * only the caller knows how to find out.
+ * HTTP client of the platform's object API. Each failure states its effect. A
+ * write that was sent and got no conclusive response may have taken effect.
+ * Only the caller knows how to find out.
  */
 import {Just, Left, Nothing, Right} from 'purify-ts';
 import type {Either, Maybe} from 'purify-ts';
@@ -14,12 +14,13 @@
 } from '../types/platform.js';
 import type {Runtime} from '../types/runtime.js';
 import {createHttpClient} from './http_client.js';
-import type {HttpAnswer, HttpCall} from './http_client.js';
+import type {HttpResponse, HttpRequest} from './http_client.js';
 
-const OBJECTS = '/v1/objects';
+const OBJECTS_PATH = '/v1/objects';
+/** Time limit of a request, in milliseconds. A slower request fails. */
 const DEFAULT_TIMEOUT_MS = 1_000;
 
-/** Counter of store calls by purpose, call and outcome. */
+/** Name of the counter of store calls by purpose, call and outcome. */
 export const STORE_CALLS_METRIC = 'onyxloft_store_calls_total';
 
 const objectSchema = z.object({
@@ -30,42 +31,47 @@
 const writtenSchema = z.object({version: z.number()});
 const keysSchema = z.object({keys: z.array(z.string())});
 
-/** Runtime and bounds of the calls. */
+/** Runtime and limits of the requests. */
 export interface HttpObjectStoreOptions {
   readonly runtime: Pick<Runtime, 'clock' | 'metrics'>;
-  /** Limit of each call; of a watch, beyond its wait. @default 1000 */
+  /**
+   * Time limit of each request, in milliseconds. A watch may take this much
+   * longer than its wait time. @default 1000
+   */
   readonly timeoutMs?: number;
-  /** Connections at once. @default 16 */
+  /** Maximum number of open connections. @default 16 */
   readonly connections?: number;
 }
 
-/** The object API with its connections. */
+/** The object API and the connections that it is called over. */
 export interface HttpObjectStore extends ObjectStore {
   close(): Promise<void>;
 }
 
 type CallName = 'get' | 'create' | 'update' | 'remove' | 'list' | 'watch';
 
-interface StoreCall extends HttpCall {
+/** A request to the object API, with the labels of its counter. */
+interface StoreCall extends HttpRequest {
   readonly name: CallName;
   readonly purpose: StorePurpose;
 }
 
-const pathOf = (key: string) => `${OBJECTS}/${encodeURIComponent(key)}`;
+const objectPath = (key: string) =>
+  `${OBJECTS_PATH}/${encodeURIComponent(key)}`;
 
 const isWrite = (call: StoreCall) => call.method !== 'GET';
 
 function unavailable(
   call: StoreCall,
-  mayHaveRun: boolean,
+  mayHaveTakenEffect: boolean,
   message: string,
 ): StoreError {
-  const effect = isWrite(call) && mayHaveRun ? 'unknown' : 'none';
+  const effect = isWrite(call) && mayHaveTakenEffect ? 'unknown' : 'none';
   return {kind: 'unavailable', effect, version: 0, message};
 }
 
-/** Version now stored, from the body of a conflict; 0 when it tells none. */
-function conflictVersion(answer: HttpAnswer): number {
+/** The stored version in the body of a conflict; 0 when the body has none. */
+function conflictVersion(answer: HttpResponse): number {
   return parse(writtenSchema, answer.body).mapOrDefault(it => it.version, 0);
 }
 
@@ -77,24 +83,29 @@
   }
 }
 
-function refusal(call: StoreCall, answer: HttpAnswer): StoreError {
+function toStoreError(call: StoreCall, answer: HttpResponse): StoreError {
   const {status} = answer;
-  const refused = (kind: StoreError['kind'], version = 0): StoreError => ({
+  const rejected = (kind: StoreError['kind'], version = 0): StoreError => ({
     kind,
     effect: 'none',
     version,
     message: `the object API answered ${status} to ${call.name}`,
   });
-  if (status === 412) return refused('conflict', conflictVersion(answer));
-  if (status === 404) return refused('not-found');
-  if (status === 413) return refused('too-large');
-  // A gateway answers 5xx also when the store behind it went silent after it
-  // got the write, so such an answer is no evidence that nothing happened.
-  const mayHaveRun = status >= 500;
-  return unavailable(call, mayHaveRun, `the object API answered ${status}`);
+  if (status === 412) return rejected('conflict', conflictVersion(answer));
+  if (status === 404) return rejected('not-found');
+  if (status === 413) return rejected('too-large');
+  // A gateway also responds with 5xx when the store behind it received the
+  // write and then stopped responding. A 5xx does not prove that the write had
+  // no effect.
+  const mayHaveTakenEffect = status >= 500;
+  return unavailable(
+    call,
+    mayHaveTakenEffect,
+    `the object API answered ${status}`,
+  );
 }
 
-/** Client of the object API at `url`, for example `http://127.0.0.1:7400`. */
+/** Creates a client of the object API at `url` (`http://127.0.0.1:7400`). */
 export function createHttpObjectStore(
   url: string,
   options: HttpObjectStoreOptions,
@@ -116,13 +127,13 @@
 
   const send = async (
     call: StoreCall,
-  ): Promise<Either<StoreError, HttpAnswer>> => {
+  ): Promise<Either<StoreError, HttpResponse>> => {
     const headers = {...call.headers, 'x-purpose': call.purpose};
     const answered = await client.call({...call, headers});
     const result = answered
       .mapLeft(failure => unavailable(call, failure.sent, failure.message))
       .chain(answer =>
-        answer.status < 300 ? Right(answer) : Left(refusal(call, answer)),
+        answer.status < 300 ? Right(answer) : Left(toStoreError(call, answer)),
       );
     const outcome = result.caseOf({Left: err => err.kind, Right: () => 'ok'});
     count(call, outcome);
@@ -161,27 +172,27 @@
 
   return {
     get: (key, purpose) =>
-      readOne({name: 'get', method: 'GET', path: pathOf(key), purpose}),
+      readOne({name: 'get', method: 'GET', path: objectPath(key), purpose}),
     create: (key, value, purpose) => {
       const headers = {'if-none-match': '*'};
-      const path = pathOf(key);
+      const path = objectPath(key);
       const call = {name: 'create', method: 'PUT', path, headers} as const;
       return write({...call, purpose}, key, value);
     },
     update: (key, value, version, purpose) => {
       const headers = {'if-match': `"${version}"`};
-      const path = pathOf(key);
+      const path = objectPath(key);
       const call = {name: 'update', method: 'PUT', path, headers} as const;
       return write({...call, purpose}, key, value);
     },
     remove: async (key, version, purpose) => {
       const headers = {'if-match': `"${version}"`};
-      const path = pathOf(key);
+      const path = objectPath(key);
       const call = {name: 'remove', method: 'DELETE', path, headers} as const;
       return (await send({...call, purpose})).map(() => undefined);
     },
     list: async (prefix, purpose) => {
-      const path = `${OBJECTS}?prefix=${encodeURIComponent(prefix)}`;
+      const path = `${OBJECTS_PATH}?prefix=${encodeURIComponent(prefix)}`;
       const call = {name: 'list', method: 'GET', path, purpose} as const;
       return (await read(call, keysSchema)).map(it => it.keys);
     },
@@ -189,7 +200,7 @@
       readOne({
         name: 'watch',
         method: 'GET',
-        path: `${pathOf(key)}?watch=${version}&wait=${waitMs}`,
+        path: `${objectPath(key)}?watch=${version}&wait=${waitMs}`,
         purpose,
         timeoutMs: waitMs + timeoutMs,
       }),
--- a/src/wire/answer_stream.ts
+++ b/src/wire/answer_stream.ts
@@ -1,4 +1,7 @@
-/** The answering end of calls that go over one kept stream. */
+/**
+ * Server side of calls that share one long-lived stream. It answers the calls
+ * of the stream in the order in which they arrive.
+ */
 import type {ServerDuplexStream} from '@grpc/grpc-js';
 import type {PeerCalls} from '../types/peer_messages.js';
 import {CALL_CODECS} from './codec.js';
@@ -8,7 +11,7 @@
 import {STREAMED_CALLS} from './heartbeat_streams.js';
 import type {StreamedCall, StreamedMethod} from './heartbeat_streams.js';
 
-/** Answers each call in the order of their arrival, until the caller ends. */
+/** Answers the calls in order of arrival until the caller ends the stream. */
 export function answerStream<M extends StreamedMethod>(
   method: M,
   handle: (req: PeerCalls[M]['req']) => Promise<PeerCalls[M]['res']>,
@@ -18,37 +21,37 @@
   type Req = PeerCalls[M]['req'];
   type Res = PeerCalls[M]['res'];
   const codec = CALL_CODECS[method] as unknown as MethodCodec<Req, Res>;
-  const names = STREAMED_CALLS[method] as unknown as StreamedCall<M>;
-  const decode = createDeltaDecoder(codec.req, names.req);
-  const encode = createDeltaEncoder(codec.res, names.res);
-  let turn: Promise<void> = Promise.resolve();
-  let open = true;
+  const streamedCall = STREAMED_CALLS[method] as unknown as StreamedCall<M>;
+  const decode = createDeltaDecoder(codec.req, streamedCall.req);
+  const encode = createDeltaEncoder(codec.res, streamedCall.res);
+  let previousAnswer: Promise<void> = Promise.resolve();
+  let isOpen = true;
 
   const answer = async (delta: Delta): Promise<void> => {
-    if (!open) return;
+    if (!isOpen) return;
     const res = await handle(decode(delta));
-    if (open) stream.write(encode(res));
+    if (isOpen) stream.write(encode(res));
   };
   const fail = (err: unknown): void => {
-    if (!open) return;
-    open = false;
+    if (!isOpen) return;
+    isOpen = false;
     onFailure(err);
   };
-  const shut = (): void => {
-    open = false;
+  const markClosed = (): void => {
+    isOpen = false;
   };
 
   stream.on('data', (delta: Delta) => {
-    turn = turn.then(() => answer(delta)).catch(fail);
+    previousAnswer = previousAnswer.then(() => answer(delta)).catch(fail);
   });
   stream.on('end', () => {
-    void turn.then(() => {
-      if (open) stream.end();
-      shut();
+    void previousAnswer.then(() => {
+      if (isOpen) stream.end();
+      markClosed();
     });
   });
-  stream.on('cancelled', shut);
-  stream.on('close', shut);
-  // Without a listener an error of the connection would end the process.
-  stream.on('error', shut);
+  stream.on('cancelled', markClosed);
+  stream.on('close', markClosed);
+  // Without a listener, a connection error would end the process.
+  stream.on('error', markClosed);
 }
--- a/src/wire/byte_counter.ts
+++ b/src/wire/byte_counter.ts
@@ -1,58 +1,66 @@
 /**
  * Counts the bytes of connections between the system's processes at their
- * sockets, TLS and framing included, apart by control and request traffic.
- * Each connection carries one of the two, so a socket's bytes are of one kind.
+ * sockets, including TLS and framing. Control and request traffic are counted
+ * separately. Each connection carries only one of the two kinds.
  */
 import type {Socket} from 'node:net';
 import type {PeerMethod} from '../types/peer_messages.js';
 import type {Cancel, Clock, Metrics} from '../types/runtime.js';
 
-/** Control keeps the fleet together; request is the path of requests. */
+/**
+ * Kind of traffic on a connection: `request` for the messages of a request,
+ * `control` for all other messages, such as heartbeats and configuration.
+ */
 export type TrafficKind = 'control' | 'request';
 
 const BYTES_METRIC = 'onyxloft_peer_bytes_total';
+/** Interval at which the counters are updated, in milliseconds. */
 const SAMPLE_PERIOD_MS = 1_000;
 
-const REQUEST_METHODS: ReadonlySet<string> = new Set<PeerMethod>([
+const REQUEST_TRAFFIC_METHODS: ReadonlySet<string> = new Set<PeerMethod>([
   'offer',
   'abandon',
   'locate',
 ]);
 
-/** Offers, abandons and locates are of a request; the rest is control. */
-export function trafficOf(method: PeerMethod): TrafficKind {
-  return REQUEST_METHODS.has(method) ? 'request' : 'control';
+/** Offer, abandon and locate calls are request traffic, others are control. */
+export function trafficKindOf(method: PeerMethod): TrafficKind {
+  return REQUEST_TRAFFIC_METHODS.has(method) ? 'request' : 'control';
 }
 
 /** Counts the bytes of sockets by direction and kind of traffic. */
 export interface ByteCounter {
   /**
-   * Counts a socket until it closes. `kind` is asked at each sample; while it
-   * is undefined the bytes wait for it.
+   * Counts the bytes of a socket until it closes. `kind` is called at each
+   * sample. While it returns undefined, the bytes are left for a later sample.
    */
   watch(socket: Socket, kind: () => TrafficKind | undefined): void;
+  /** Stops sampling after a last sample. */
   close(): void;
 }
 
-interface Watched {
+/** A counted socket and the bytes of it that the metrics already include. */
+interface WatchedSocket {
   readonly socket: Socket;
   readonly kind: () => TrafficKind | undefined;
-  read: number;
-  written: number;
+  /** Received bytes that the metrics already include. */
+  countedRead: number;
+  /** Sent bytes that the metrics already include. */
+  countedWritten: number;
 }
 
-/** Starts to sample; `close` takes the last sample. */
+/** Creates a counter that samples its sockets until `close`. */
 export function createByteCounter(clock: Clock, metrics: Metrics): ByteCounter {
-  const watched = new Set<Watched>();
+  const watchedSockets = new Set<WatchedSocket>();
 
-  const sample = (entry: Watched): void => {
+  const countNewBytes = (entry: WatchedSocket): void => {
     const kind = entry.kind();
     if (kind === undefined) return;
     const {bytesRead, bytesWritten} = entry.socket;
-    const read = bytesRead - entry.read;
-    const written = bytesWritten - entry.written;
-    entry.read = bytesRead;
-    entry.written = bytesWritten;
+    const read = bytesRead - entry.countedRead;
+    const written = bytesWritten - entry.countedWritten;
+    entry.countedRead = bytesRead;
+    entry.countedWritten = bytesWritten;
     if (read > 0) metrics.count(BYTES_METRIC, {direction: 'in', kind}, read);
     if (written > 0) {
       metrics.count(BYTES_METRIC, {direction: 'out', kind}, written);
@@ -60,21 +68,26 @@
   };
 
   const cancel: Cancel = clock.every(SAMPLE_PERIOD_MS, () => {
-    for (const entry of watched) sample(entry);
+    for (const entry of watchedSockets) countNewBytes(entry);
   });
 
   return {
     watch: (socket, kind) => {
-      const entry: Watched = {socket, kind, read: 0, written: 0};
-      watched.add(entry);
+      const entry: WatchedSocket = {
+        socket,
+        kind,
+        countedRead: 0,
+        countedWritten: 0,
+      };
+      watchedSockets.add(entry);
       socket.once('close', () => {
-        sample(entry);
-        watched.delete(entry);
+        countNewBytes(entry);
+        watchedSockets.delete(entry);
       });
     },
     close: () => {
       cancel();
-      for (const entry of watched) sample(entry);
+      for (const entry of watchedSockets) countNewBytes(entry);
     },
   };
 }
--- a/src/wire/call_stream.ts
+++ b/src/wire/call_stream.ts
@@ -1,4 +1,7 @@
-/** The calling end of calls that go over one kept stream; answers in order. */
+/**
+ * Client side of calls that share one long-lived stream. Answers carry no id.
+ * They are matched to the calls by their order.
+ */
 import {Metadata} from '@grpc/grpc-js';
 import type {Client, ClientDuplexStream, ServiceError} from '@grpc/grpc-js';
 import type {PeerCalls} from '../types/peer_messages.js';
@@ -10,7 +13,7 @@
 import {DELTA_CODEC, STREAMED_CALLS} from './heartbeat_streams.js';
 import type {StreamedCall, StreamedMethod} from './heartbeat_streams.js';
 
-/** What came of a call without an answer. */
+/** Failure of a call that got no answer. */
 export interface StreamFailure {
   /** False when the request never reached a connection. */
   readonly sent: boolean;
@@ -19,26 +22,31 @@
   readonly err: ServiceError | undefined;
 }
 
+/** Receives the failure of a call, or undefined and its answer. */
 type Settle<Res> = (failure: StreamFailure | undefined, res?: Res) => void;
 
-/** Calls of one method over one kept stream, answered in order. */
+/** Calls of one method over one long-lived stream, answered in order. */
 export interface CallStream<Req, Res> {
+  /** Sends a call. `settle` is called once, with a failure or an answer. */
   call(req: Req, timeoutMs: number, settle: Settle<Res>): void;
+  /** Ends the stream after the calls already sent on it. */
   close(): void;
 }
 
-interface Waiting<Res> {
+/** A call that waits for its answer, and the timer of its timeout. */
+interface PendingCall<Res> {
   readonly settle: Settle<Res>;
   readonly cancelTimer: Cancel;
 }
 
-interface Opened<Req, Res> {
+/** An open stream and the calls on it that wait for an answer. */
+interface OpenStream<Req, Res> {
   readonly stream: ClientDuplexStream<Delta, Delta>;
   readonly encode: (req: Req) => Delta;
-  readonly waiting: Array<Waiting<Res>>;
+  readonly pendingCalls: Array<PendingCall<Res>>;
 }
 
-/** Opens the stream with the first call, and anew after each loss. */
+/** Opens the stream at the first call, and a new one after each failure. */
 export function createCallStream<M extends StreamedMethod>(
   client: Client,
   clock: Clock,
@@ -47,53 +55,56 @@
   type Req = PeerCalls[M]['req'];
   type Res = PeerCalls[M]['res'];
   const codec = CALL_CODECS[method] as unknown as MethodCodec<Req, Res>;
-  const names = STREAMED_CALLS[method] as unknown as StreamedCall<M>;
-  let current: Opened<Req, Res> | undefined;
+  const streamedCall = STREAMED_CALLS[method] as unknown as StreamedCall<M>;
+  let current: OpenStream<Req, Res> | undefined;
 
   /**
-   * Answers are matched to calls by their order, so after one that is missing
-   * none on that stream can be trusted: all that wait there fail with it.
+   * Fails all pending calls of a stream and cancels the stream. Answers are
+   * matched to calls by their order. After a missing answer, every later answer
+   * on that stream would be matched to the wrong call.
    */
-  const lose = (
-    from: Opened<Req, Res>,
+  const failStream = (
+    failed: OpenStream<Req, Res>,
     timedOut: boolean,
     err?: ServiceError,
   ): void => {
-    if (current === from) current = undefined;
-    const sent = from.stream.getPeer() !== client.getChannel().getTarget();
-    for (const {settle, cancelTimer} of from.waiting.splice(0)) {
+    if (current === failed) current = undefined;
+    const sent = failed.stream.getPeer() !== client.getChannel().getTarget();
+    for (const {settle, cancelTimer} of failed.pendingCalls.splice(0)) {
       cancelTimer();
       settle({sent, timedOut, err});
     }
-    from.stream.cancel();
+    failed.stream.cancel();
   };
 
-  const open = (): Opened<Req, Res> => {
+  const openStream = (): OpenStream<Req, Res> => {
     const stream = client.makeBidiStreamRequest(
-      names.path,
+      streamedCall.path,
       DELTA_CODEC.encode,
       DELTA_CODEC.decode,
       new Metadata(),
     );
-    const encode = createDeltaEncoder(codec.req, names.req);
-    const decode = createDeltaDecoder(codec.res, names.res);
-    const opened: Opened<Req, Res> = {stream, encode, waiting: []};
+    const encode = createDeltaEncoder(codec.req, streamedCall.req);
+    const decode = createDeltaDecoder(codec.res, streamedCall.res);
+    const opened: OpenStream<Req, Res> = {stream, encode, pendingCalls: []};
     stream.on('data', (delta: Delta) => {
-      const first = opened.waiting.shift();
-      first?.cancelTimer();
-      first?.settle(undefined, decode(delta));
+      const oldest = opened.pendingCalls.shift();
+      oldest?.cancelTimer();
+      oldest?.settle(undefined, decode(delta));
     });
-    stream.on('error', (err: ServiceError) => lose(opened, false, err));
-    stream.on('end', () => lose(opened, false));
+    stream.on('error', (err: ServiceError) => failStream(opened, false, err));
+    stream.on('end', () => failStream(opened, false));
     return opened;
   };
 
   return {
     call: (req, timeoutMs, settle) => {
-      const on = (current ??= open());
-      const cancelTimer = clock.after(timeoutMs, () => lose(on, true));
-      on.waiting.push({settle, cancelTimer});
-      on.stream.write(on.encode(req));
+      const openedStream = (current ??= openStream());
+      const cancelTimer = clock.after(timeoutMs, () =>
+        failStream(openedStream, true),
+      );
+      openedStream.pendingCalls.push({settle, cancelTimer});
+      openedStream.stream.write(openedStream.encode(req));
     },
     close: () => current?.stream.end(),
   };
--- a/src/wire/grpc_transport.ts
+++ b/src/wire/grpc_transport.ts
@@ -1,14 +1,14 @@
 /**
- * The transport between processes, by grpc over TCP. Each peer has one
- * connection for control traffic and one for requests, so that heartbeats do
- * not wait behind a prompt of megabytes and the bytes of both can be told
- * apart at the socket.
+ * Transport between processes over gRPC and TCP. Each peer has one connection
+ * for control traffic and one for requests. Heartbeats therefore do not wait
+ * behind prompts of several megabytes, and the bytes of both kinds can be
+ * counted separately at the sockets.
  */
 import type {Socket} from 'node:net';
 import type {Address} from '../types/ids.js';
 import type {Clock, Metrics} from '../types/runtime.js';
 import type {Transport} from '../types/transport.js';
-import {createByteCounter, trafficOf} from './byte_counter.js';
+import {createByteCounter, trafficKindOf} from './byte_counter.js';
 import type {TrafficKind} from './byte_counter.js';
 import {CALL_CODECS} from './codec.js';
 import type {TlsOptions} from './credentials.js';
@@ -16,10 +16,13 @@
 import type {PeerClient} from './peer_client.js';
 import {listenForPeers} from './peer_server.js';
 
-/** Unused time after which the connections to a peer are dropped. */
-const UNUSED_AFTER_MS = 600_000;
+/**
+ * Connections to a peer that were unused for this many milliseconds are closed
+ * when the next client is created.
+ */
+const MAX_UNUSED_MS = 600_000;
 
-/** Time, metrics and certificates of the transport. */
+/** Clock, metrics and certificates of the transport. */
 export interface GrpcTransportOptions {
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -27,27 +30,30 @@
   readonly tls?: TlsOptions;
 }
 
-/** Makes a transport; nothing is dialled before the first call. */
+/** Creates a transport. It connects to a peer at the first call or run. */
 export function createGrpcTransport(options: GrpcTransportOptions): Transport {
   const {clock, metrics, tls} = options;
   const bytes = createByteCounter(clock, metrics);
   const clients = new Map<string, PeerClient>();
 
-  /** Hosts are replaced at any time; their addresses do not come back. */
-  const dropUnused = (): void => {
-    const before = clock.now() - UNUSED_AFTER_MS;
+  /**
+   * Closes the clients of peers that are no longer called. Hosts may be
+   * replaced at any time, and their addresses are not used again.
+   */
+  const closeUnusedClients = (): void => {
+    const usedBefore = clock.now() - MAX_UNUSED_MS;
     for (const [key, client] of clients) {
-      if (client.usedAt() > before) continue;
+      if (client.lastUsedAt() > usedBefore) continue;
       client.close();
       clients.delete(key);
     }
   };
 
-  const clientOf = (peer: Address, kind: TrafficKind): PeerClient => {
+  const getClient = (peer: Address, kind: TrafficKind): PeerClient => {
     const key = `${kind} ${peer}`;
-    const kept = clients.get(key);
-    if (kept !== undefined) return kept;
-    dropUnused();
+    const existing = clients.get(key);
+    if (existing !== undefined) return existing;
+    closeUnusedClients();
     const onSocket = (socket: Socket): void => bytes.watch(socket, () => kind);
     const client = createPeerClient({peer, clock, tls, onSocket});
     clients.set(key, client);
@@ -56,13 +62,13 @@
 
   return {
     call: (peer, method, req, timeoutMs) =>
-      clientOf(peer, trafficOf(method)).call(
+      getClient(peer, trafficKindOf(method)).call(
         method,
         CALL_CODECS[method],
         req,
         timeoutMs,
       ),
-    openRun: (peer, fresh) => clientOf(peer, 'request').openRun(fresh),
+    openRun: (peer, fresh) => getClient(peer, 'request').openRun(fresh),
     listen: (address, handlers) =>
       listenForPeers({address, handlers, clock, tls, bytes}),
     close: () => {
--- a/src/wire/peer_client.ts
+++ b/src/wire/peer_client.ts
@@ -1,6 +1,7 @@
 /**
- * Connections to one peer for one kind of traffic: kept between calls, dialled
- * again by grpc when lost, and given up for a new one when it went silent.
+ * Client of one peer for one kind of traffic. It keeps its connection open
+ * between calls. gRPC reconnects after a loss. The client replaces the
+ * connection when the peer has stopped responding on it.
  */
 import type {Socket} from 'node:net';
 import {Client, Metadata, status} from '@grpc/grpc-js';
@@ -16,7 +17,11 @@
 import type {PeerMethod, RunDown, RunUp} from '../types/peer_messages.js';
 import type {Clock} from '../types/runtime.js';
 import type {RunChannel} from '../types/transport.js';
-import {failedAtPeer, notSent, outcomeUnknown} from './call_errors.js';
+import {
+  failedAtPeerError,
+  notSentError,
+  outcomeUnknownError,
+} from './call_errors.js';
 import {createCallStream} from './call_stream.js';
 import type {CallStream} from './call_stream.js';
 import {RUN_CODEC} from './codec.js';
@@ -27,39 +32,47 @@
 import {isStreamed} from './heartbeat_streams.js';
 import type {StreamedMethod} from './heartbeat_streams.js';
 
-/** Timeouts in a row after which a connection counts as silent. */
-const SILENT_AFTER_TIMEOUTS = 2;
 /**
- * A connection younger than this is fresh to every run that asks for one. A
- * silent connection takes all its runs along, and they notice together; each
- * on a connection of its own would be hundreds of them at once. Silence takes
- * longer than this to notice, so no run gets back the connection it left.
+ * Number of consecutive timeouts after which a connection is considered silent
+ * and is replaced.
+ */
+const SILENT_AFTER_CONSECUTIVE_TIMEOUTS = 2;
+/**
+ * A connection younger than this, in milliseconds, is given to every run that
+ * requests a fresh connection. When a connection becomes silent, all its runs
+ * detect it at the same time. A new connection for each run would mean hundreds
+ * at once. Detecting silence takes longer than this time, so no run gets the
+ * connection that it abandoned.
  */
 const FRESH_FOR_MS = 500;
-/** Time for a closed run's last frames before its stream is cut. */
+/**
+ * Time in milliseconds to send the last frames of a closed run. The stream is
+ * cancelled after it.
+ */
 const CLOSE_GRACE_MS = 1_000;
 
 const NO_CONNECTION = 'no connection in time';
 const NO_ANSWER = 'no answer in time';
 
+/** Error of a call whose stream was closed by the peer before the answer. */
 const STREAM_CLOSED = {
   code: status.UNAVAILABLE,
   details: 'the peer closed the stream',
 };
 
 const CHANNEL_OPTIONS: ChannelOptions = {
-  // Each client has connections of its own, so that a new client is a new
-  // connection and control traffic never waits behind a prompt.
+  // Each client has its own connections. A new client thus opens a new
+  // connection, and control traffic never waits behind a prompt.
   'grpc.use_local_subchannel_pool': 1,
-  // Who calls decides on retries: it knows what may be repeated.
+  // Callers decide on retries, since they know which calls may be repeated.
   'grpc.enable_retries': 0,
   'grpc.enable_http_proxy': 0,
   'grpc.enable_channelz': 0,
   'grpc.service_config_disable_resolution': 1,
   'grpc.initial_reconnect_backoff_ms': 100,
   'grpc.max_reconnect_backoff_ms': 1_000,
-  // Ends a connection that went silent under an open stream. Streams notice
-  // sooner by their own beats; this frees the socket.
+  // Closes a connection that stopped responding under an open stream. The
+  // stream detects this sooner by its own beat frames. This frees the socket.
   'grpc.keepalive_time_ms': 20_000,
   'grpc.keepalive_timeout_ms': 5_000,
   'grpc.keepalive_permit_without_calls': 0,
@@ -67,7 +80,7 @@
   'grpc.default_authority': TLS_SERVER_NAME,
 };
 
-/** One peer, and how to dial it. `onSocket` gets each new connection. */
+/** A peer and how to dial it. `onSocket` receives each new socket. */
 export interface PeerClientOptions {
   readonly peer: Address;
   readonly clock: Clock;
@@ -75,7 +88,7 @@
   readonly onSocket: (socket: Socket) => void;
 }
 
-/** Connections to one peer. */
+/** Client of one peer. */
 export interface PeerClient {
   call<Req, Res>(
     method: PeerMethod,
@@ -83,22 +96,25 @@
     req: Req,
     timeoutMs: number,
   ): Promise<Either<OnyxError, Res>>;
+  /** Opens a run; `fresh` requests a newly opened connection. */
   openRun(fresh: boolean): RunChannel;
-  /** When it was last used, on the process's clock. */
-  usedAt(): number;
-  /** Ends the connection with the last call or run sent on it. */
+  /** Time of the last call or run, on the process's clock. */
+  lastUsedAt(): number;
+  /** Closes the connection when the last call or run on it has ended. */
   close(): void;
 }
 
+/** A gRPC client with one connection and the streams on it. */
 interface Connection {
   readonly client: Client;
+  /** Time when the client was created, on the process's clock. */
   readonly dialledAt: number;
-  /** Kept streams, by the method whose calls go over them. */
+  /** Long-lived streams by the method whose calls they carry. */
   readonly streams: Map<StreamedMethod, CallStream<unknown, unknown>>;
-  timeoutsInRow: number;
+  consecutiveTimeouts: number;
 }
 
-/** What became of a call, as seen by the transport. */
+/** Failure of a call, as seen by the transport. */
 interface CallFailure {
   readonly peer: Address;
   readonly method: PeerMethod;
@@ -108,28 +124,28 @@
   readonly err: Pick<ServiceError, 'code' | 'details'>;
 }
 
-/** Answers that the peer's own server gives when a handler fails. */
+/** Statuses that the peer's server returns if a handler fails or is missing. */
 const ANSWERED_STATUSES: ReadonlySet<status> = new Set([
   status.FAILED_PRECONDITION,
   status.UNIMPLEMENTED,
 ]);
 
-function toError(failure: CallFailure): OnyxError {
+function toCallError(failure: CallFailure): OnyxError {
   const {peer, method, sent, timedOut, err} = failure;
   if (ANSWERED_STATUSES.has(err.code)) {
-    return failedAtPeer(method, peer, err.details);
+    return failedAtPeerError(method, peer, err.details);
   }
   if (!sent) {
-    return notSent(method, peer, timedOut ? NO_CONNECTION : err.details);
+    return notSentError(method, peer, timedOut ? NO_CONNECTION : err.details);
   }
-  return outcomeUnknown(method, peer, timedOut ? NO_ANSWER : err.details);
+  return outcomeUnknownError(method, peer, timedOut ? NO_ANSWER : err.details);
 }
 
-/** Dials with the first call, and anew after timeouts in a row. */
+/** Connects at the first call, and again after consecutive timeouts. */
 export function createPeerClient(options: PeerClientOptions): PeerClient {
   const {peer, clock, tls, onSocket} = options;
   const target = `${peer.startsWith('[') ? 'ipv6' : 'ipv4'}:${peer}`;
-  let usedAt = clock.now();
+  let lastUsedAt = clock.now();
 
   const dial = (): Connection => ({
     client: new Client(
@@ -139,47 +155,51 @@
     ),
     dialledAt: clock.now(),
     streams: new Map(),
-    timeoutsInRow: 0,
+    consecutiveTimeouts: 0,
   });
 
   let current = dial();
 
-  const take = (): Connection => {
-    usedAt = clock.now();
+  const useConnection = (): Connection => {
+    lastUsedAt = clock.now();
     return current;
   };
 
-  /** An open stream would keep the connection for ever. */
-  const hangUp = (on: Connection): void => {
-    for (const stream of on.streams.values()) stream.close();
-    on.client.close();
+  /** Ends the streams first, since an open stream keeps the connection open. */
+  const closeConnection = (connection: Connection): void => {
+    for (const stream of connection.streams.values()) stream.close();
+    connection.client.close();
   };
 
   /**
-   * An established connection can go silent for good: writes succeed and no
-   * answer comes, call after call. A new connection is the cure. Calls and
-   * runs already sent on the old one go on; those that still wait for it to
-   * connect end as not sent.
+   * Replaces the connection. An established connection can become silent for
+   * good: writes succeed, but no call is answered. Calls and runs already sent
+   * on the old connection continue. Those that still wait for it to connect
+   * fail as not sent.
    */
   const redial = (): void => {
-    const old = current;
+    const replaced = current;
     current = dial();
-    hangUp(old);
+    closeConnection(replaced);
   };
 
-  const noteTimeout = (on: Connection): void => {
-    on.timeoutsInRow++;
-    if (on === current && on.timeoutsInRow >= SILENT_AFTER_TIMEOUTS) redial();
+  const countTimeout = (connection: Connection): void => {
+    connection.consecutiveTimeouts++;
+    if (
+      connection === current &&
+      connection.consecutiveTimeouts >= SILENT_AFTER_CONSECUTIVE_TIMEOUTS
+    )
+      redial();
   };
 
-  const streamOf = (
-    on: Connection,
+  const getStream = (
+    connection: Connection,
     method: StreamedMethod,
   ): CallStream<unknown, unknown> => {
-    const kept = on.streams.get(method);
-    if (kept !== undefined) return kept;
-    const stream = createCallStream(on.client, clock, method);
-    on.streams.set(method, stream as CallStream<unknown, unknown>);
+    const existing = connection.streams.get(method);
+    if (existing !== undefined) return existing;
+    const stream = createCallStream(connection.client, clock, method);
+    connection.streams.set(method, stream as CallStream<unknown, unknown>);
     return stream as CallStream<unknown, unknown>;
   };
 
@@ -188,17 +208,17 @@
     req: Req,
     timeoutMs: number,
   ): Promise<Either<OnyxError, Res>> => {
-    const on = take();
+    const connection = useConnection();
     return new Promise(resolve => {
-      streamOf(on, method).call(req, timeoutMs, (failure, res) => {
-        if (failure?.timedOut === true) noteTimeout(on);
-        else on.timeoutsInRow = 0;
+      getStream(connection, method).call(req, timeoutMs, (failure, res) => {
+        if (failure?.timedOut === true) countTimeout(connection);
+        else connection.consecutiveTimeouts = 0;
         if (failure === undefined) {
           resolve(Right(res as Res));
           return;
         }
         const err = failure.err ?? STREAM_CLOSED;
-        resolve(Left(toError({...failure, peer, method, err})));
+        resolve(Left(toCallError({...failure, peer, method, err})));
       });
     });
   };
@@ -210,31 +230,32 @@
     timeoutMs: number,
   ): Promise<Either<OnyxError, Res>> => {
     if (isStreamed(method)) return callOnStream(method, req, timeoutMs);
-    const on = take();
+    const connection = useConnection();
     return new Promise(resolve => {
       let timedOut = false;
-      const done = (err: ServiceError | null, res?: Res): void => {
+      const settle = (err: ServiceError | null, res?: Res): void => {
         cancelTimer();
-        if (timedOut) noteTimeout(on);
-        else on.timeoutsInRow = 0;
+        if (timedOut) countTimeout(connection);
+        else connection.consecutiveTimeouts = 0;
         if (err === null) {
           resolve(Right(res as Res));
           return;
         }
-        // The stream is bound to a connection from when it is sent on; until
-        // then the call names the channel's target as its peer.
-        const sent = stream.getPeer() !== on.client.getChannel().getTarget();
-        resolve(Left(toError({peer, method, sent, timedOut, err})));
+        // A call is bound to a connection when it is sent. Until then,
+        // `getPeer` returns the channel's target.
+        const sent =
+          stream.getPeer() !== connection.client.getChannel().getTarget();
+        resolve(Left(toCallError({peer, method, sent, timedOut, err})));
       };
-      const stream = on.client.makeUnaryRequest(
+      const stream = connection.client.makeUnaryRequest(
         codec.path,
         codec.req.encode,
         codec.res.decode,
         req,
-        done,
+        settle,
       );
-      // The deadline is on the monotonic clock. That of grpc is a reading of
-      // the wall clock, whose steps would end every call at once.
+      // The timeout uses the monotonic clock. A gRPC deadline uses the wall
+      // clock, and a step of the wall clock would end every call at once.
       const cancelTimer = clock.after(timeoutMs, () => {
         timedOut = true;
         stream.cancel();
@@ -244,9 +265,9 @@
 
   const openRun = (fresh: boolean): RunChannel => {
     if (fresh && clock.now() - current.dialledAt >= FRESH_FOR_MS) redial();
-    const on = take();
+    const connection = useConnection();
     const stream: ClientDuplexStream<RunUp, RunDown> =
-      on.client.makeBidiStreamRequest(
+      connection.client.makeBidiStreamRequest(
         RUN_CODEC.path,
         RUN_CODEC.req.encode,
         RUN_CODEC.res.decode,
@@ -260,7 +281,7 @@
   return {
     call,
     openRun,
-    usedAt: () => usedAt,
-    close: () => hangUp(current),
+    lastUsedAt: () => lastUsedAt,
+    close: () => closeConnection(current),
   };
 }
