--- a/src/config/settings_faults.ts
+++ b/src/config/settings_faults.ts
@@ -10,7 +10,7 @@
 } from 'jsonc-parser';
 import type {Node, ParseError} from 'jsonc-parser';
 import type {z} from 'zod';
-import {nearestName} from '../utils/nearest.js';
+import {nearestName} from '../utils/nearest_name.js';
 import {
   LIMIT_DEFAULTS,
   OPTION_EXAMPLES,
