--- a/src/direct/serve_context.ts
+++ b/src/direct/serve_context.ts
@@ -3,7 +3,7 @@
 import type {RetryBudget} from '../limits/retry_budget.js';
 import type {Clock, Log, Metrics, Random} from '../types/runtime.js';
 import {DIRECT_EVENTS} from '../utils/events.js';
-import {HOP_BY_HOP, namedByConnection} from '../utils/hop_headers.js';
+import {HOP_BY_HOP_HEADERS, connectionOptions} from '../utils/hop_headers.js';
 import type {CallTimes} from './call_times.js';
 import type {CrashWatch} from './crash_watch.js';
 import type {CallCandidate, CallRequest} from './decide/choose_call_replica.js';
@@ -210,11 +210,11 @@
 
 /** The replica's headers without those of its connection. */
 function endToEndHeaders({rawHeaders}: AnswerHead): HeaderList {
-  const dropped = namedByConnection(rawHeaders);
+  const dropped = connectionOptions(rawHeaders);
   const kept: string[] = [];
   for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
     const name = rawHeaders[at].toLowerCase();
-    if (HOP_BY_HOP.has(name) || dropped.has(name)) continue;
+    if (HOP_BY_HOP_HEADERS.has(name) || dropped.has(name)) continue;
     kept.push(rawHeaders[at], rawHeaders[at + 1]);
   }
   return kept;
--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -15,10 +15,10 @@
 import type {Mailbox} from './mailbox.js';
 
 /** Pause before the first restart of a failed service; doubles each time. */
-const RESTART_FIRST_MS = 50;
-const RESTART_MOST_MS = 5_000;
+const MIN_RESTART_DELAY_MS = 50;
+const MAX_RESTART_DELAY_MS = 5_000;
 /** A service that ran this long is taken as sound again. */
-const SOUND_AFTER_MS = 10_000;
+const STABLE_AFTER_MS = 10_000;
 
 /** Starts, connects and ends the services of one process. */
 export interface Kernel {
@@ -31,23 +31,23 @@
   ): Promise<R>;
   /** Ends all services, the newest first, and waits for their releases. */
   stop(): Promise<void>;
-  running(): readonly string[];
+  runningServices(): readonly string[];
 }
 
 /** A running service. */
-interface Task {
+interface RunningService {
   readonly name: string;
   readonly mailbox: Mailbox<unknown>;
   readonly releases: Array<() => void | Promise<void>>;
-  readonly pending: Set<(err: OnyxError) => void>;
+  readonly pendingAsks: Set<(err: OnyxError) => void>;
   readonly startedAt: number;
   ended: boolean;
 }
 
 /** Makes a kernel without services. A failed one is restarted after a pause. */
 export function createKernel(runtime: Runtime): Kernel {
-  const tasks = new Map<string, Task>();
-  const restarts = new Map<string, number>();
+  const tasks = new Map<string, RunningService>();
+  const restartCounts = new Map<string, number>();
   const restartTimers = new Set<Cancel>();
   let stopping = false;
 
@@ -78,20 +78,20 @@
         reject(notRunning(to));
         return;
       }
-      task.pending.add(reject);
+      task.pendingAsks.add(reject);
       const reply = (value: R) => {
-        task.pending.delete(reject);
+        task.pendingAsks.delete(reject);
         resolve(value);
       };
       task.mailbox.push(make(reply));
     });
 
-  const release = async (task: Task) => {
+  const release = async (task: RunningService) => {
     task.ended = true;
     if (tasks.get(task.name) === task) tasks.delete(task.name);
     task.mailbox.close();
-    for (const reject of task.pending) reject(notRunning(task.name));
-    task.pending.clear();
+    for (const reject of task.pendingAsks) reject(notRunning(task.name));
+    task.pendingAsks.clear();
     for (const free of task.releases.reverse()) {
       try {
         await free();
@@ -104,16 +104,17 @@
     }
   };
 
-  const restartDelay = (task: Task) => {
+  const restartDelay = (task: RunningService) => {
     const ranMs = runtime.clock.now() - task.startedAt;
-    const count = ranMs > SOUND_AFTER_MS ? 0 : (restarts.get(task.name) ?? 0);
-    restarts.set(task.name, count + 1);
-    return Math.min(RESTART_MOST_MS, RESTART_FIRST_MS * 2 ** count);
+    const count =
+      ranMs > STABLE_AFTER_MS ? 0 : (restartCounts.get(task.name) ?? 0);
+    restartCounts.set(task.name, count + 1);
+    return Math.min(MAX_RESTART_DELAY_MS, MIN_RESTART_DELAY_MS * 2 ** count);
   };
 
   const fail = async <N extends ServiceName>(
     spec: ServiceSpec<N>,
-    task: Task,
+    task: RunningService,
     cause: unknown,
   ) => {
     if (task.ended) return;
@@ -133,11 +134,11 @@
 
   const contextOf = <N extends ServiceName>(
     spec: ServiceSpec<N>,
-    task: Task,
+    task: RunningService,
   ): ServiceContext<N> => ({
     ...runtime,
     name: spec.name,
-    mailbox: watched(spec, task),
+    mailbox: observedMailbox(spec, task),
     send,
     ask,
     own: free => {
@@ -147,7 +148,10 @@
   });
 
   /** The mailbox's stream; an error in its observer ends the task. */
-  const watched = <N extends ServiceName>(spec: ServiceSpec<N>, task: Task) => {
+  const observedMailbox = <N extends ServiceName>(
+    spec: ServiceSpec<N>,
+    task: RunningService,
+  ) => {
     const stream = task.mailbox.stream as ServiceContext<N>['mailbox'];
     const observe = stream.observe.bind(stream);
     stream.observe = handler => {
@@ -159,11 +163,11 @@
   };
 
   const launch = async <N extends ServiceName>(spec: ServiceSpec<N>) => {
-    const task: Task = {
+    const task: RunningService = {
       name: spec.name,
       mailbox: createMailbox<unknown>(),
       releases: [],
-      pending: new Set(),
+      pendingAsks: new Set(),
       startedAt: runtime.clock.now(),
       ended: false,
     };
@@ -196,6 +200,6 @@
     send,
     ask,
     stop,
-    running: () => [...tasks.keys()],
+    runningServices: () => [...tasks.keys()],
   };
 }
--- a/src/onyxloftd.ts
+++ b/src/onyxloftd.ts
@@ -17,8 +17,8 @@
 import {createProcessInvariant} from './utils/invariant.js';
 import {createProcessLog} from './utils/logger.js';
 import {createMetrics} from './utils/metrics.js';
-import {wire} from './wiring.js';
-import type {WiredProcess} from './wiring.js';
+import {startProcess} from './wiring.js';
+import type {RunningProcess} from './wiring.js';
 
 const USAGE = `usage: onyxloftd --settings FILE
 
@@ -30,7 +30,7 @@
 const EXIT_FAILED = 1;
 const EXIT_USAGE = 2;
 /** Pause for the last log lines to reach the pipe. */
-const FLUSH_MS = 50;
+const LOG_FLUSH_MS = 50;
 
 function readSettings(): Settings | undefined {
   const {values} = parseArgs({
@@ -69,16 +69,16 @@
  * First signal: drain, within the drain limit. Second signal, or the limit:
  * end at once; requests still in progress are cut, and the log says how many.
  */
-function endOnSignals(
-  wired: WiredProcess,
+function drainOnSignals(
+  wired: RunningProcess,
   runtime: Runtime,
   drainMs: number,
 ): void {
   let draining = false;
   const end = async (code: number, why: string) => {
-    runtime.log(KERNEL_EVENTS.drainEnded, {why, open: await wired.open()});
+    runtime.log(KERNEL_EVENTS.drainEnded, {why, open: await wired.countOpen()});
     await wired.stop();
-    runtime.clock.after(FLUSH_MS, () => process.exit(code));
+    runtime.clock.after(LOG_FLUSH_MS, () => process.exit(code));
   };
   const onSignal = (signal: NodeJS.Signals) => {
     if (draining) {
@@ -103,14 +103,19 @@
   const runtime = createRuntime(settings);
   // Operators may ask for the drain that SIGTERM starts.
   const requestDrain = () => void process.emit('SIGTERM', 'SIGTERM');
-  const wired = await wire(settings, runtime, readFileSync, requestDrain);
+  const wired = await startProcess(
+    settings,
+    runtime,
+    readFileSync,
+    requestDrain,
+  );
   runtime.log(KERNEL_EVENTS.processStarted, {
     role: settings.role,
     pid: process.pid,
     peers: settings.listen.peers,
     operators: settings.listen.operators,
   });
-  endOnSignals(wired, runtime, settings.timing.drainMs);
+  drainOnSignals(wired, runtime, settings.timing.drainMs);
 }
 
 main().catch(err => {
--- a/src/types/kernel.ts
+++ b/src/types/kernel.ts
@@ -27,7 +27,7 @@
    */
   ask<T extends ServiceName, R>(
     to: T,
-    make: (reply: (value: R) => void) => ServiceMessages[T],
+    createMessage: (reply: (value: R) => void) => ServiceMessages[T],
   ): Promise<R>;
   /** Registers what to release when this service ends, newest first. */
   own(release: () => void | Promise<void>): void;
--- a/src/utils/bounded_sink.ts
+++ b/src/utils/bounded_sink.ts
@@ -9,10 +9,10 @@
 
 const STDOUT = 1;
 /** Lines that may wait, in bytes. */
-const MOST_WAITING_BYTES = 1024 * 1024;
+const MAX_QUEUED_BYTES = 1024 * 1024;
 /** Room that is kept for warnings and errors. */
-const KEPT_FOR_FAILURES = 0.25;
-const FAILURE = /"level":"(?:warn|error)"/;
+const RESERVED_FOR_FAILURES = 0.25;
+const FAILURE_LINE = /"level":"(?:warn|error)"/;
 const DROPPED_METRIC = 'onyxloft_log_lines_dropped_total';
 
 /** Writes to a file descriptor; as `fs.write`. */
@@ -57,9 +57,9 @@
   return new Writable({
     decodeStrings: true,
     write: (line: Buffer, _encoding, done) => {
-      const failure = FAILURE.test(line.toString('latin1'));
-      const share = failure ? 1 : 1 - KEPT_FOR_FAILURES;
-      if (bytes + line.length > MOST_WAITING_BYTES * share) {
+      const failure = FAILURE_LINE.test(line.toString('latin1'));
+      const share = failure ? 1 : 1 - RESERVED_FOR_FAILURES;
+      if (bytes + line.length > MAX_QUEUED_BYTES * share) {
         metrics.count(DROPPED_METRIC, {kind: failure ? 'failure' : 'other'});
       } else {
         waiting.push(line);
--- a/src/utils/digest.ts
+++ b/src/utils/digest.ts
@@ -29,6 +29,6 @@
 }
 
 /** Hash of bytes, chained with the hash of what came before. */
-export function chainHash(before: bigint, data: Uint8Array): bigint {
-  return hasher.h64Raw(data, before);
+export function chainHash(previous: bigint, data: Uint8Array): bigint {
+  return hasher.h64Raw(data, previous);
 }
--- a/src/utils/hop_headers.ts
+++ b/src/utils/hop_headers.ts
@@ -4,7 +4,7 @@
  */
 import type {Header} from '../types/peer_messages.js';
 
-export const HOP_BY_HOP: ReadonlySet<string> = new Set([
+export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -22,23 +22,23 @@
 ): readonly Header[] {
   const named = headers
     .filter(({name}) => name.toLowerCase() === 'connection')
-    .flatMap(({value}) => namesIn(value));
-  const dropped = new Set([...HOP_BY_HOP, ...named]);
+    .flatMap(({value}) => parseNames(value));
+  const dropped = new Set([...HOP_BY_HOP_HEADERS, ...named]);
   return headers.filter(({name}) => !dropped.has(name.toLowerCase()));
 }
 
 /** Names that `connection` gives in a flat list of names and values. */
-export function namedByConnection(
+export function connectionOptions(
   rawHeaders: readonly string[],
 ): ReadonlySet<string> {
   const named = new Set<string>();
   for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
     if (rawHeaders[at].toLowerCase() !== 'connection') continue;
-    for (const name of namesIn(rawHeaders[at + 1])) named.add(name);
+    for (const name of parseNames(rawHeaders[at + 1])) named.add(name);
   }
   return named;
 }
 
-function namesIn(value: string): readonly string[] {
+function parseNames(value: string): readonly string[] {
   return value.split(',').map(name => name.trim().toLowerCase());
 }
--- a/src/utils/keys.ts
+++ b/src/utils/keys.ts
@@ -24,7 +24,7 @@
 
 /** Parts of a stored hash. */
 export interface KeyHash {
-  readonly form: 'scrypt' | 'sha256';
+  readonly algorithm: 'scrypt' | 'sha256';
   /** Hex. */
   readonly salt: string;
   /** Hex. */
@@ -35,9 +35,13 @@
 export function parseKeyHash(text: string): Maybe<KeyHash> {
   const match = KEY_HASH.exec(text);
   if (match === null) return Nothing;
-  const [, form, salt, hash] = match as unknown as readonly string[];
+  const [, algorithm, salt, hash] = match as unknown as readonly string[];
   if (salt === undefined || hash === undefined) return Nothing;
-  return Just({form: form === 'scrypt' ? 'scrypt' : 'sha256', salt, hash});
+  return Just({
+    algorithm: algorithm === 'scrypt' ? 'scrypt' : 'sha256',
+    salt,
+    hash,
+  });
 }
 
 /** Slow salted hash, `scrypt$salt$hash`; blocks for some ten milliseconds. */
@@ -58,13 +62,13 @@
  */
 export function verifyKey(key: string, stored: string): boolean {
   return parseKeyHash(stored)
-    .map(({form, salt, hash}) => {
+    .map(({algorithm, salt, hash}) => {
       const bytes = Buffer.from(salt, 'hex');
       const found =
-        form === 'sha256'
+        algorithm === 'sha256'
           ? hmac(key, salt)
           : scryptSync(key, bytes, HASH_BYTES, SCRYPT_OPTIONS);
-      return sameHash(found, hash);
+      return hashesEqual(found, hash);
     })
     .orDefault(false);
 }
@@ -72,11 +76,12 @@
 /** As `verifyKey`, with the slow form computed off the event loop. */
 export function verifyKeyAsync(key: string, stored: string): Promise<boolean> {
   const parsed = parseKeyHash(stored).extract();
-  if (parsed?.form !== 'scrypt') return Promise.resolve(verifyKey(key, stored));
+  if (parsed?.algorithm !== 'scrypt')
+    return Promise.resolve(verifyKey(key, stored));
   const salt = Buffer.from(parsed.salt, 'hex');
   return new Promise((resolve, reject) => {
     scrypt(key, salt, HASH_BYTES, SCRYPT_OPTIONS, (err, found) => {
-      if (err === null) resolve(sameHash(found, parsed.hash));
+      if (err === null) resolve(hashesEqual(found, parsed.hash));
       else reject(err);
     });
   });
@@ -92,6 +97,6 @@
 }
 
 /** In constant time, so that the time taken tells nothing of the hash. */
-function sameHash(found: Buffer, hashHex: string): boolean {
+function hashesEqual(found: Buffer, hashHex: string): boolean {
   return timingSafeEqual(found, Buffer.from(hashHex, 'hex'));
 }
--- a/src/utils/logger.ts
+++ b/src/utils/logger.ts
@@ -6,7 +6,7 @@
 import type {EventSpec, Log, LogFields} from '../types/runtime.js';
 
 /** Names that each line has of its own. */
-const RESERVED = new Set(['time', 'level', 'event', 'name', 'node']);
+const RESERVED_FIELDS = new Set(['time', 'level', 'event', 'name', 'node']);
 
 /** What each line of a process carries, and where it goes. */
 export interface LoggerOptions {
@@ -30,7 +30,7 @@
   const winston = createWinston({
     levels: {error: 0, warn: 1, info: 2, debug: 3},
     level: options.level ?? 'info',
-    format: format.combine(format.timestamp(), format.printf(lineOf)),
+    format: format.combine(format.timestamp(), format.printf(formatLine)),
     transports: [
       new transports.Stream({stream: options.stream ?? process.stdout}),
     ],
@@ -54,22 +54,22 @@
 }
 
 /** `time`, `level`, `event`, `name`, `node`, then the event's own fields. */
-function lineOf(info: Readonly<Record<string, unknown>>): string {
+function formatLine(info: Readonly<Record<string, unknown>>): string {
   return JSON.stringify({
     time: info['timestamp'],
     level: info['level'],
     ...(info['head'] as LogFields),
-    ...withoutClash(info['fields'] as LogFields),
+    ...renameReservedFields(info['fields'] as LogFields),
   });
 }
 
 /** A field that has a reserved name is written as `field.NAME`. */
-function withoutClash(fields: LogFields): LogFields {
+function renameReservedFields(fields: LogFields): LogFields {
   const entries = Object.entries(fields);
-  if (!entries.some(([name]) => RESERVED.has(name))) return fields;
+  if (!entries.some(([name]) => RESERVED_FIELDS.has(name))) return fields;
   return Object.fromEntries(
     entries.map(([name, value]) => [
-      RESERVED.has(name) ? `field.${name}` : name,
+      RESERVED_FIELDS.has(name) ? `field.${name}` : name,
       value,
     ]),
   );
--- a/src/utils/metrics.ts
+++ b/src/utils/metrics.ts
@@ -20,8 +20,8 @@
 const QUANTILES = [0.5, 0.95, 0.99] as const;
 const SIGNIFICANT_DIGITS = 2;
 /** Histograms keep whole numbers: values are kept in thousandths. */
-const SCALE = 1_000;
-const HIGHEST_VALUE = 2 ** 51;
+const HISTOGRAM_SCALE = 1_000;
+const MAX_HISTOGRAM_VALUE = 2 ** 51;
 
 type Kind = 'counter' | 'gauge' | 'summary';
 
@@ -64,7 +64,7 @@
 
   const seriesOf = (name: string, kind: Kind, labels: MetricLabels): Series => {
     const family = familyOf(name, kind);
-    const key = labelText(labels);
+    const key = formatLabels(labels);
     const known = family.series.get(key);
     if (known !== undefined) return known;
     // The overflow counter is bounded by the number of metrics.
@@ -72,7 +72,7 @@
       return addSeries(family, key, labels);
     }
     seriesOf(LABEL_OVERFLOW_METRIC, 'counter', {metric: name}).value += 1;
-    const overflowKey = labelText(OVERFLOW_LABELS);
+    const overflowKey = formatLabels(OVERFLOW_LABELS);
     return (
       family.series.get(overflowKey) ??
       addSeries(family, overflowKey, OVERFLOW_LABELS)
@@ -89,7 +89,10 @@
     observe: (name, labels, value) => {
       if (!Number.isFinite(value)) return;
       const series = seriesOf(name, 'summary', labels);
-      const sample = Math.min(HIGHEST_VALUE, Math.max(0, value * SCALE));
+      const sample = Math.min(
+        MAX_HISTOGRAM_VALUE,
+        Math.max(0, value * HISTOGRAM_SCALE),
+      );
       series.value += Math.max(0, value);
       series.histogram?.recordValue(Math.round(sample));
     },
@@ -120,7 +123,7 @@
 function renderFamily(family: Family): string {
   const lines = [...family.series.values()].flatMap(series =>
     series.histogram === undefined
-      ? [`${family.name}${labelText(series.labels)} ${series.value}`]
+      ? [`${family.name}${formatLabels(series.labels)} ${series.value}`]
       : renderSummary(family.name, series, series.histogram),
   );
   return [`# TYPE ${family.name} ${family.kind}`, ...lines, ''].join('\n');
@@ -131,11 +134,12 @@
   series: Series,
   histogram: Histogram,
 ): readonly string[] {
-  const labels = labelText(series.labels);
+  const labels = formatLabels(series.labels);
   const quantiles = QUANTILES.map(quantile => {
     const withQuantile = {...series.labels, quantile: String(quantile)};
-    const value = histogram.getValueAtPercentile(quantile * 100) / SCALE;
-    return `${name}${labelText(withQuantile)} ${value}`;
+    const value =
+      histogram.getValueAtPercentile(quantile * 100) / HISTOGRAM_SCALE;
+    return `${name}${formatLabels(withQuantile)} ${value}`;
   });
   return [
     ...quantiles,
@@ -145,14 +149,16 @@
 }
 
 /** Labels in order of their names, as `{a="1",b="2"}`. */
-function labelText(labels: MetricLabels): string {
+function formatLabels(labels: MetricLabels): string {
   const names = Object.keys(labels).sort();
   if (names.length === 0) return '';
-  const pairs = names.map(name => `${name}="${escape(labels[name] ?? '')}"`);
+  const pairs = names.map(
+    name => `${name}="${escapeLabelValue(labels[name] ?? '')}"`,
+  );
   return `{${pairs.join(',')}}`;
 }
 
-function escape(value: string): string {
+function escapeLabelValue(value: string): string {
   return value
     .replaceAll('\\', '\\\\')
     .replaceAll('"', '\\"')
--- a/src/utils/nearest_name.ts
+++ b/src/utils/nearest_name.ts
@@ -1,7 +1,7 @@
 /** The nearest known name to a mistyped one, for messages that help. */
 
 /** Names further off than this share of their length are no help. */
-const MOST_DISTANCE_SHARE = 0.5;
+const MAX_DISTANCE_RATIO = 0.5;
 
 /** The known name with the least edit distance, if any is near enough. */
 export function nearestName(
@@ -16,7 +16,7 @@
     .sort((a, b) => a.distance - b.distance);
   const best = ranked[0];
   if (best === undefined) return undefined;
-  const most = Math.max(2, best.candidate.length * MOST_DISTANCE_SHARE);
+  const most = Math.max(2, best.candidate.length * MAX_DISTANCE_RATIO);
   return best.distance <= most ? best.candidate : undefined;
 }
 
--- a/src/utils/rendezvous.ts
+++ b/src/utils/rendezvous.ts
@@ -23,20 +23,23 @@
   return -(node.weight ?? 1) / Math.log(uniform);
 }
 
-interface Scored<T> {
+interface ScoredNode<T> {
   readonly node: T;
   readonly score: number;
 }
 
-function compare<T extends RendezvousNode>(a: Scored<T>, b: Scored<T>): number {
+function compareScored<T extends RendezvousNode>(
+  a: ScoredNode<T>,
+  b: ScoredNode<T>,
+): number {
   if (a.score !== b.score) return b.score - a.score;
   return a.node.id < b.node.id ? -1 : 1;
 }
 
-function scored<T extends RendezvousNode>(
+function scoreNodes<T extends RendezvousNode>(
   key: string,
   nodes: readonly T[],
-): Array<Scored<T>> {
+): Array<ScoredNode<T>> {
   return nodes.map(node => ({node, score: scoreOf(key, node)}));
 }
 
@@ -45,8 +48,8 @@
   key: string,
   nodes: readonly T[],
 ): readonly T[] {
-  return scored(key, nodes)
-    .sort(compare)
+  return scoreNodes(key, nodes)
+    .sort(compareScored)
     .map(({node}) => node);
 }
 
@@ -55,9 +58,9 @@
   key: string,
   nodes: readonly T[],
 ): T | undefined {
-  let best: Scored<T> | undefined;
-  for (const entry of scored(key, nodes)) {
-    if (best === undefined || compare(entry, best) < 0) best = entry;
+  let best: ScoredNode<T> | undefined;
+  for (const entry of scoreNodes(key, nodes)) {
+    if (best === undefined || compareScored(entry, best) < 0) best = entry;
   }
   return best?.node;
 }
--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -62,10 +62,10 @@
 const BYTES_PER_TOKEN = 4;
 const INCARNATION_BYTES = 6;
 /** A side beats once in a heartbeat; half of one more is for the way. */
-const FIRST_WORD_BEATS = 1.5;
+const FIRST_FRAME_HEARTBEATS = 1.5;
 
 /** What the services of both roles are made of. */
-export interface CoreParts {
+export interface ServicesOptions {
   readonly node: NodeId;
   readonly failureDomain: FailureDomain;
   readonly incarnation: Incarnation;
@@ -76,7 +76,7 @@
   readonly store: ObjectStore;
 }
 
-export interface EntryParts extends CoreParts {
+export interface EntryServicesOptions extends ServicesOptions {
   readonly host: HostId;
   /** Where peers reach this entry. */
   readonly address: Address;
@@ -86,7 +86,7 @@
   readonly routingPolicy: (name: string) => RoutingPolicy;
 }
 
-export interface SideParts extends CoreParts {
+export interface SideServicesOptions extends ServicesOptions {
   readonly pool: PoolId;
   readonly upstream: SideUpstream;
   readonly queuePolicy: QueuePolicy;
@@ -96,9 +96,9 @@
  * Starts an entry's services but its HTTP fronts. Randomised runs and benches
  * start these same services on a virtual clock and an in-memory network.
  */
-export async function startEntryCore(
+export async function startEntryServices(
   kernel: Kernel,
-  parts: EntryParts,
+  parts: EntryServicesOptions,
 ): Promise<void> {
   const {node, failureDomain, timing, transport, store} = parts;
   await kernel.start(
@@ -118,7 +118,7 @@
       role: 'entry',
       store,
       transport,
-      knownFleet: () => readKnownFleet(parts.hostList),
+      knownFleet: () => readLiveHostCounts(parts.hostList),
     }),
   );
   await kernel.start(createClaimsService({store}));
@@ -146,7 +146,7 @@
         silenceTimeoutMs: timing.channelSilenceMs,
         firstFrameTimeoutMs: Math.min(
           timing.channelSilenceMs,
-          FIRST_WORD_BEATS * timing.heartbeatMs,
+          FIRST_FRAME_HEARTBEATS * timing.heartbeatMs,
         ),
       },
     }),
@@ -157,7 +157,9 @@
 }
 
 /** Nothing while the host list is out or empty: then no wish is judged by it. */
-async function readKnownFleet(hostList: HostList): Promise<Maybe<KnownFleet>> {
+async function readLiveHostCounts(
+  hostList: HostList,
+): Promise<Maybe<KnownFleet>> {
   return (await hostList())
     .toMaybe()
     .filter(hosts => hosts.length > 0)
@@ -165,9 +167,9 @@
 }
 
 /** Starts a side's services but its HTTP front; see `startEntryCore`. */
-export async function startSideCore(
+export async function startSideServices(
   kernel: Kernel,
-  parts: SideParts,
+  parts: SideServicesOptions,
 ): Promise<void> {
   const {node, transport, store, upstream} = parts;
   await kernel.start(
@@ -199,12 +201,12 @@
 }
 
 /** A process with its services running. */
-export interface WiredProcess {
+export interface RunningProcess {
   readonly kernel: Kernel;
   /** Takes no new work and resolves when what is in progress has ended. */
   drain(): Promise<void>;
   /** Requests or runs in progress. */
-  open(): Promise<number>;
+  countOpen(): Promise<number>;
   /** Ends all services at once. */
   stop(): Promise<void>;
 }
@@ -213,16 +215,16 @@
 export type ReadFile = (path: string) => Buffer;
 
 /** Starts the services of the role that the settings give. */
-export function wire(
+export function startProcess(
   settings: Settings,
   runtime: Runtime,
   readFile: ReadFile,
   requestDrain: () => void,
-): Promise<WiredProcess> {
+): Promise<RunningProcess> {
   const transport = createTransport(settings, runtime, readFile);
   return settings.role === 'entry'
-    ? wireEntry(settings, runtime, transport, requestDrain)
-    : wireSide(settings, runtime, transport, requestDrain);
+    ? startEntry(settings, runtime, transport, requestDrain)
+    : startSide(settings, runtime, transport, requestDrain);
 }
 
 function createTransport(
@@ -242,7 +244,7 @@
   });
 }
 
-function platformOf(settings: Settings, runtime: Runtime) {
+function createPlatformClients(settings: Settings, runtime: Runtime) {
   const {objectApi, hostList, weightStore} = settings.platform;
   return {
     store: createHttpObjectStore(objectApi, {runtime}),
@@ -252,7 +254,7 @@
 }
 
 /** Tells a service to drain; resolves when what it has has ended. */
-function drained(
+function drainService(
   kernel: Kernel,
   service: 'callers' | 'requests' | 'runs',
 ): Promise<void> {
@@ -268,7 +270,7 @@
 }
 
 /** Both roles have the same front for operators, with handlers of their own. */
-function startOperators(
+function startOperatorsService(
   kernel: Kernel,
   settings: Settings,
   handlers: OperatorsOptions['handlers'],
@@ -284,17 +286,20 @@
   );
 }
 
-async function wireEntry(
+async function startEntry(
   settings: EntrySettings,
   runtime: Runtime,
   transport: Transport,
   requestDrain: () => void,
-): Promise<WiredProcess> {
+): Promise<RunningProcess> {
   const {node, limits, listen} = settings;
   const incarnation = runtime.random.hex(INCARNATION_BYTES);
   const kernel = createKernel(runtime);
-  const {store, hostList, weightStore} = platformOf(settings, runtime);
-  await startEntryCore(kernel, {
+  const {store, hostList, weightStore} = createPlatformClients(
+    settings,
+    runtime,
+  );
+  await startEntryServices(kernel, {
     ...settings,
     incarnation,
     listen: listen.peers,
@@ -316,7 +321,7 @@
       loopDelayMs: createLoopDelayProbe(),
     }),
   );
-  await startOperators(kernel, settings, ctx =>
+  await startOperatorsService(kernel, settings, ctx =>
     createEntryHandlers(ctx, {
       node,
       incarnation,
@@ -329,11 +334,11 @@
     drain: async () => {
       kernel.send('membership', {kind: 'leave'});
       await Promise.all([
-        drained(kernel, 'callers'),
-        drained(kernel, 'requests'),
+        drainService(kernel, 'callers'),
+        drainService(kernel, 'requests'),
       ]);
     },
-    open: () =>
+    countOpen: () =>
       kernel.ask('requests', (reply: (open: number) => void) => ({
         kind: 'count',
         reply,
@@ -342,7 +347,10 @@
   };
 }
 
-function upstreamOf(settings: SideSettings, runtime: Runtime): SideUpstream {
+function createUpstreamClient(
+  settings: SideSettings,
+  runtime: Runtime,
+): SideUpstream {
   const {kind, url} = settings.upstream;
   const {clock} = runtime;
   return kind === 'engine'
@@ -350,27 +358,27 @@
     : {kind, client: createHttpService({url, clock})};
 }
 
-async function wireSide(
+async function startSide(
   settings: SideSettings,
   runtime: Runtime,
   transport: Transport,
   requestDrain: () => void,
-): Promise<WiredProcess> {
+): Promise<RunningProcess> {
   const {node, listen, upstream} = settings;
   const incarnation = runtime.random.hex(INCARNATION_BYTES);
   const kernel = createKernel(runtime);
-  const {store} = platformOf(settings, runtime);
-  await startSideCore(kernel, {
+  const {store} = createPlatformClients(settings, runtime);
+  await startSideServices(kernel, {
     ...settings,
     incarnation,
     listen: listen.peers,
     pool: upstream.pool,
-    upstream: upstreamOf(settings, runtime),
+    upstream: createUpstreamClient(settings, runtime),
     transport,
     store,
     queuePolicy: classQueue,
   });
-  await startOperators(kernel, settings, ctx =>
+  await startOperatorsService(kernel, settings, ctx =>
     createSideOperatorHandlers(ctx, {node, drain: requestDrain}),
   );
   const status = () =>
@@ -380,8 +388,8 @@
     }));
   return {
     kernel,
-    drain: () => drained(kernel, 'runs'),
-    open: async () => (await status()).runs.length,
+    drain: () => drainService(kernel, 'runs'),
+    countOpen: async () => (await status()).runs.length,
     stop: () => stopAll(kernel, transport),
   };
 }
--- a/standins/fleet_entry.ts
+++ b/standins/fleet_entry.ts
@@ -1,6 +1,6 @@
 /** An entry of an in-memory fleet, without its HTTP fronts. */
 import type {Either} from 'purify-ts';
-import {startEntryCore} from '../src/wiring.js';
+import {startEntryServices} from '../src/wiring.js';
 import type {TimingSettings} from '../src/config/settings.js';
 import type {RoutingPolicy} from '../src/policy/routing.js';
 import type {FailureDomain, HostId} from '../src/types/ids.js';
@@ -50,7 +50,7 @@
     ...options,
     wire: async ({kernel, gate, incarnation, transport, store}) => {
       view = undefined;
-      await startEntryCore(kernel, {
+      await startEntryServices(kernel, {
         node: name,
         host,
         failureDomain,
--- a/standins/fleet_upstreams.ts
+++ b/standins/fleet_upstreams.ts
@@ -1,5 +1,5 @@
 /** The sides of an in-memory fleet, each with its upstream. */
-import {startSideCore} from '../src/wiring.js';
+import {startSideServices} from '../src/wiring.js';
 import type {TimingSettings} from '../src/config/settings.js';
 import type {QueuePolicy} from '../src/side/queue_policy.js';
 import type {SideStatus} from '../src/side/messages.js';
@@ -124,7 +124,7 @@
     wire: ({kernel, gate, incarnation, transport, store}) => {
       link = createMemoryEngine({model, clock});
       const client = gateEngine(gate, link);
-      return startSideCore(kernel, {
+      return startSideServices(kernel, {
         node: name,
         failureDomain: options.failureDomain,
         incarnation,
@@ -168,7 +168,7 @@
     onCrash: () => link.cut(),
     wire: ({kernel, gate, incarnation, transport, store}) => {
       link = createMemoryService({core, clock});
-      return startSideCore(kernel, {
+      return startSideServices(kernel, {
         node: name,
         failureDomain: options.failureDomain,
         incarnation,
--- a/test/follow_config.test.ts
+++ b/test/follow_config.test.ts
@@ -32,7 +32,7 @@
     await kernel.start(configService(() => number));
     kernel.send('config', {kind: 'peer-number', peer: '', number: 4});
     await clock.settle();
-    expect(kernel.running()).not.toContain('config');
+    expect(kernel.runningServices()).not.toContain('config');
     await kernel.start({
       name: 'limits',
       start: ctx => followConfig(ctx, config => heard.push(config.number)),
--- a/test/http_bad_input.test.ts
+++ b/test/http_bad_input.test.ts
@@ -196,7 +196,7 @@
   test('a valid request is served after all the invalid ones', async () => {
     expect((await post(GOOD)).status).toBe(200);
     expect(await openRequests()).toBe(0);
-    expect(front.kernel.running()).toContain('callers');
+    expect(front.kernel.runningServices()).toContain('callers');
     expect(front.logged.map(({name}) => name)).not.toContain('front-failed');
   });
 });
--- a/test/keys.test.ts
+++ b/test/keys.test.ts
@@ -19,7 +19,7 @@
   ] as const)('a %s hash fits its own key only', async (form, hash) => {
     const stored = hash('a key', SALT);
     expect(stored).not.toContain('a key');
-    expect(parseKeyHash(stored).extract()?.form).toBe(form);
+    expect(parseKeyHash(stored).extract()?.algorithm).toBe(form);
     expect(verifyKey('a key', stored)).toBe(true);
     expect(verifyKey('a kez', stored)).toBe(false);
     expect(await verifyKeyAsync('a key', stored)).toBe(true);
--- a/test/support/session_fleet.ts
+++ b/test/support/session_fleet.ts
@@ -17,8 +17,8 @@
 } from '../../src/utils/clock.js';
 import {hashGeneratedKey} from '../../src/utils/keys.js';
 import {createMetrics} from '../../src/utils/metrics.js';
-import {wire} from '../../src/wiring.js';
-import type {WiredProcess} from '../../src/wiring.js';
+import {startProcess} from '../../src/wiring.js';
+import type {RunningProcess} from '../../src/wiring.js';
 import {startProgram} from './programs.js';
 import type {Program} from './programs.js';
 
@@ -91,7 +91,7 @@
       startProgram('standins/plain_service.ts'),
     ])) as [Program, Program, Program, Program, Program];
   const events: LoggedEvent[] = [];
-  const wired: WiredProcess[] = [];
+  const wired: RunningProcess[] = [];
   const listenAddresses = new Map<string, Readonly<Record<string, string>>>();
   const platform = {
     objectApi: objectApi.url,
@@ -140,7 +140,7 @@
     ).unsafeCoerce();
     const noFiles = () => Buffer.alloc(0);
     const drain = () => void running.drain();
-    const running: WiredProcess = await wire(
+    const running: RunningProcess = await startProcess(
       settings,
       runtimeOf(node),
       noFiles,
