--- a/src/utils/batcher.ts
+++ b/src/utils/batcher.ts
@@ -1,9 +1,16 @@
-/** Runs something once for all that ask for it within a short time. */
+/**
+ * Coalesces several requests for the same action into one delayed call. It
+ * keeps a burst of changes from causing one call per change.
+ */
 import type {Cancel, Clock} from '../types/runtime.js';
 
-/** Asks for a run within `delayMs`; the shortest delay asked for counts. */
+/**
+ * Requests a call within `delayMs` milliseconds. If a call is already pending,
+ * the earlier of the two due times applies.
+ */
 export type Batcher = (delayMs: number) => void;
 
+/** Creates a batcher that calls `run` once per batch of requests. */
 export function createBatcher(clock: Clock, run: () => void): Batcher {
   let dueAt = Infinity;
   let cancel: Cancel = () => undefined;
--- a/src/utils/bounded_sink.ts
+++ b/src/utils/bounded_sink.ts
@@ -1,21 +1,28 @@
 /**
- * Standard output for log lines, without ever waiting for its reader: a write
- * to a full pipe would stop the process. Lines wait in a bounded queue while
- * one write is under way; what does not fit is dropped and counted.
+ * Writes log lines to standard output without blocking on its reader. A
+ * synchronous write to a full pipe would stop the process. Lines are queued
+ * while a write is in progress. The queue is bounded; lines that do not fit
+ * are dropped and counted.
  */
 import {write} from 'node:fs';
 import {Writable} from 'node:stream';
 import type {Metrics} from '../types/runtime.js';
 
+/** File descriptor of standard output. */
 const STDOUT = 1;
-/** Lines that may wait, in bytes. */
+/** Maximum size of the queue, in bytes. A line beyond it is dropped. */
 const MAX_QUEUED_BYTES = 1024 * 1024;
-/** Room that is kept for warnings and errors. */
+/**
+ * Share of the queue reserved for warnings and errors, so that a burst of
+ * other lines does not displace them.
+ */
 const RESERVED_FOR_FAILURES = 0.25;
+/** Matches the JSON lines of warnings and errors. */
 const FAILURE_LINE = /"level":"(?:warn|error)"/;
+/** Counter of dropped lines, by kind. */
 const DROPPED_METRIC = 'onyxloft_log_lines_dropped_total';
 
-/** Writes to a file descriptor; as `fs.write`. */
+/** Writes bytes to a file descriptor and calls back like `fs.write`. */
 export type WriteFd = (
   bytes: Buffer,
   done: (err: Error | null, written: number) => void,
@@ -25,20 +32,21 @@
   write(STDOUT, bytes, 0, bytes.length, null, done);
 };
 
+/** Creates the stream; tests pass their own `writeFd`. */
 export function createBoundedSink(
   metrics: Metrics,
   writeFd: WriteFd = writeStdout,
 ): Writable {
-  let waiting: Buffer[] = [];
-  let bytes = 0;
+  let queue: Buffer[] = [];
+  let queuedBytes = 0;
   let writing = false;
 
   const flush = (): void => {
-    if (writing || waiting.length === 0) return;
+    if (writing || queue.length === 0) return;
     writing = true;
-    const batch = Buffer.concat(waiting);
-    waiting = [];
-    bytes = 0;
+    const batch = Buffer.concat(queue);
+    queue = [];
+    queuedBytes = 0;
     writeAll(batch);
   };
   const writeAll = (batch: Buffer): void => {
@@ -57,13 +65,13 @@
   return new Writable({
     decodeStrings: true,
     write: (line: Buffer, _encoding, done) => {
-      const failure = FAILURE_LINE.test(line.toString('latin1'));
-      const share = failure ? 1 : 1 - RESERVED_FOR_FAILURES;
-      if (bytes + line.length > MAX_QUEUED_BYTES * share) {
-        metrics.count(DROPPED_METRIC, {kind: failure ? 'failure' : 'other'});
+      const isFailure = FAILURE_LINE.test(line.toString('latin1'));
+      const share = isFailure ? 1 : 1 - RESERVED_FOR_FAILURES;
+      if (queuedBytes + line.length > MAX_QUEUED_BYTES * share) {
+        metrics.count(DROPPED_METRIC, {kind: isFailure ? 'failure' : 'other'});
       } else {
-        waiting.push(line);
-        bytes += line.length;
+        queue.push(line);
+        queuedBytes += line.length;
         setImmediate(flush);
       }
       done();
--- a/src/utils/clock.ts
+++ b/src/utils/clock.ts
@@ -1,11 +1,12 @@
-/** The process's own clock and chance. */
+/** The clock and the random source that a real process uses. */
 import {randomBytes, randomInt} from 'node:crypto';
 import {performance} from 'node:perf_hooks';
 import type {Clock, Random} from '../types/runtime.js';
 
+/** Number of distinct values of `next`; `randomInt` takes less than 2^48. */
 const RANDOM_RANGE = 2 ** 47;
 
-/** Monotonic clock of this process. */
+/** Creates the monotonic clock of this process. */
 export function createProcessClock(): Clock {
   return {
     now: () => performance.now(),
@@ -20,7 +21,7 @@
   };
 }
 
-/** Chance from the operating system. */
+/** Creates a random source backed by the operating system. */
 export function createProcessRandom(): Random {
   return {
     next: () => randomInt(RANDOM_RANGE) / RANDOM_RANGE,
--- a/src/utils/digest.ts
+++ b/src/utils/digest.ts
@@ -1,20 +1,21 @@
 /**
- * Digest over an answer's bytes, made chunk by chunk at the side and checked
- * at the entry. It guards against mixed-up and lost chunks, not against an
- * attacker: the processes trust each other by certificate.
+ * Non-cryptographic hashes. The side computes a digest over an answer's bytes
+ * chunk by chunk, and the entry checks it. The digest detects reordered and
+ * lost chunks. It does not protect against an attacker: the processes
+ * authenticate each other by certificate.
  */
 import xxhash from 'xxhash-wasm';
 
 const hasher = await xxhash();
 
-/** A hash that grows with each piece; pieces must come in order. */
+/** An incremental hash over bytes that are added in order. */
 export interface Digest {
   update(data: Uint8Array): void;
-  /** Hex of all bytes so far. */
+  /** Hash of all bytes so far, as 16 hex digits. */
   value(): string;
 }
 
-/** Starts a digest. */
+/** Creates a digest over no bytes. */
 export function createDigest(): Digest {
   const state = hasher.create64();
   return {
@@ -23,12 +24,12 @@
   };
 }
 
-/** Hash of one text, as used for prompt blocks and rendezvous hashing. */
+/** Hash of a text as hex, for prompt blocks and rendezvous hashing. */
 export function hashText(text: string): string {
   return hasher.h64ToString(text);
 }
 
-/** Hash of bytes, chained with the hash of what came before. */
+/** Hash of `data`, seeded with the hash of the preceding bytes. */
 export function chainHash(previous: bigint, data: Uint8Array): bigint {
   return hasher.h64Raw(data, previous);
 }
--- a/src/utils/event_loop.ts
+++ b/src/utils/event_loop.ts
@@ -1,22 +1,23 @@
 /**
- * The event loop of this process: giving way to it, and measuring how late it
- * runs. Services get these as functions, so that tests pass their own.
+ * Yields to the event loop of this process and measures its delay. Services
+ * receive these as functions, so that tests can pass their own.
  */
 import {monitorEventLoopDelay} from 'node:perf_hooks';
 
+/** Sampling interval of the delay histogram. */
 const SAMPLE_MS = 10;
 const NS_PER_MS = 1e6;
 
-/** Lets waiting sockets and timers run before the caller goes on. */
+/** Lets pending sockets and timers run before the caller continues. */
 export type YieldLoop = () => Promise<void>;
 
-/** Gives way by way of `setImmediate`. */
+/** Yields with `setImmediate`. */
 export const yieldToLoop: YieldLoop = () =>
   new Promise(resolve => setImmediate(resolve));
 
 /**
- * Starts measuring. Each call of the returned function gives the longest delay
- * in milliseconds since the call before it.
+ * Starts measuring the event loop's delay. Each call of the returned function
+ * gives the longest delay in milliseconds since the previous call.
  */
 export function createLoopDelayProbe(): () => number {
   const histogram = monitorEventLoopDelay({resolution: SAMPLE_MS});
--- a/src/utils/events.ts
+++ b/src/utils/events.ts
@@ -1,6 +1,7 @@
 /**
  * The catalogue of numbered log events. `docs/EVENTS.md` lists the same
- * numbers; a test holds the two together. A number is never used again.
+ * events, and a test checks that both agree. The number of a removed event is
+ * never reused, since operators may match on it.
  *
  * Ranges: 100 kernel, 200 requests, 300 routing, 400 side and runs,
  * 500 membership, 600 configuration, 700 placement, 800 limits,
@@ -16,7 +17,7 @@
   return {number, level, name};
 }
 
-/** The process and its services. */
+/** Start and end of the process and of its services. */
 export const KERNEL_EVENTS = {
   serviceStarted: event(100, 'info', 'service-started'),
   serviceFailed: event(101, 'error', 'service-failed'),
@@ -28,7 +29,7 @@
   reloaded: event(113, 'info', 'settings-reloaded'),
 } as const;
 
-/** Requests at an entry's front, from admission to the answer. */
+/** Requests at an entry's HTTP front end, from admission to the answer. */
 export const FRONT_EVENTS = {
   admitted: event(200, 'info', 'request-admitted'),
   refused: event(201, 'info', 'request-refused'),
@@ -56,7 +57,7 @@
   abandoned: event(238, 'info', 'dispatch-abandoned'),
 } as const;
 
-/** Choice of a side, one decision an event. */
+/** Choice of a side; one event per decision. */
 export const ROUTING_EVENTS = {
   decided: event(300, 'info', 'routing-decided'),
   refused: event(301, 'info', 'route-refused'),
@@ -64,7 +65,7 @@
   groupDecided: event(303, 'info', 'group-decided'),
 } as const;
 
-/** Runs at a side, and its upstream. */
+/** Runs at a side, and the side's upstream. */
 export const SIDE_EVENTS = {
   offerAccepted: event(400, 'info', 'offer-accepted'),
   offerRefused: event(401, 'info', 'offer-refused'),
@@ -92,7 +93,7 @@
   sideFrozen: event(423, 'warn', 'side-was-frozen'),
 } as const;
 
-/** States of hosts and peers. */
+/** State changes of hosts and peers. */
 export const MEMBERSHIP_EVENTS = {
   replicaState: event(500, 'info', 'replica-state'),
   entryState: event(501, 'info', 'entry-state'),
@@ -102,7 +103,7 @@
   manySuspect: event(505, 'warn', 'many-suspect'),
 } as const;
 
-/** Numbers, patches and their spread. */
+/** Configuration versions, patches and their distribution to processes. */
 export const CONFIG_EVENTS = {
   adopted: event(600, 'info', 'config-adopted'),
   olderOffered: event(601, 'warn', 'config-older-offered'),
@@ -115,7 +116,7 @@
   homeChanged: event(608, 'debug', 'config-home-changed'),
 } as const;
 
-/** The placer, its lease and its orders. */
+/** Model placement: the placer, its lease and its orders to sides. */
 export const PLACEMENT_EVENTS = {
   decided: event(700, 'info', 'placement-decided'),
   orderAnswered: event(701, 'info', 'placement-order-answered'),
@@ -127,7 +128,7 @@
   wishMet: event(707, 'info', 'placement-wish-met'),
 } as const;
 
-/** Grants of organisations' limits. */
+/** Organisations' limits and the entries that grant shares of them. */
 export const LIMIT_EVENTS = {
   reached: event(800, 'info', 'limit-reached'),
   homeChanged: event(801, 'info', 'limit-home-changed'),
@@ -135,7 +136,7 @@
   homeBack: event(803, 'info', 'limit-home-back'),
 } as const;
 
-/** The platform's services. */
+/** Leases and claims in the platform's object store. */
 export const PLATFORM_EVENTS = {
   leaseTaken: event(900, 'info', 'lease-taken'),
   leaseLost: event(901, 'warn', 'lease-lost'),
@@ -143,7 +144,7 @@
   claimUnknown: event(910, 'warn', 'claim-unknown'),
 } as const;
 
-/** Requests served at upstreams without sides. */
+/** Direct mode: requests served at upstreams without sides. */
 export const DIRECT_EVENTS = {
   refused: event(250, 'info', 'direct-refused'),
   dispatched: event(251, 'info', 'direct-dispatched'),
@@ -188,7 +189,7 @@
   recordUnreadable: event(953, 'warn', 'store-record-unreadable'),
 } as const;
 
-/** A fault of the program itself. */
+/** Violations of the program's own invariants. */
 export const INVARIANT_EVENTS = {
   violated: event(990, 'error', 'invariant-violated'),
 } as const;
--- a/src/utils/hop_headers.ts
+++ b/src/utils/hop_headers.ts
@@ -1,9 +1,10 @@
 /**
- * Headers that concern one connection only and must not be passed on, by
- * RFC 9110 section 7.6.1.
+ * Hop-by-hop headers: headers that apply to a single connection. A proxy must
+ * not forward them (RFC 9110 section 7.6.1).
  */
 import type {Header} from '../types/peer_messages.js';
 
+/** Lower-case names of the headers that are always hop-by-hop. */
 export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -16,7 +17,10 @@
   'upgrade',
 ]);
 
-/** The headers without hop-by-hop ones, also those `connection` names. */
+/**
+ * Removes hop-by-hop headers, including those that a `connection` header
+ * names.
+ */
 export function withoutHopHeaders(
   headers: readonly Header[],
 ): readonly Header[] {
@@ -27,18 +31,22 @@
   return headers.filter(({name}) => !dropped.has(name.toLowerCase()));
 }
 
-/** Names that `connection` gives in a flat list of names and values. */
+/**
+ * Lower-case header names that the `connection` headers list. `rawHeaders`
+ * alternates names and values, as in Node's `rawHeaders`.
+ */
 export function connectionOptions(
   rawHeaders: readonly string[],
 ): ReadonlySet<string> {
   const named = new Set<string>();
-  for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
-    if (rawHeaders[at].toLowerCase() !== 'connection') continue;
-    for (const name of parseNames(rawHeaders[at + 1])) named.add(name);
+  for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
+    if (rawHeaders[i].toLowerCase() !== 'connection') continue;
+    for (const name of parseNames(rawHeaders[i + 1])) named.add(name);
   }
   return named;
 }
 
+/** Splits a comma-separated list of names into lower-case names. */
 function parseNames(value: string): readonly string[] {
   return value.split(',').map(name => name.trim().toLowerCase());
 }
--- a/src/utils/invariant.ts
+++ b/src/utils/invariant.ts
@@ -1,7 +1,7 @@
 /**
- * Invariants in a process: a violation is logged and counted, and the process
- * goes on, since stopping would cut every request in progress. Tests and
- * randomised runs pass one that throws.
+ * Invariant checks of a real process. A violation is logged and counted, and
+ * the process continues, since stopping it would abort every request in
+ * progress. Tests and randomised runs use a check that throws instead.
  */
 import type {Invariant, Log, Metrics} from '../types/runtime.js';
 import {INVARIANT_EVENTS} from './events.js';
@@ -9,7 +9,7 @@
 /** Counter of violations, by the invariant's name. */
 const VIOLATIONS_METRIC = 'onyxloft_invariant_violations_total';
 
-/** Makes the assertion that processes use. */
+/** Creates the invariant check that processes use. */
 export function createProcessInvariant(log: Log, metrics: Metrics): Invariant {
   return (holds, name, fields) => {
     if (holds) return;
--- a/src/utils/logger.ts
+++ b/src/utils/logger.ts
@@ -1,31 +1,31 @@
 /**
- * The process's log: one JSON line for each numbered event, by winston, to
- * standard output. Hosts have no disks, so no log goes to a file.
+ * Writes the process's log with winston: one JSON line per numbered event, to
+ * standard output. Hosts have no disks, so there is no log file.
  */
 import {createLogger as createWinston, format, transports} from 'winston';
 import type {EventSpec, Log, LogFields} from '../types/runtime.js';
 
-/** Names that each line has of its own. */
+/** Names of the fields that the logger itself adds to each line. */
 const RESERVED_FIELDS = new Set(['time', 'level', 'event', 'name', 'node']);
 
-/** What each line of a process carries, and where it goes. */
+/** Options of a process's logger. */
 export interface LoggerOptions {
-  /** Name of this process, on each line. */
+  /** Name of this process; written on each line. */
   readonly node: string;
-  /** Least urgent level that is written. @default "info" */
+  /** Least severe level that is written. @default "info" */
   readonly level?: EventSpec['level'];
-  /** Where the lines go. @default standard output */
+  /** Stream that receives the lines. @default standard output */
   readonly stream?: NodeJS.WritableStream;
 }
 
-/** The log, and its end at shutdown. */
+/** A log that can be flushed and closed at shutdown. */
 export interface Logger {
   readonly log: Log;
-  /** Resolves when all lines before it are handed to the stream. */
+  /** Resolves when all earlier lines have been written to the stream. */
   close(): Promise<void>;
 }
 
-/** Starts a logger. */
+/** Creates a logger. */
 export function createLogger(options: LoggerOptions): Logger {
   const winston = createWinston({
     levels: {error: 0, warn: 1, info: 2, debug: 3},
@@ -48,12 +48,15 @@
   return {log, close};
 }
 
-/** The log of a process that ends only with the process itself. */
+/** Creates a log that stays open until the process exits. */
 export function createProcessLog(options: LoggerOptions): Log {
   return createLogger(options).log;
 }
 
-/** `time`, `level`, `event`, `name`, `node`, then the event's own fields. */
+/**
+ * Formats a line: `time`, `level`, `event`, `name`, `node`, then the event's
+ * own fields.
+ */
 function formatLine(info: Readonly<Record<string, unknown>>): string {
   return JSON.stringify({
     time: info['timestamp'],
@@ -63,7 +66,10 @@
   });
 }
 
-/** A field that has a reserved name is written as `field.NAME`. */
+/**
+ * Renames a field with a reserved name to `field.NAME`, so that it does not
+ * overwrite the logger's own field.
+ */
 function renameReservedFields(fields: LogFields): LogFields {
   const entries = Object.entries(fields);
   if (!entries.some(([name]) => RESERVED_FIELDS.has(name))) return fields;
--- a/src/utils/metrics.ts
+++ b/src/utils/metrics.ts
@@ -1,73 +1,85 @@
 /**
- * Counters, gauges and histograms of one process, in the customary text
- * exposition form. Histograms are kept by hdr-histogram-js and shown as
- * summaries over the life of the process.
+ * Counters, gauges and histograms of one process, rendered in the Prometheus
+ * text format. Histograms are recorded with hdr-histogram-js and rendered as
+ * summaries over the lifetime of the process.
  */
 import {build} from 'hdr-histogram-js';
 import type {Histogram} from 'hdr-histogram-js';
 import type {MetricLabels, Metrics} from '../types/runtime.js';
 
-/** Metrics of this endpoint's own: samples that found no place. */
+/** Counter of samples that went to an overflow series, by metric. */
 const LABEL_OVERFLOW_METRIC = 'onyxloft_metrics_overflow_total';
 
 /**
- * Label values may come from callers and hosts. Without a bound their number
- * would grow the process's memory and each scrape for good.
+ * Maximum number of label sets per metric. Further label sets share one
+ * overflow series. Label values may come from callers and hosts; without a
+ * bound, memory use and the size of each scrape would grow indefinitely.
  */
 const MAX_LABEL_SETS = 200;
+/** Labels of the overflow series. */
 const OVERFLOW_LABELS: MetricLabels = {overflow: 'true'};
 
+/** Quantiles shown for each summary. */
 const QUANTILES = [0.5, 0.95, 0.99] as const;
+/** Decimal digits of precision that histograms keep. */
 const SIGNIFICANT_DIGITS = 2;
-/** Histograms keep whole numbers: values are kept in thousandths. */
+/**
+ * Factor from a sample to its recorded value. Histograms store integers, so
+ * samples are recorded in thousandths.
+ */
 const HISTOGRAM_SCALE = 1_000;
+/** Largest value recorded, after scaling; larger ones are clamped to it. */
 const MAX_HISTOGRAM_VALUE = 2 ** 51;
 
 type Kind = 'counter' | 'gauge' | 'summary';
 
-/** Samples of one label set. */
+/** Samples of one metric with one label set. */
 interface Series {
   readonly labels: MetricLabels;
+  /** Counter or gauge value; for a summary, the sum of the samples. */
   value: number;
+  /** Set for a summary only. */
   readonly histogram: Histogram | undefined;
 }
 
+/** All series of one metric. */
 interface Family {
   readonly name: string;
   readonly kind: Kind;
+  /** Series by the rendered text of their labels. */
   readonly series: Map<string, Series>;
 }
 
-/** Bounds of the metrics. */
+/** Options of a metrics registry. */
 export interface MetricsOptions {
-  /** Label sets kept for each metric. @default 200 */
+  /** Maximum number of label sets per metric. @default 200 */
   readonly maxLabelSets?: number;
 }
 
-/** Starts an empty set of metrics. */
+/** Creates an empty metrics registry. */
 export function createMetrics(options: MetricsOptions = {}): Metrics {
   const maxLabelSets = options.maxLabelSets ?? MAX_LABEL_SETS;
   const families = new Map<string, Family>();
 
   const familyOf = (name: string, kind: Kind): Family => {
-    const known = families.get(name);
-    if (known === undefined) {
+    const existing = families.get(name);
+    if (existing === undefined) {
       const family: Family = {name, kind, series: new Map()};
       families.set(name, family);
       return family;
     }
-    if (known.kind !== kind) {
-      throw new Error(`metric "${name}" is a ${known.kind}, not a ${kind}`);
+    if (existing.kind !== kind) {
+      throw new Error(`metric "${name}" is a ${existing.kind}, not a ${kind}`);
     }
-    return known;
+    return existing;
   };
 
   const seriesOf = (name: string, kind: Kind, labels: MetricLabels): Series => {
     const family = familyOf(name, kind);
     const key = formatLabels(labels);
-    const known = family.series.get(key);
-    if (known !== undefined) return known;
-    // The overflow counter is bounded by the number of metrics.
+    const existing = family.series.get(key);
+    if (existing !== undefined) return existing;
+    // The overflow counter has one label set per metric, so it needs no bound.
     if (family.series.size < maxLabelSets || name === LABEL_OVERFLOW_METRIC) {
       return addSeries(family, key, labels);
     }
@@ -148,7 +160,7 @@
   ];
 }
 
-/** Labels in order of their names, as `{a="1",b="2"}`. */
+/** Renders labels sorted by name, as `{a="1",b="2"}`. */
 function formatLabels(labels: MetricLabels): string {
   const names = Object.keys(labels).sort();
   if (names.length === 0) return '';
--- a/src/utils/model_name.ts
+++ b/src/utils/model_name.ts
@@ -1,7 +1,7 @@
-/** How an answer names its model. */
+/** Formats the name of a model as it appears in answers. */
 import type {ModelId} from '../types/ids.js';
 
-/** `MODEL`, or `MODEL:ADAPTER` with an adapter, as callers ask for it. */
+/** `MODEL`, or `MODEL:ADAPTER` with an adapter, as in a caller's request. */
 export function modelName(of: {
   readonly model: ModelId;
   readonly adapter: string;
--- a/src/utils/nearest_name.ts
+++ b/src/utils/nearest_name.ts
@@ -1,9 +1,15 @@
-/** The nearest known name to a mistyped one, for messages that help. */
+/**
+ * Finds the known name closest to a mistyped one. Error messages use it to
+ * suggest a correction.
+ */
 
-/** Names further off than this share of their length are no help. */
+/**
+ * Largest edit distance of a suggestion, as a share of its length. A distance
+ * of 2 is always allowed. A name beyond both bounds is not suggested.
+ */
 const MAX_DISTANCE_RATIO = 0.5;
 
-/** The known name with the least edit distance, if any is near enough. */
+/** The known name with the smallest edit distance, if close enough. */
 export function nearestName(
   name: string,
   known: readonly string[],
@@ -16,22 +22,22 @@
     .sort((a, b) => a.distance - b.distance);
   const best = ranked[0];
   if (best === undefined) return undefined;
-  const most = Math.max(2, best.candidate.length * MAX_DISTANCE_RATIO);
-  return best.distance <= most ? best.candidate : undefined;
+  const maxDistance = Math.max(2, best.candidate.length * MAX_DISTANCE_RATIO);
+  return best.distance <= maxDistance ? best.candidate : undefined;
 }
 
-/** Levenshtein distance. */
+/** Levenshtein distance of two texts. */
 function editDistance(a: string, b: string): number {
   let row = Array.from({length: b.length + 1}, (_, i) => i);
   for (let i = 1; i <= a.length; i++) {
     const next = [i];
     for (let j = 1; j <= b.length; j++) {
-      const change = a[i - 1] === b[j - 1] ? 0 : 1;
+      const substitutionCost = a[i - 1] === b[j - 1] ? 0 : 1;
       next.push(
         Math.min(
           (row[j] ?? 0) + 1,
           (next[j - 1] ?? 0) + 1,
-          (row[j - 1] ?? 0) + change,
+          (row[j - 1] ?? 0) + substitutionCost,
         ),
       );
     }
--- a/src/utils/recent_map.ts
+++ b/src/utils/recent_map.ts
@@ -1,18 +1,25 @@
-/** A map that keeps only the entries set last, so that it cannot grow. */
+/**
+ * A map of bounded size that keeps the most recently set entries. The bound
+ * keeps its memory use from growing without limit.
+ */
 
+/** A bounded map with text keys. */
 export interface RecentMap<T> {
   get(key: string): T | undefined;
   set(key: string, value: T): void;
   delete(key: string): void;
 }
 
-/** Holds at most `capacity` entries; the one set longest ago goes first. */
+/**
+ * Creates a map of at most `capacity` entries. When it is full, setting a new
+ * key evicts the least recently set entry.
+ */
 export function createRecentMap<T>(capacity: number): RecentMap<T> {
   const entries = new Map<string, T>();
   return {
     get: key => entries.get(key),
     set: (key, value) => {
-      // Set anew, since a Map keeps the place of a key that it has.
+      // Delete first: a Map keeps the position of an existing key.
       entries.delete(key);
       entries.set(key, value);
       if (entries.size <= capacity) return;
--- a/src/utils/rendezvous.ts
+++ b/src/utils/rendezvous.ts
@@ -1,33 +1,36 @@
 /**
- * Weighted rendezvous hashing: everyone who knows the same nodes puts them in
- * the same order for a key, without agreeing on anything, and a node that
- * comes or goes moves only the keys that were or become its own.
+ * Weighted rendezvous hashing. Processes that know the same nodes compute the
+ * same order of nodes for a key, without coordination. When a node is added or
+ * removed, only the keys assigned to that node move.
  */
 import {hashText} from './digest.js';
 
-/** A node that keys may fall to. */
+/** A node to which keys can be assigned. */
 export interface RendezvousNode {
   readonly id: string;
-  /** Share of keys relative to other nodes, over 0. @default 1 */
+  /** Share of keys relative to other nodes; above 0. @default 1 */
   readonly weight?: number;
 }
 
-/** Hex digits of a hash that fit a double without loss. */
+/** Number of hex digits of a hash that a double holds without loss. */
 const HASH_DIGITS = 13;
+/** Number of distinct values of that many digits. */
 const HASH_RANGE = 16 ** HASH_DIGITS;
 
-/** Score of a node for a key; the highest comes first. */
+/** Score of a node for a key. The node with the highest score is first. */
 function scoreOf(key: string, node: RendezvousNode): number {
   const digits = hashText(`${key}\n${node.id}`).slice(0, HASH_DIGITS);
-  const uniform = (parseInt(digits, 16) + 0.5) / HASH_RANGE;
-  return -(node.weight ?? 1) / Math.log(uniform);
+  const uniformHash = (parseInt(digits, 16) + 0.5) / HASH_RANGE;
+  return -(node.weight ?? 1) / Math.log(uniformHash);
 }
 
+/** A node with its score for a key. */
 interface ScoredNode<T> {
   readonly node: T;
   readonly score: number;
 }
 
+/** Orders by falling score; equal scores are ordered by id. */
 function compareScored<T extends RendezvousNode>(
   a: ScoredNode<T>,
   b: ScoredNode<T>,
@@ -43,7 +46,7 @@
   return nodes.map(node => ({node, score: scoreOf(key, node)}));
 }
 
-/** All nodes, best for the key first. */
+/** All nodes, in falling order of score for the key. */
 export function rendezvousOrder<T extends RendezvousNode>(
   key: string,
   nodes: readonly T[],
@@ -53,19 +56,19 @@
     .map(({node}) => node);
 }
 
-/** The best node for the key; undefined when there is none. */
+/** The node with the highest score for the key; undefined without nodes. */
 export function rendezvousFirst<T extends RendezvousNode>(
   key: string,
   nodes: readonly T[],
 ): T | undefined {
   let best: ScoredNode<T> | undefined;
-  for (const entry of scoreNodes(key, nodes)) {
-    if (best === undefined || compareScored(entry, best) < 0) best = entry;
+  for (const scored of scoreNodes(key, nodes)) {
+    if (best === undefined || compareScored(scored, best) < 0) best = scored;
   }
   return best?.node;
 }
 
-/** All names, the most preferred for the key first. */
+/** All names, in falling order of score for the key, with equal weights. */
 export function rendezvousNames(
   key: string,
   names: readonly string[],
--- a/test/events.test.ts
+++ b/test/events.test.ts
@@ -1,4 +1,4 @@
-/** The catalogue in the docs and the events in the code are the same. */
+/** The event catalogue in the docs matches the events in the code. */
 import {readFileSync} from 'node:fs';
 import {describe, expect, test} from 'vitest';
 import type {EventSpec} from '../src/types/runtime.js';
@@ -20,7 +20,8 @@
     .filter(line => /^\| \d/.test(line))
     .map(line => {
       const match = ROW.exec(line);
-      if (match === null) throw new Error(`row is not in form: ${line}`);
+      if (match === null)
+        throw new Error(`row does not have the expected format: ${line}`);
       const [, number, name, level] = match;
       return {number: Number(number), name, level} as EventSpec;
     })
--- a/test/keys.test.ts
+++ b/test/keys.test.ts
@@ -1,4 +1,4 @@
-/** Keys are kept as salted hashes only. */
+/** Hashing, parsing and verification of keys. */
 import {describe, expect, test} from 'vitest';
 import {
   generateKey,
@@ -16,10 +16,10 @@
   test.each([
     ['sha256', hashGeneratedKey],
     ['scrypt', hashKey],
-  ] as const)('a %s hash fits its own key only', async (form, hash) => {
+  ] as const)('a %s hash matches only its own key', async (algorithm, hash) => {
     const stored = hash('a key', SALT);
     expect(stored).not.toContain('a key');
-    expect(parseKeyHash(stored).extract()?.algorithm).toBe(form);
+    expect(parseKeyHash(stored).extract()?.algorithm).toBe(algorithm);
     expect(verifyKey('a key', stored)).toBe(true);
     expect(verifyKey('a kez', stored)).toBe(false);
     expect(await verifyKeyAsync('a key', stored)).toBe(true);
@@ -28,7 +28,7 @@
   });
 
   test.each(['', 'plain', `md5$${SALT}$${'00'.repeat(32)}`, `sha256$${SALT}$`])(
-    'the malformed hash "%s" fits no key',
+    'the malformed hash "%s" matches no key',
     stored => {
       expect(parseKeyHash(stored).isNothing()).toBe(true);
       expect(verifyKey('', stored)).toBe(false);
--- a/test/metrics.test.ts
+++ b/test/metrics.test.ts
@@ -1,4 +1,4 @@
-/** Log lines, metrics and invariants of a process. */
+/** Metrics, log lines and invariant checks of a process. */
 import {PassThrough} from 'node:stream';
 import {text} from 'node:stream/consumers';
 import {describe, expect, test} from 'vitest';
@@ -8,7 +8,7 @@
 import {createMetrics} from '../src/utils/metrics.js';
 
 describe('metrics', () => {
-  test('the customary text form shows counters, gauges and quantiles', async () => {
+  test('the text format shows counters, gauges and quantiles', async () => {
     const metrics = createMetrics();
     metrics.count('onyxloft_refusals_total', {reason: 'full'});
     metrics.count('onyxloft_refusals_total', {reason: 'say "no"\n'}, 2);
@@ -20,7 +20,7 @@
     await expect(metrics.render()).toMatchFileSnapshot('golden/metrics.txt');
   });
 
-  test('label sets over the bound share one series and are counted', () => {
+  test('label sets beyond the limit share one overflow series and are counted', () => {
     const metrics = createMetrics({maxLabelSets: 2});
     for (let i = 0; i < 10; i++) metrics.count('calls_total', {peer: `p${i}`});
     const lines = metrics.render();
@@ -33,7 +33,7 @@
 });
 
 describe('log and invariants', () => {
-  test('a violated invariant is one log line and one count', async () => {
+  test('a violated invariant is logged once and counted once', async () => {
     const stream = new PassThrough();
     const written = text(stream);
     const logger = createLogger({node: 'side-1', stream});
--- a/test/source_map.test.ts
+++ b/test/source_map.test.ts
@@ -1,11 +1,11 @@
-/** The map of the source in docs/DESIGN.md, held against the source. */
+/** Checks the table of source folders in docs/DESIGN.md against the source. */
 import {existsSync, readFileSync, readdirSync} from 'node:fs';
 import {dirname, join, normalize} from 'node:path';
 import {describe, expect, test} from 'vitest';
 
 const ROW = /^\| `((?:src|platform)[a-z/]*)` \|/;
 
-/** Folders of the map, from top to bottom. */
+/** Folders of the table, from top to bottom. */
 const folders = readFileSync('docs/DESIGN.md', 'utf8')
   .split('\n')
   .flatMap(line => ROW.exec(line)?.[1] ?? []);
@@ -18,7 +18,7 @@
   });
 }
 
-/** The folder of the map that a file belongs to. */
+/** The folder of the table to which a file belongs. */
 function folderOf(path: string): string {
   const [top, second] = dirname(path).split('/');
   return second === undefined ? top : `${top}/${second}`;
@@ -26,22 +26,24 @@
 
 function importsOf(path: string): readonly string[] {
   const text = readFileSync(path, 'utf8');
-  const found = text.matchAll(/(?:from|import) '(\.[^']+)\.js'/g);
-  return [...found].map(([, target]) =>
+  const imports = text.matchAll(/(?:from|import) '(\.[^']+)\.js'/g);
+  return [...imports].map(([, target]) =>
     normalize(join(dirname(path), `${target}.ts`)),
   );
 }
 
-describe('the map of the source', () => {
-  test('names every folder, and no other', () => {
-    const there = readdirSync('src', {withFileTypes: true})
+describe('table of source folders', () => {
+  test('lists every existing folder and no other', () => {
+    const existing = readdirSync('src', {withFileTypes: true})
       .filter(each => each.isDirectory())
       .map(each => `src/${each.name}`);
-    expect([...folders].sort()).toEqual(['platform', 'src', ...there].sort());
+    expect([...folders].sort()).toEqual(
+      ['platform', 'src', ...existing].sort(),
+    );
     expect(folders.filter(folder => !existsSync(folder))).toEqual([]);
   });
 
-  test('lists folders so that imports run downwards', () => {
+  test('lists folders so that each imports only from itself and those below', () => {
     const upwards = [...sources('src'), ...sources('platform')].flatMap(path =>
       importsOf(path)
         .filter(
