--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -1,6 +1,7 @@
 /**
- * The micro-kernel: starts services, lets them find each other by name, and
- * restarts one that fails. It knows nothing of what the services do.
+ * The micro-kernel of a process. It starts services, passes messages between
+ * them by service name, and restarts a service that fails. It does not depend
+ * on what the services do.
  */
 import {OnyxError} from '../types/errors.js';
 import type {
@@ -14,39 +15,55 @@
 import {createMailbox} from './mailbox.js';
 import type {Mailbox} from './mailbox.js';
 
-/** Pause before the first restart of a failed service; doubles each time. */
+/**
+ * Delay before the first restart of a failed service, in milliseconds. It
+ * doubles with each further restart, up to `MAX_RESTART_DELAY_MS`.
+ */
 const MIN_RESTART_DELAY_MS = 50;
+/** Longest delay before a restart, in milliseconds. */
 const MAX_RESTART_DELAY_MS = 5_000;
-/** A service that ran this long is taken as sound again. */
+/**
+ * Running time in milliseconds after which a service counts as stable. The
+ * next failure then restarts it after the shortest delay.
+ */
 const STABLE_AFTER_MS = 10_000;
 
-/** Starts, connects and ends the services of one process. */
+/** Starts, connects and stops the services of one process. */
 export interface Kernel {
-  /** Starts a service; resolves when its first start has returned. */
+  /**
+   * Starts a service. Resolves when its `start` has resolved; rejects when it
+   * fails or a service of this name is running.
+   */
   start<N extends ServiceName>(spec: ServiceSpec<N>): Promise<void>;
+  /** Sends a message; it is dropped and logged if the service is not running. */
   send<N extends ServiceName>(to: N, message: ServiceMessages[N]): void;
+  /** See `ServiceContext.ask`. */
   ask<N extends ServiceName, R>(
     to: N,
-    make: (reply: (value: R) => void) => ServiceMessages[N],
+    createMessage: (reply: (value: R) => void) => ServiceMessages[N],
   ): Promise<R>;
-  /** Ends all services, the newest first, and waits for their releases. */
+  /** Stops all services, newest first, and waits for their cleanup. */
   stop(): Promise<void>;
+  /** Names of the running services, oldest first. */
   runningServices(): readonly string[];
 }
 
-/** A running service. */
+/** The state of a running service. */
 interface RunningService {
   readonly name: string;
   readonly mailbox: Mailbox<unknown>;
+  /** Cleanup functions that the service registered with `own`. */
   readonly releases: Array<() => void | Promise<void>>;
+  /** Reject functions of asks that wait for a reply from this service. */
   readonly pendingAsks: Set<(err: OnyxError) => void>;
+  /** Clock reading at the start, in milliseconds. */
   readonly startedAt: number;
   ended: boolean;
 }
 
-/** Makes a kernel without services. A failed one is restarted after a pause. */
+/** Creates a kernel without services. */
 export function createKernel(runtime: Runtime): Kernel {
-  const tasks = new Map<string, RunningService>();
+  const services = new Map<string, RunningService>();
   const restartCounts = new Map<string, number>();
   const restartTimers = new Set<Cancel>();
   let stopping = false;
@@ -60,72 +77,72 @@
     });
 
   const send = (to: string, message: unknown) => {
-    const task = tasks.get(to);
-    if (task === undefined) {
+    const service = services.get(to);
+    if (service === undefined) {
       runtime.log(KERNEL_EVENTS.messageDropped, {service: to});
       return;
     }
-    task.mailbox.push(message);
+    service.mailbox.push(message);
   };
 
   const ask = <R>(
     to: string,
-    make: (reply: (value: R) => void) => unknown,
+    createMessage: (reply: (value: R) => void) => unknown,
   ): Promise<R> =>
     new Promise((resolve, reject) => {
-      const task = tasks.get(to);
-      if (task === undefined) {
+      const service = services.get(to);
+      if (service === undefined) {
         reject(notRunning(to));
         return;
       }
-      task.pendingAsks.add(reject);
+      service.pendingAsks.add(reject);
       const reply = (value: R) => {
-        task.pendingAsks.delete(reject);
+        service.pendingAsks.delete(reject);
         resolve(value);
       };
-      task.mailbox.push(make(reply));
+      service.mailbox.push(createMessage(reply));
     });
 
-  const release = async (task: RunningService) => {
-    task.ended = true;
-    if (tasks.get(task.name) === task) tasks.delete(task.name);
-    task.mailbox.close();
-    for (const reject of task.pendingAsks) reject(notRunning(task.name));
-    task.pendingAsks.clear();
-    for (const free of task.releases.reverse()) {
+  const releaseService = async (service: RunningService) => {
+    service.ended = true;
+    if (services.get(service.name) === service) services.delete(service.name);
+    service.mailbox.close();
+    for (const reject of service.pendingAsks) reject(notRunning(service.name));
+    service.pendingAsks.clear();
+    for (const runRelease of service.releases.reverse()) {
       try {
-        await free();
+        await runRelease();
       } catch (err) {
         runtime.log(KERNEL_EVENTS.serviceFailed, {
-          service: task.name,
+          service: service.name,
           cause: `release: ${String(err)}`,
         });
       }
     }
   };
 
-  const restartDelay = (task: RunningService) => {
-    const ranMs = runtime.clock.now() - task.startedAt;
+  const restartDelay = (service: RunningService) => {
+    const ranMs = runtime.clock.now() - service.startedAt;
     const count =
-      ranMs > STABLE_AFTER_MS ? 0 : (restartCounts.get(task.name) ?? 0);
-    restartCounts.set(task.name, count + 1);
+      ranMs > STABLE_AFTER_MS ? 0 : (restartCounts.get(service.name) ?? 0);
+    restartCounts.set(service.name, count + 1);
     return Math.min(MAX_RESTART_DELAY_MS, MIN_RESTART_DELAY_MS * 2 ** count);
   };
 
   const fail = async <N extends ServiceName>(
     spec: ServiceSpec<N>,
-    task: RunningService,
+    service: RunningService,
     cause: unknown,
   ) => {
-    if (task.ended) return;
+    if (service.ended) return;
     runtime.log(KERNEL_EVENTS.serviceFailed, {
       service: spec.name,
       cause:
         cause instanceof Error ? (cause.stack ?? cause.message) : String(cause),
     });
-    await release(task);
+    await releaseService(service);
     if (stopping) return;
-    const cancel = runtime.clock.after(restartDelay(task), () => {
+    const cancel = runtime.clock.after(restartDelay(service), () => {
       restartTimers.delete(cancel);
       if (!stopping) void launch(spec).catch(() => undefined);
     });
@@ -134,36 +151,36 @@
 
   const contextOf = <N extends ServiceName>(
     spec: ServiceSpec<N>,
-    task: RunningService,
+    service: RunningService,
   ): ServiceContext<N> => ({
     ...runtime,
     name: spec.name,
-    mailbox: observedMailbox(spec, task),
+    mailbox: observedMailbox(spec, service),
     send,
     ask,
-    own: free => {
-      task.releases.push(free);
+    own: runRelease => {
+      service.releases.push(runRelease);
     },
-    fail: cause => void fail(spec, task, cause),
+    fail: cause => void fail(spec, service, cause),
   });
 
-  /** The mailbox's stream; an error in its observer ends the task. */
+  /** The mailbox's stream; an error in its observer fails the service. */
   const observedMailbox = <N extends ServiceName>(
     spec: ServiceSpec<N>,
-    task: RunningService,
+    service: RunningService,
   ) => {
-    const stream = task.mailbox.stream as ServiceContext<N>['mailbox'];
+    const stream = service.mailbox.stream as ServiceContext<N>['mailbox'];
     const observe = stream.observe.bind(stream);
     stream.observe = handler => {
       const done = observe(handler);
-      done.catch(cause => fail(spec, task, cause));
+      done.catch(cause => fail(spec, service, cause));
       return done;
     };
     return stream;
   };
 
   const launch = async <N extends ServiceName>(spec: ServiceSpec<N>) => {
-    const task: RunningService = {
+    const service: RunningService = {
       name: spec.name,
       mailbox: createMailbox<unknown>(),
       releases: [],
@@ -171,12 +188,12 @@
       startedAt: runtime.clock.now(),
       ended: false,
     };
-    tasks.set(spec.name, task);
+    services.set(spec.name, service);
     try {
-      await spec.start(contextOf(spec, task));
+      await spec.start(contextOf(spec, service));
       runtime.log(KERNEL_EVENTS.serviceStarted, {service: spec.name});
     } catch (err) {
-      await fail(spec, task, err);
+      await fail(spec, service, err);
       throw err;
     }
   };
@@ -184,22 +201,22 @@
   const stop = async () => {
     stopping = true;
     for (const cancel of restartTimers) cancel();
-    for (const task of [...tasks.values()].reverse()) {
-      await release(task);
-      runtime.log(KERNEL_EVENTS.serviceEnded, {service: task.name});
+    for (const service of [...services.values()].reverse()) {
+      await releaseService(service);
+      runtime.log(KERNEL_EVENTS.serviceEnded, {service: service.name});
     }
   };
 
   return {
     start: async spec => {
-      if (tasks.has(spec.name)) {
-        throw new Error(`service "${spec.name}" is started already`);
+      if (services.has(spec.name)) {
+        throw new Error(`service "${spec.name}" is already running`);
       }
       await launch(spec);
     },
     send,
     ask,
     stop,
-    runningServices: () => [...tasks.keys()],
+    runningServices: () => [...services.keys()],
   };
 }
--- a/src/kernel/mailbox.ts
+++ b/src/kernel/mailbox.ts
@@ -1,22 +1,24 @@
 /**
  * A mailbox: a queue of messages that a service reads as a `most` stream.
- * Delivery is never inside the sender's call, so a service handles one message
- * at a time, in order.
+ * Messages are delivered in a microtask and never inside the sender's call.
+ * A service therefore handles one message at a time, in order.
  */
 import {Stream} from 'most';
 import type {Disposable, Scheduler, Sink} from 'most';
 
-/** One service's queue: senders push, the service observes. */
+/** The message queue of one service. */
 export interface Mailbox<T> {
+  /** The messages, for one observer. */
   readonly stream: Stream<T>;
+  /** Adds a message; does nothing after `close`. */
   push(message: T): void;
-  /** Ends the stream; messages not yet delivered are dropped. */
+  /** Ends the stream and drops the undelivered messages. */
   close(): void;
-  /** Messages not yet delivered. */
+  /** Number of undelivered messages. */
   size(): number;
 }
 
-/** Makes a mailbox with one observer. */
+/** Creates an empty mailbox for one observer. */
 export function createMailbox<T>(): Mailbox<T> {
   const queue: T[] = [];
   let sink: Sink<T> | undefined;
@@ -31,10 +33,11 @@
       try {
         sink.event(time(), message);
       } catch (err) {
-        // The stream's own promise rejects: the kernel ends the task there.
-        const failed = sink;
+        // This rejects the observer's promise, and the kernel then fails the
+        // service.
+        const failedSink = sink;
         sink = undefined;
-        failed.error(time(), err as Error);
+        failedSink.error(time(), err as Error);
       }
     }
   };
@@ -45,11 +48,11 @@
     queueMicrotask(drain);
   };
 
-  const run = (to: Sink<T>, scheduler: Scheduler): Disposable<T> => {
-    sink = to;
+  const run = (observer: Sink<T>, scheduler: Scheduler): Disposable<T> => {
+    sink = observer;
     time = () => scheduler.now();
     if (closed) {
-      queueMicrotask(() => to.end(time()));
+      queueMicrotask(() => observer.end(time()));
     } else {
       schedule();
     }
@@ -73,9 +76,10 @@
       if (closed) return;
       closed = true;
       queue.length = 0;
-      const ending = sink;
+      const endingSink = sink;
       sink = undefined;
-      if (ending !== undefined) queueMicrotask(() => ending.end(time()));
+      if (endingSink !== undefined)
+        queueMicrotask(() => endingSink.end(time()));
     },
     size: () => queue.length,
   };
--- a/src/onyxloftd.ts
+++ b/src/onyxloftd.ts
@@ -1,10 +1,10 @@
 #!/usr/bin/env node
 /**
- * The daemon: `onyxloftd --settings FILE`. It checks its settings, starts the
- * services of its role, and on SIGTERM drains before it ends.
+ * The daemon: `onyxloftd --settings FILE`. It validates its settings and starts
+ * the services of its role. On SIGTERM or SIGINT it drains before it exits.
  *
- * Exit codes: 0 ended after a drain, 1 could not start or was cut short,
- * 2 wrong usage or settings; nothing was started.
+ * Exit codes: 0 exited after a complete drain; 1 failed to start, or exited
+ * before the drain was complete; 2 wrong usage or settings, nothing started.
  */
 import {readFileSync} from 'node:fs';
 import {parseArgs} from 'node:util';
@@ -27,11 +27,14 @@
 Check a file without starting anything: onyxloft settings check FILE
 `;
 
+/** Exit code of a failed start or an incomplete drain. */
 const EXIT_FAILED = 1;
+/** Exit code of wrong usage or settings. */
 const EXIT_USAGE = 2;
-/** Pause for the last log lines to reach the pipe. */
+/** Delay before exit, in milliseconds, to let the last log lines be written. */
 const LOG_FLUSH_MS = 50;
 
+/** Loads the settings; on an error, prints it and returns undefined. */
 function readSettings(): Settings | undefined {
   const {values} = parseArgs({
     options: {settings: {type: 'string'}},
@@ -50,6 +53,7 @@
   });
 }
 
+/** Creates the runtime of a real process. */
 function createRuntime(settings: Settings): Runtime {
   const log = createProcessLog({
     node: settings.node,
@@ -66,29 +70,33 @@
 }
 
 /**
- * First signal: drain, within the drain limit. Second signal, or the limit:
- * end at once; requests still in progress are cut, and the log says how many.
+ * Drains the process on the first signal. On a second signal, or after
+ * `drainMs` milliseconds, the process exits at once: requests still in progress
+ * are aborted, and their number is logged.
  */
 function drainOnSignals(
-  wired: RunningProcess,
+  running: RunningProcess,
   runtime: Runtime,
   drainMs: number,
 ): void {
   let draining = false;
-  const end = async (code: number, why: string) => {
-    runtime.log(KERNEL_EVENTS.drainEnded, {why, open: await wired.countOpen()});
-    await wired.stop();
+  const exit = async (code: number, reason: string) => {
+    runtime.log(KERNEL_EVENTS.drainEnded, {
+      why: reason,
+      open: await running.countOpen(),
+    });
+    await running.stop();
     runtime.clock.after(LOG_FLUSH_MS, () => process.exit(code));
   };
   const onSignal = (signal: NodeJS.Signals) => {
     if (draining) {
-      void end(EXIT_FAILED, `second signal ${signal}`);
+      void exit(EXIT_FAILED, `second signal ${signal}`);
       return;
     }
     draining = true;
     runtime.log(KERNEL_EVENTS.drainStarted, {signal, limitMs: drainMs});
-    runtime.clock.after(drainMs, () => void end(EXIT_FAILED, 'drain limit'));
-    void wired.drain().then(() => end(0, 'drained'));
+    runtime.clock.after(drainMs, () => void exit(EXIT_FAILED, 'drain limit'));
+    void running.drain().then(() => exit(0, 'drained'));
   };
   process.on('SIGTERM', onSignal);
   process.on('SIGINT', onSignal);
@@ -101,9 +109,9 @@
     return;
   }
   const runtime = createRuntime(settings);
-  // Operators may ask for the drain that SIGTERM starts.
+  // Operators can start the same drain as SIGTERM over HTTP.
   const requestDrain = () => void process.emit('SIGTERM', 'SIGTERM');
-  const wired = await startProcess(
+  const running = await startProcess(
     settings,
     runtime,
     readFileSync,
@@ -115,7 +123,7 @@
     peers: settings.listen.peers,
     operators: settings.listen.operators,
   });
-  drainOnSignals(wired, runtime, settings.timing.drainMs);
+  drainOnSignals(running, runtime, settings.timing.drainMs);
 }
 
 main().catch(err => {
--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -1,6 +1,6 @@
 /**
- * Wires the services of a process out of its settings. This is the one module
- * that knows which implementation stands behind each interface.
+ * Creates and starts the services of a process from its settings. This is the
+ * only module that chooses the implementation of each interface.
  */
 import {Right} from 'purify-ts';
 import type {Maybe} from 'purify-ts';
@@ -58,34 +58,42 @@
 import {verifyKeyAsync} from './utils/keys.js';
 import {createGrpcTransport} from './wire/grpc_transport.js';
 
-/** Bytes of text taken for one token; see `entry/admission.ts`. */
+/** Estimated bytes of text per token, as in `entry/admission`. */
 const BYTES_PER_TOKEN = 4;
+/** Random bytes in the id of a process incarnation. */
 const INCARNATION_BYTES = 6;
-/** A side beats once in a heartbeat; half of one more is for the way. */
+/**
+ * Heartbeat periods within which a side's first frame must arrive, unless the
+ * channel's silence limit is shorter. A side sends a frame once per period; the
+ * extra half allows for network delay.
+ */
 const FIRST_FRAME_HEARTBEATS = 1.5;
 
-/** What the services of both roles are made of. */
+/** Options of the services that both roles run. */
 export interface ServicesOptions {
   readonly node: NodeId;
   readonly failureDomain: FailureDomain;
   readonly incarnation: Incarnation;
-  /** Where to listen for peers. */
+  /** Address on which to listen for peers. */
   readonly listen: Address;
   readonly timing: TimingSettings;
   readonly transport: Transport;
   readonly store: ObjectStore;
 }
 
+/** Options of an entry's services. */
 export interface EntryServicesOptions extends ServicesOptions {
   readonly host: HostId;
-  /** Where peers reach this entry. */
+  /** Address at which peers reach this entry. */
   readonly address: Address;
   readonly limits: Pick<LimitSettings, 'followReplicas'>;
   readonly hostList: HostList;
   readonly weightStore: WeightStore;
+  /** Finds a routing policy by its name. */
   readonly routingPolicy: (name: string) => RoutingPolicy;
 }
 
+/** Options of a side's services. */
 export interface SideServicesOptions extends ServicesOptions {
   readonly pool: PoolId;
   readonly upstream: SideUpstream;
@@ -93,23 +101,24 @@
 }
 
 /**
- * Starts an entry's services but its HTTP fronts. Randomised runs and benches
- * start these same services on a virtual clock and an in-memory network.
+ * Starts an entry's services except its HTTP front ends. Randomised runs and
+ * benchmarks start the same services on a virtual clock and an in-memory
+ * network.
  */
 export async function startEntryServices(
   kernel: Kernel,
-  parts: EntryServicesOptions,
+  options: EntryServicesOptions,
 ): Promise<void> {
-  const {node, failureDomain, timing, transport, store} = parts;
+  const {node, failureDomain, timing, transport, store} = options;
   await kernel.start(
     createMembershipService({
-      ...parts,
+      ...options,
       timing: {
         heartbeatMs: timing.heartbeatMs,
         suspectAfterMs: timing.suspectAfterMs,
         hostListPollMs: timing.hostListPollMs,
       },
-      followReplicas: parts.limits.followReplicas,
+      followReplicas: options.limits.followReplicas,
     }),
   );
   await kernel.start(
@@ -118,20 +127,20 @@
       role: 'entry',
       store,
       transport,
-      knownFleet: () => readLiveHostCounts(parts.hostList),
+      knownFleet: () => readLiveHostCounts(options.hostList),
     }),
   );
   await kernel.start(createClaimsService({store}));
   await kernel.start(
-    createLimitsService({node, address: parts.address, transport}),
+    createLimitsService({node, address: options.address, transport}),
   );
   await kernel.start(
     createPlacementService({
       node,
       store,
       transport,
-      weightStore: parts.weightStore,
-      pollerIdentity: parts,
+      weightStore: options.weightStore,
+      pollerIdentity: options,
     }),
   );
   await kernel.start(
@@ -139,7 +148,7 @@
       transport,
       node,
       failureDomain,
-      routingPolicy: parts.routingPolicy,
+      routingPolicy: options.routingPolicy,
       prefixBlockTokens: PREFIX_BLOCK_BYTES / BYTES_PER_TOKEN,
       timing: {
         heartbeatMs: timing.heartbeatMs,
@@ -152,11 +161,14 @@
     }),
   );
   await kernel.start(
-    createEntryPeersService({transport, address: parts.listen}),
+    createEntryPeersService({transport, address: options.listen}),
   );
 }
 
-/** Nothing while the host list is out or empty: then no wish is judged by it. */
+/**
+ * Live hosts by pool. `Nothing` while the host list is unavailable or empty, so
+ * that placement declarations are not validated against missing data.
+ */
 async function readLiveHostCounts(
   hostList: HostList,
 ): Promise<Maybe<KnownFleet>> {
@@ -166,18 +178,18 @@
     .map(fleetOfHosts);
 }
 
-/** Starts a side's services but its HTTP front; see `startEntryCore`. */
+/** Starts a side's services except its HTTP front end. */
 export async function startSideServices(
   kernel: Kernel,
-  parts: SideServicesOptions,
+  options: SideServicesOptions,
 ): Promise<void> {
-  const {node, transport, store, upstream} = parts;
+  const {node, transport, store, upstream} = options;
   await kernel.start(
     createConfigService({node, role: 'side', store, transport}),
   );
   await kernel.start(
     createRunsService({
-      ...parts,
+      ...options,
       readFence:
         upstream.kind === 'engine'
           ? () => readLeaseFence(store)
@@ -187,7 +199,7 @@
   await kernel.start(
     createSidePeersService({
       transport,
-      address: parts.listen,
+      address: options.listen,
       extraHandlers: {
         fetchConfig: req =>
           kernel.ask('config', (reply: (res: FetchConfigRes) => void) => ({
@@ -203,18 +215,18 @@
 /** A process with its services running. */
 export interface RunningProcess {
   readonly kernel: Kernel;
-  /** Takes no new work and resolves when what is in progress has ended. */
+  /** Stops accepting work and resolves when the work in progress has ended. */
   drain(): Promise<void>;
-  /** Requests or runs in progress. */
+  /** Number of requests (entry) or runs (side) in progress. */
   countOpen(): Promise<number>;
-  /** Ends all services at once. */
+  /** Stops all services without waiting for the work in progress. */
   stop(): Promise<void>;
 }
 
-/** Reads a PEM file of the TLS settings. */
+/** Reads a PEM file that the TLS settings name. */
 export type ReadFile = (path: string) => Buffer;
 
-/** Starts the services of the role that the settings give. */
+/** Starts the services of the role given in the settings. */
 export function startProcess(
   settings: Settings,
   runtime: Runtime,
@@ -253,7 +265,7 @@
   };
 }
 
-/** Tells a service to drain; resolves when what it has has ended. */
+/** Drains a service; resolves when its work in progress has ended. */
 function drainService(
   kernel: Kernel,
   service: 'callers' | 'requests' | 'runs',
@@ -269,7 +281,7 @@
   await transport.close();
 }
 
-/** Both roles have the same front for operators, with handlers of their own. */
+/** Starts the operators' HTTP front end with the handlers of the role. */
 function startOperatorsService(
   kernel: Kernel,
   settings: Settings,
