--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -35,7 +35,7 @@
    * fails or a service of this name is running.
    */
   start<N extends ServiceName>(spec: ServiceSpec<N>): Promise<void>;
-  /** Sends a message; it is dropped and logged if the service is not running. */
+  /** Sends a message; drops and logs it if the service is not running. */
   send<N extends ServiceName>(to: N, message: ServiceMessages[N]): void;
   /** See `ServiceContext.ask`. */
   ask<N extends ServiceName, R>(
--- a/src/types/config.ts
+++ b/src/types/config.ts
@@ -1,48 +1,52 @@
 /**
- * Declarations that operators hold in version control and apply as patches
- * against a numbered version. Checked as a whole before acceptance.
+ * The configuration that operators declare. They keep it in version control
+ * and apply patches to a numbered version. A patched configuration is validated
+ * as a whole before it is accepted.
  */
 import type {ConfigNumber, ModelId, OrganisationId, PoolId} from './ids.js';
 
-/** One accepted version of all declarations. */
+/** All declarations of one configuration version. */
 export interface Declarations {
   readonly organisations: readonly Organisation[];
   readonly models: readonly Model[];
   readonly priorityClasses: readonly PriorityClass[];
-  /** In growing order of `maxTokens`; the last one holds any length. */
+  /** Sorted by rising `maxTokens`; the last class has no upper bound. */
   readonly lengthClasses: readonly LengthClass[];
   readonly services: readonly PlainService[];
   readonly placement: readonly PlacementWish[];
   readonly policy: PolicyWeights;
 }
 
-/** A customer. */
+/** A customer: its keys, its weight and its limits. */
 export interface Organisation {
   readonly id: OrganisationId;
-  /** Salted hashes of its keys; see `utils/keys.ts`. */
+  /** Salted hashes of the organisation's keys; see `utils/keys.ts`. */
   readonly keyHashes: readonly string[];
-  /** Share in contention, relative to other organisations. @default 1 */
+  /** Share under contention, relative to other organisations. @default 1 */
   readonly weight: number;
-  /** Requests at once over all entries. @default 256 */
+  /** Maximum concurrent requests over all entries. @default 256 */
   readonly maxRunning: number;
-  /** Prompt and answer tokens a second over all entries. @default 2000000 */
+  /**
+   * Maximum prompt and answer tokens per second over all entries.
+   * @default 2000000
+   */
   readonly tokensPerSec: number;
 }
 
-/** A model that placement loads and callers may name. */
+/** A model that placement loads and that callers can request. */
 export interface Model {
   readonly id: ModelId;
   readonly version: string;
   readonly adapters: readonly string[];
-  /** The model of a request that names none; one at most. */
+  /** Whether requests without a model use this one; true for at most one. */
   readonly isDefault: boolean;
-  /** Size of the weights, for pacing loads. */
+  /** Size of the weights in bytes; used to limit the rate of loads. */
   readonly weightBytes: number;
-  /** Longest prompt taken, in tokens. @default 1000000 */
+  /** Longest accepted prompt, in tokens. @default 1000000 */
   readonly maxPromptTokens: number;
 }
 
-/** How urgent a request is; callers name the class. */
+/** Urgency of requests. Callers select a class by name. */
 export interface PriorityClass {
   readonly name: string;
   /** 0 is the most urgent. */
@@ -50,61 +54,68 @@
   readonly isDefault: boolean;
 }
 
-/** Requests of like prompt length. */
+/** A range of prompt lengths with limits of its own. */
 export interface LengthClass {
   readonly name: string;
   /** Longest prompt of this class, in tokens. */
   readonly maxTokens: number;
-  /** Share of an engine's memory kept free for this class. @default 0 */
+  /** Share of an engine's memory reserved for this class. @default 0 */
   readonly memoryFloor: number;
-  /** Most runs of this class at once on one engine; 0 for no limit. */
+  /** Maximum concurrent runs of this class on one engine; 0 for no limit. */
   readonly maxRunning: number;
-  /** Time limit of a request that names none, in milliseconds. */
+  /** Time limit of a request without one of its own, in milliseconds. */
   readonly defaultTimeLimitMs: number;
 }
 
-/** A plain service to which calls are routed. */
+/** A plain (non-model) HTTP service to which calls are routed. */
 export interface PlainService {
   readonly pool: PoolId;
-  /** Methods that may be repeated. @default ["GET", "HEAD"] */
+  /** HTTP methods that are safe to retry. @default ["GET", "HEAD"] */
   readonly repeatableMethods: readonly string[];
-  /** Calls at once per upstream. @default 32 */
+  /** Maximum concurrent calls per upstream. @default 32 */
   readonly maxRunning: number;
+  /** Time limit of a call without one of its own, in milliseconds. */
   readonly defaultTimeLimitMs: number;
 }
 
-/** How many replicas of a model a pool should serve. */
+/** The number of replicas of a model that a pool should serve. */
 export interface PlacementWish {
   readonly pool: PoolId;
   readonly model: ModelId;
   readonly minReplicas: number;
-  /** Each failure domain should have at least so many. @default 0 */
+  /** Minimum number of replicas in each failure domain. @default 0 */
   readonly minPerFailureDomain: number;
 }
 
-/** Weights and switches of the routing and queueing policy. */
+/** Parameters of the routing and queueing policy. */
 export interface PolicyWeights {
-  /** Routing policy by name. @default "predicted-first-token" */
+  /** Name of the routing policy. @default "predicted-first-token" */
   readonly routing: string;
-  /** Replicas to which an entry offers a request at most. @default 3 */
+  /** Maximum number of replicas to which a request is offered. @default 3 */
   readonly maxOffers: number;
-  /** Retries as a share of first attempts, over all requests. @default 0.2 */
+  /** Maximum retries per first attempt, over all requests. @default 0.2 */
   readonly retryRatio: number;
-  /** Worth of a cached prompt token, 0 to 1, when choosing. @default 1 */
+  /** Weight of a cached prompt token in routing, 0 to 1. @default 1 */
   readonly prefixWeight: number;
-  /** Load over the mean at which affinity yields. @default 1.25 */
+  /**
+   * Load of a replica, relative to the mean, above which prefix affinity is
+   * ignored. @default 1.25
+   */
   readonly boundedLoadFactor: number;
-  /** Share of engines that long prompts may use at once. @default 0.5 */
+  /** Share of engines that long prompts may occupy at once. @default 0.5 */
   readonly longShare: number;
-  /** Waiting time that lifts a request by one priority. @default 10000 */
+  /**
+   * Waiting time in milliseconds after which a request's priority rises by one
+   * level. @default 10000
+   */
   readonly ageingMs: number;
-  /** Weight of short requests' slowdown in scores. @default 0.5 */
+  /** Weight of the slowdown of short requests in scores. @default 0.5 */
   readonly shortSlowdownWeight: number;
-  /** Weight of long prompts' first token in scores. @default 0.5 */
+  /** Weight of long prompts' time to first token in scores. @default 0.5 */
   readonly longFirstTokenWeight: number;
 }
 
-/** Declarations with the number under which they were accepted. */
+/** Declarations with the version number under which they were accepted. */
 export interface NumberedDeclarations {
   readonly number: ConfigNumber;
   readonly declarations: Declarations;
--- a/src/types/errors.ts
+++ b/src/types/errors.ts
@@ -1,16 +1,17 @@
 /**
- * The one error type that crosses module borders. It carries the step and the
- * peer at which it arose and, for requests, whether the work ran.
+ * The error type that modules pass to each other. It carries the step and the
+ * peer at which the error occurred and, for requests, whether the work ran.
  */
 import type {RequestId} from './ids.js';
 
 /**
- * Whether the request's work ran on an upstream. `no` is said on evidence
- * only: never sent, or refused by the side that would have run it.
+ * Whether the request's work ran on an upstream. `no` requires evidence: the
+ * work was never sent, or the side that would have run it refused it. A retry
+ * after a wrong `no` would run the work twice.
  */
 export type Ran = 'no' | 'yes' | 'unknown';
 
-/** Stable codes; callers and scripts may rely on them. */
+/** Stable error codes; callers and scripts may depend on them. */
 export type ErrorCode =
   | 'bad-request'
   | 'too-large'
@@ -38,7 +39,7 @@
   | 'timeout'
   | 'internal';
 
-/** Where in the path of a request or order an error arose. */
+/** The step of handling a request or order at which an error occurred. */
 export type Step =
   | 'read'
   | 'authenticate'
@@ -61,20 +62,21 @@
   | 'order'
   | 'settings';
 
-/** What an `OnyxError` is made from. `ran` is `no` unless it is given. */
+/** Arguments of an `OnyxError`. */
 export interface ErrorDetails {
   readonly code: ErrorCode;
   readonly step: Step;
-  /** Address or name of the other end; empty when there is none. */
+  /** Address or name of the peer; empty when there is none. @default '' */
   readonly peer?: string;
   readonly message: string;
+  /** @default 'no' */
   readonly ran?: Ran;
   readonly requestId?: RequestId;
-  /** When to come back, in milliseconds, where that helps. */
+  /** Delay before a retry, in milliseconds, if a retry can succeed. */
   readonly retryAfterMs?: number;
 }
 
-/** Error with step and peer. Passed as the `Left` of an `Either`. */
+/** An error with its step and peer. Usually the `Left` of an `Either`. */
 export class OnyxError extends Error {
   readonly code: ErrorCode;
   readonly step: Step;
--- a/src/types/kernel.ts
+++ b/src/types/kernel.ts
@@ -1,47 +1,55 @@
 /**
- * The kernel's face to services: how a service is declared, how it finds
- * another by name, and how messages reach it.
+ * The kernel's interface to services: how a service is declared, how it sends
+ * messages to another service by name, and how it receives messages.
  */
 import type {Stream} from 'most';
 import type {Runtime} from './runtime.js';
 
 /**
- * Messages of each service by the service's name. A service adds its own line
- * by declaration merging next to its message type.
+ * Message type of each service, by service name. Each service adds its own
+ * property by declaration merging, next to its message type.
  */
 export interface ServiceMessages {}
 
-/** Name of a service that has declared its messages. */
+/** Name of a service with a declared message type. */
 export type ServiceName = keyof ServiceMessages & string;
 
-/** What a service gets when it is started. */
+/** The context that the kernel passes to a service at its start. */
 export interface ServiceContext<N extends ServiceName> extends Runtime {
   readonly name: N;
-  /** Messages to this service, in order of sending. One observer. */
+  /** Messages to this service, in sending order, for one observer. */
   readonly mailbox: Stream<ServiceMessages[N]>;
-  /** Sends to another service; dropped and logged when it is not running. */
+  /**
+   * Sends a message to another service. The message is dropped and logged when
+   * that service is not running.
+   */
   send<T extends ServiceName>(to: T, message: ServiceMessages[T]): void;
   /**
-   * Sends a message that carries a reply function, and waits for the reply.
-   * Rejects with an `OnyxError` when the service is not running or ends.
+   * Sends a message that carries a reply function and waits for the reply.
+   * Rejects with an `OnyxError` when the service is not running or ends before
+   * it replies.
    */
   ask<T extends ServiceName, R>(
     to: T,
     createMessage: (reply: (value: R) => void) => ServiceMessages[T],
   ): Promise<R>;
-  /** Registers what to release when this service ends, newest first. */
+  /**
+   * Registers a cleanup function to call when this service ends. The functions
+   * are called in reverse order of registration.
+   */
   own(release: () => void | Promise<void>): void;
-  /** Ends this service with a cause; the kernel logs it and restarts it. */
+  /** Ends this service; the kernel logs the cause and restarts the service. */
   fail(cause: unknown): void;
 }
 
-/** A service: a task that owns its sockets and state. */
+/** The declaration of a service, which owns its sockets and its state. */
 export interface ServiceSpec<N extends ServiceName> {
   readonly name: N;
   /**
-   * Starts the task. It observes its mailbox and returns when it is ready to
-   * get messages. A throw here or in the mailbox's observer ends the task; the
-   * kernel releases what it owned and starts it anew.
+   * Starts the service, which observes its mailbox. Returns or resolves when
+   * the service is ready for messages. If this function or the mailbox's
+   * observer throws, the kernel calls the service's cleanup functions and
+   * restarts it.
    */
   start(ctx: ServiceContext<N>): void | Promise<void>;
 }
--- a/src/types/peer_messages.ts
+++ b/src/types/peer_messages.ts
@@ -1,7 +1,7 @@
 /**
  * Messages between the system's own processes: entry to side, and entry to
- * entry. Times are durations in milliseconds of time left, never clock
- * readings, since clocks of two hosts do not agree.
+ * entry. Times are durations in milliseconds, never clock readings, since the
+ * clocks of two hosts do not agree.
  */
 import type {Ran} from './errors.js';
 import type {
@@ -18,21 +18,21 @@
   RequestId,
 } from './ids.js';
 
-/** What is asked for: a completion by a model, or a call to a plain service. */
+/** Kind of a request: a model completion or a call to a plain service. */
 export type WorkKind = 'completion' | 'call';
 
-/** Offer of a run, without its prompt. */
+/** Offers a run to a side, without its prompt. */
 export interface OfferReq {
   readonly dispatchId: DispatchId;
   readonly requestId: RequestId;
   readonly organisation: OrganisationId;
-  /** Weight of the organisation for fair shares. */
+  /** Weight of the organisation in fair sharing. */
   readonly weight: number;
   readonly entry: NodeId;
-  /** Incarnation of the side that the entry believes in. */
+  /** Incarnation of the side as last known to the entry. */
   readonly incarnation: Incarnation;
   readonly kind: WorkKind;
-  /** Model for a completion, empty for a call. */
+  /** Model of a completion; empty for a call. */
   readonly model: ModelId;
   readonly adapter: string;
   readonly priorityClass: string;
@@ -41,41 +41,44 @@
   readonly timeLeftMs: number;
   readonly promptTokens: number;
   readonly maxTokens: number;
+  /** Whether the work may run more than once. */
   readonly repeatable: boolean;
-  /** Hashes of the leading prompt blocks, first block first. */
+  /** Hashes of the leading blocks of the prompt, in order. */
   readonly prefixHashes: readonly string[];
-  /** Rules the request was admitted under. */
+  /** Configuration version under which the request was admitted. */
   readonly configNumber: ConfigNumber;
   /**
-   * Set for a member of a group: a prompt over one engine's memory. The
-   * member only holds `holdTokens` of memory, or leads the run.
+   * Set for a member of a group of engines. A group runs a prompt that exceeds
+   * the memory of one engine. A member either leads the run or only reserves
+   * `holdTokens` of memory.
    */
   readonly group?: GroupRole;
 }
 
-/** Part of one engine in a run that needs several. */
+/** Role of one engine in a run that needs several engines. */
 export interface GroupRole {
+  /** Whether this engine leads the run. */
   readonly lead: boolean;
-  /** Engines in the group. */
+  /** Number of engines in the group. */
   readonly size: number;
-  /** Memory to hold on this engine, in tokens. */
+  /** Memory to reserve on this engine, in tokens. */
   readonly holdTokens: number;
 }
 
 /** A side's answer to an offer. */
 export type OfferRes = OfferAccepted | OfferRefused;
 
-/** The side keeps a place in its queue until the offer lapses. */
+/** The side reserves a position in its queue until the offer lapses. */
 export interface OfferAccepted {
   readonly kind: 'accepted';
   readonly incarnation: Incarnation;
-  /** Predicted time to first token from now, queue included. */
+  /** Predicted time to first token, including the time in the queue. */
   readonly predictedFirstTokenMs: number;
-  /** The offer lapses after this long without a go. */
+  /** Time after which the offer lapses unless a `Go` frame arrives. */
   readonly lapseMs: number;
 }
 
-/** Refusal codes of a side. Each of them means: not run, and will not run. */
+/** Refusal codes of a side. A refused run has not run and will not run. */
 export type RefusalReason =
   | 'incarnation'
   | 'leaving'
@@ -86,7 +89,7 @@
   | 'tombstoned'
   | 'engine-down';
 
-/** The run was not started. `retryAfterMs` 0: coming back does not help. */
+/** The run was not started. With `retryAfterMs` 0, a retry will not help. */
 export interface OfferRefused {
   readonly kind: 'refused';
   readonly reason: RefusalReason;
@@ -97,25 +100,25 @@
 /** Frames from entry to side on a run's channel. */
 export type RunUp = Go | Prompt | PromptEnd | Attach | Ack | Beat | CancelRun;
 
-/** First frame of a new run; prompt frames follow. */
+/** First frame of a new run. Prompt frames follow it. */
 export interface Go {
   readonly kind: 'go';
   readonly dispatchId: DispatchId;
   readonly incarnation: Incarnation;
   readonly timeLeftMs: number;
-  /** For a call: the HTTP request line and headers. */
+  /** Set for a call: the HTTP request line and headers. */
   readonly call?: CallHead;
 }
 
 /** Request line and headers of a call to a plain service. */
 export interface CallHead {
   readonly method: string;
-  /** Path with query, as the caller gave it. */
+  /** Path with query, as sent by the caller. */
   readonly path: string;
   readonly headers: readonly Header[];
 }
 
-/** One header line; a repeated name has a line for each value. */
+/** One header line. A repeated header has one line per value. */
 export interface Header {
   readonly name: string;
   readonly value: string;
@@ -124,42 +127,43 @@
 /** A piece of the prompt, or of the body of a call. */
 export interface Prompt {
   readonly kind: 'prompt';
-  /** Counts from 0. */
+  /** Sequence number of the piece, from 0. */
   readonly seq: number;
   readonly data: Uint8Array;
 }
 
-/** The prompt is whole; `count` shows a lost frame. */
+/** End of the prompt. `count` lets the side detect a lost frame. */
 export interface PromptEnd {
   readonly kind: 'prompt-end';
   /** Number of prompt frames sent. */
   readonly count: number;
 }
 
-/** First frame of a channel that takes up an existing run. */
+/** First frame of a channel that continues an existing run. */
 export interface Attach {
   readonly kind: 'attach';
   readonly dispatchId: DispatchId;
   readonly organisation: OrganisationId;
   /** The entry that now owns the run. */
   readonly entry: NodeId;
-  /** First chunk wanted. */
+  /** Sequence number of the first chunk to send. */
   readonly fromSeq: number;
   /**
-   * The caller resumes at this entry: it takes the run from its owner. Without
-   * it, an entry that is no longer the owner is told `superseded`, so that it
-   * cannot take the run back while it renews a channel. @default false
+   * True when the caller resumes its request at this entry, which takes the run
+   * over from its owner. When false, an entry that no longer owns the run gets
+   * `superseded`. This prevents it from taking the run back when it only renews
+   * a channel. @default false
    */
   readonly takeOver?: boolean;
 }
 
-/** Chunks below `nextSeq` have arrived. */
+/** Acknowledges all chunks below `nextSeq`. */
 export interface Ack {
   readonly kind: 'ack';
   readonly nextSeq: number;
 }
 
-/** Keeps a quiet channel known to be alive; sent both ways. */
+/** Shows that an idle channel is alive; sent in both directions. */
 export interface Beat {
   readonly kind: 'beat';
 }
@@ -172,7 +176,7 @@
 /** Frames from side to entry on a run's channel. */
 export type RunDown = Started | Chunk | RunEnd | RunFailed | Beat;
 
-/** The run was handed to the upstream; from here on it may have run. */
+/** The run was passed to the upstream. From then on it may have run. */
 export interface Started {
   readonly kind: 'started';
 }
@@ -181,12 +185,12 @@
 export interface Chunk {
   readonly kind: 'chunk';
   readonly dispatchId: DispatchId;
-  /** Counts from 0 without gaps. */
+  /** Sequence number of the chunk, from 0 without gaps. */
   readonly seq: number;
   readonly data: Uint8Array;
-  /** Tokens in this chunk; 0 for a call. */
+  /** Number of tokens in this chunk; 0 for a call. */
   readonly tokens: number;
-  /** For a call, on chunk 0. */
+  /** Set on chunk 0 of a call. */
   readonly callHead?: CallResHead;
 }
 
@@ -196,11 +200,14 @@
   readonly headers: readonly Header[];
 }
 
-/** Last frame of a whole answer; `count` and `digest` prove it whole. */
+/**
+ * Last frame of a complete answer. The entry checks with `count` and `digest`
+ * that it received the complete answer.
+ */
 export interface RunEnd {
   readonly kind: 'end';
   readonly dispatchId: DispatchId;
-  /** Number of chunks of the whole answer. */
+  /** Number of chunks in the complete answer. */
   readonly count: number;
   /** Hash over all chunk bytes in order; see `utils/digest.ts`. */
   readonly digest: string;
@@ -209,7 +216,7 @@
   readonly cachedTokens: number;
 }
 
-/** Last frame of a run that gives no whole answer. */
+/** Last frame of a run without a complete answer. */
 export interface RunFailed {
   readonly kind: 'failed';
   readonly dispatchId: DispatchId;
@@ -219,30 +226,34 @@
   readonly retryAfterMs: number;
 }
 
-/** Gives a dispatch up; leaves a tombstone at the side. */
+/**
+ * Abandons a dispatch. The side keeps a tombstone, so that a late offer or `Go`
+ * does not start the run.
+ */
 export interface AbandonReq {
   readonly dispatchId: DispatchId;
   readonly entry: NodeId;
-  /** Empty, with an organisation, for whichever incarnation has the run. */
+  /** Incarnation of the side. With `organisation` set, empty means any. */
   readonly incarnation: Incarnation;
   /**
-   * Set when the caller itself asks for the end at another entry than the
-   * run's owner: a run of this organisation ends whoever owns it, and the
-   * owner is told. @default ''
+   * Set when the caller cancels its request at an entry that does not own the
+   * run. The run must belong to this organisation. It ends regardless of its
+   * owner, and the owner is notified. @default ''
    */
   readonly organisation?: OrganisationId;
 }
 
 /**
- * `never-started`: tombstoned before answering, will not run. `started`: it
- * ran or runs; it is cancelled now. `unknown`: other incarnation.
+ * Outcome of an abandon request. `never-started`: the side stored a tombstone
+ * before it answered, and the run will not start. `started`: the run had
+ * started and is now cancelled. `unknown`: the side has another incarnation.
  */
 export interface AbandonRes {
   readonly state: 'never-started' | 'started' | 'unknown';
   readonly incarnation: Incarnation;
 }
 
-/** Asks a side for the run of a request, for resuming it. */
+/** Asks a side for the run of a request, in order to resume it. */
 export interface LocateReq {
   readonly requestId: RequestId;
   readonly organisation: OrganisationId;
@@ -254,25 +265,25 @@
   readonly dispatchId: DispatchId;
   readonly nextSeq: number;
   readonly kind: WorkKind;
-  /** As the answer names it, with its adapter; empty for a call. @default '' */
+  /** Model with its adapter, as in the answer; empty for a call. @default '' */
   readonly model?: string;
-  /** Estimated; 0 for a call. @default 0 */
+  /** Estimated prompt length; 0 for a call. @default 0 */
   readonly promptTokens?: number;
 }
 
-/** Entry to side, each heartbeat period. */
+/** Heartbeat of an entry to a side, sent every heartbeat period. */
 export interface SideHeartbeatReq {
   readonly entry: NodeId;
   readonly entryIncarnation: Incarnation;
-  /** Where the entry listens for peers. */
+  /** Address at which the entry listens for peers. */
   readonly entryAddress: Address;
   readonly configNumber: ConfigNumber;
   readonly fence: FencingNumber;
-  /** Dispatches at this side that the entry owns. */
+  /** Dispatches at this side that are owned by the entry. */
   readonly owned: readonly DispatchId[];
 }
 
-/** The side's state, as routing and placement see it. */
+/** The side's state, as used by routing and placement. */
 export interface SideHeartbeatRes {
   readonly node: NodeId;
   readonly incarnation: Incarnation;
@@ -282,7 +293,7 @@
   readonly configNumber: ConfigNumber;
   readonly fence: FencingNumber;
   readonly load: SideLoad;
-  /** Models (with version) ready on the engine. */
+  /** Models on the engine, with version and readiness. */
   readonly models: readonly ModelState[];
 }
 
@@ -292,33 +303,33 @@
   readonly version: string;
   readonly adapters: readonly string[];
   readonly ready: boolean;
-  /** Kind of work the engine is set aside for. */
+  /** Kind of prompts for which the engine is reserved. */
   readonly role: EngineRole;
 }
 
-/** Kind of prompts that an engine is set aside for. */
+/** Kind of prompts for which an engine is reserved. */
 export type EngineRole = 'mixed' | 'short' | 'long';
 
-/** Load of one side, with the rates it has learned. */
+/** Load of one side, with the rates that the side has measured. */
 export interface SideLoad {
   /** Memory of the engine, in tokens; 0 for a plain service. */
   readonly capacityTokens: number;
   readonly freeTokens: number;
   readonly running: number;
   readonly queued: number;
-  /** Prompt tokens still to prefill, running and queued. */
+  /** Prompt tokens left to prefill, over running and queued runs. */
   readonly prefillBacklogTokens: number;
-  /** The same, of prompts in the shortest length class. */
+  /** Prompt tokens left to prefill in the shortest length class. */
   readonly shortBacklogTokens: number;
-  /** Learned: prompt tokens prefilled per second. */
+  /** Learned rate: prompt tokens prefilled per second. */
   readonly prefillTokensPerSec: number;
-  /** Learned: time of one decode step. */
+  /** Learned duration of one decode step. */
   readonly stepMs: number;
-  /** Age of the engine's own report when this was sent. */
+  /** Age of the engine's own report when this load was sent. */
   readonly reportAgeMs: number;
 }
 
-/** Entry to entry. */
+/** Heartbeat of an entry to another entry, with the sender's state. */
 export interface EntryHeartbeatReq {
   readonly node: NodeId;
   readonly incarnation: Incarnation;
@@ -329,51 +340,51 @@
   readonly fence: FencingNumber;
 }
 
-/** The peer's own state, in the same form. */
+/** The receiver's own state, in the same format. */
 export type EntryHeartbeatRes = EntryHeartbeatReq;
 
-/** Asks a peer for the configuration after `haveNumber`. */
+/** Asks a peer for a configuration newer than `haveNumber`. */
 export interface FetchConfigReq {
   readonly haveNumber: ConfigNumber;
-  /** Hashes of documents the asker lacks; empty on the first call. */
+  /** Hashes of the documents that the caller lacks; empty on the first call. */
   readonly wantHashes: readonly string[];
 }
 
-/** A manifest first; its documents on the second call. */
+/** The manifest on the first call, its documents on the second. */
 export interface FetchConfigRes {
   readonly number: ConfigNumber;
-  /** The manifest as JSON; empty when the peer has none newer. */
+  /** The manifest as JSON; empty when the peer has no newer one. */
   readonly manifest: string;
   readonly documents: readonly ConfigDocument[];
 }
 
-/** One document of the configuration under its content hash. */
+/** One document of the configuration with its content hash. */
 export interface ConfigDocument {
   readonly hash: string;
   readonly json: string;
 }
 
-/** Asks an organisation's home for places and tokens. */
+/** Asks an organisation's home entry for slots (`Places`) and tokens. */
 export interface GrantReq {
   readonly organisation: OrganisationId;
   readonly entry: NodeId;
   readonly wantPlaces: number;
   readonly wantTokens: number;
-  /** Places still in use from earlier grants. */
+  /** Slots of earlier grants that are still in use. */
   readonly usedPlaces: number;
 }
 
-/** What the home grants; it may be less than was wanted. */
+/** The home entry's grant; it may be less than requested. */
 export interface GrantRes {
   readonly places: number;
   readonly tokens: number;
-  /** The grant lapses after this long. */
+  /** Time after which the grant expires. */
   readonly ttlMs: number;
-  /** False when the asked entry does not hold itself to be the home. */
+  /** False when the asked entry does not consider itself the home. */
   readonly home: boolean;
 }
 
-/** Order to a side to change what its engine serves. */
+/** Orders a side to change what its engine serves. */
 export interface OrderReq {
   readonly orderId: string;
   readonly fence: FencingNumber;
@@ -384,15 +395,15 @@
   readonly role: EngineRole;
 }
 
-/** Outcome of an order; `reason` tells why it was refused. */
+/** Outcome of an order; `reason` says why the side refused it. */
 export interface OrderRes {
   readonly state: 'done' | 'started' | 'refused';
   readonly reason: string;
-  /** Highest fencing number that the side has seen. */
+  /** Highest fencing number known to the side. */
   readonly fence: FencingNumber;
 }
 
-/** Unary calls between processes: request and response by method. */
+/** Request and response of each unary call between processes. */
 export interface PeerCalls {
   readonly offer: {readonly req: OfferReq; readonly res: OfferRes};
   readonly abandon: {readonly req: AbandonReq; readonly res: AbandonRes};
--- a/src/types/runtime.ts
+++ b/src/types/runtime.ts
@@ -1,31 +1,34 @@
 /**
- * What a service may use of the outside besides its mailbox: time, chance and
- * the log. They are passed in, so that the randomised runs drive the same code
- * as the processes do, on a virtual clock with seeded chance.
+ * What a service uses besides its mailbox: clock, random source, log, metrics
+ * and invariant checks. They are passed in, so that randomised runs can execute
+ * the production code on a virtual clock with a seeded random source.
  */
 
-/** Ends a timer. Calling it again, or after the timer fired, does nothing. */
+/** Cancels a timer. Has no effect on a cancelled or expired timer. */
 export type Cancel = () => void;
 
-/** Monotonic time. It never goes back; its zero has no meaning. */
+/** A monotonic clock. Its zero point is arbitrary. */
 export interface Clock {
   /** Milliseconds since an arbitrary start. */
   now(): number;
-  /** Calls `fn` once, `delayMs` from now. */
+  /** Calls `fn` once, after `delayMs` milliseconds. */
   after(delayMs: number, fn: () => void): Cancel;
-  /** Calls `fn` each `periodMs`, first after one period. */
+  /** Calls `fn` every `periodMs` milliseconds, first after one period. */
   every(periodMs: number, fn: () => void): Cancel;
 }
 
-/** Chance. Seeded in tests and randomised runs. */
+/** A random source; seeded in tests and randomised runs. */
 export interface Random {
-  /** Uniform in [0, 1). */
+  /** A uniform random number in [0, 1). */
   next(): number;
-  /** `bytes` random bytes as lower-case hex; cryptographic in a process. */
+  /**
+   * The given number of random bytes as lower-case hex; cryptographically
+   * secure in a real process.
+   */
   hex(bytes: number): string;
 }
 
-/** Field values of a log event. */
+/** Value of a field of a log event. */
 export type LogValue =
   | string
   | number
@@ -40,21 +43,21 @@
   readonly [name: string]: LogValue;
 }
 
-/** Writes one numbered event; see `utils/events.ts` for the catalogue. */
+/** Writes a log event from the catalogue in `utils/events.ts`. */
 export type Log = (event: EventSpec, fields: LogFields) => void;
 
 /** One entry of the event catalogue. */
 export interface EventSpec {
-  /** Stable number, never used again for another event. */
+  /** Stable number; never reused for another event. */
   readonly number: number;
-  /** Stable name in lower-case kebab form. */
+  /** Stable name in kebab-case. */
   readonly name: string;
   readonly level: 'error' | 'warn' | 'info' | 'debug';
 }
 
 /**
- * Asserts an invariant. In a process it logs a numbered event and counts; in
- * tests and randomised runs it throws.
+ * Checks an invariant. A violation is logged and counted in a real process; in
+ * tests and randomised runs the check throws.
  */
 export type Invariant = (
   holds: boolean,
@@ -62,22 +65,24 @@
   fields: LogFields,
 ) => void;
 
-/** Labels of a metric, by name. */
+/** Label values of a metric, by label name. */
 export interface MetricLabels {
   readonly [name: string]: string;
 }
 
-/** Counters, gauges and histograms, shown on the metrics endpoint. */
+/** Counters, gauges and histograms of the metrics endpoint. */
 export interface Metrics {
+  /** Increases a counter by `by`. @default by 1 */
   count(name: string, labels?: MetricLabels, by?: number): void;
+  /** Sets a gauge. */
   gauge(name: string, labels: MetricLabels, value: number): void;
-  /** Records a value of a histogram, in the unit that the name ends with. */
+  /** Records a histogram sample, in the unit that the name ends with. */
   observe(name: string, labels: MetricLabels, value: number): void;
-  /** The customary text form. */
+  /** All metrics in the Prometheus text format. */
   render(): string;
 }
 
-/** All of the above, handed to each service. */
+/** The dependencies that every service receives. */
 export interface Runtime {
   readonly clock: Clock;
   readonly random: Random;
--- a/src/types/services.ts
+++ b/src/types/services.ts
@@ -1,6 +1,6 @@
 /**
  * Messages between the services of one process, by service name. A message
- * that wants an answer carries a reply function; see `ServiceContext.ask`.
+ * that expects an answer carries a reply function; see `ServiceContext.ask`.
  */
 import type {Either} from 'purify-ts';
 import type {NumberedDeclarations} from './config.js';
@@ -32,13 +32,17 @@
   WorkKind,
 } from './peer_messages.js';
 
-/** A prompt or call body, kept in pieces so that no step handles it whole. */
+/**
+ * The body of a prompt or call. It is stored in pieces, so that no step has to
+ * copy the complete body.
+ */
 export interface Body {
   readonly pieces: readonly Uint8Array[];
+  /** Total length in bytes. */
   readonly bytes: number;
 }
 
-/** An admitted request, with the rules it was admitted under. */
+/** An admitted request, with the configuration under which it was admitted. */
 export interface RequestSpec {
   readonly id: RequestId;
   readonly organisation: OrganisationId;
@@ -50,19 +54,20 @@
   readonly adapter: string;
   readonly priorityClass: string;
   readonly priority: number;
-  /** Name of its length class, for metrics. */
+  /** Name of the request's length class, for metrics. */
   readonly lengthClass: string;
-  /** On this process's clock: when its time limit ends. */
+  /** Deadline of the request, in milliseconds on this process's clock. */
   readonly deadlineAt: number;
+  /** Time of admission, in milliseconds on this process's clock. */
   readonly admittedAt: number;
   readonly body: Body;
   readonly promptTokens: number;
   readonly maxTokens: number;
   readonly repeatable: boolean;
   /**
-   * The caller is shown chunks as they come. Without it nothing is shown before
-   * the end, so an answer cut short may be given up for that of another run.
-   * @default true
+   * Whether the caller receives chunks as they arrive. When false, the caller
+   * receives nothing before the end, so an incomplete answer may be discarded
+   * and replaced by the answer of another run. @default true
    */
   readonly streamed?: boolean;
   readonly idempotencyKey: string | undefined;
@@ -72,10 +77,10 @@
 }
 
 /**
- * What a request's caller is told, in order: `placed` any number of times,
- * then chunks from 0 without gaps, then exactly one `end` or `failed`. A
- * listener that is not streamed may be told `restarted` in between: the chunks
- * so far are void, and those of another run follow from 0.
+ * An event of a request, for its caller. The order is: `placed` any number of
+ * times, chunks from 0 without gaps, then exactly one `end` or `failed`. A
+ * listener of a request that is not streamed may also get `restarted`. The
+ * chunks before it are then invalid, and chunks of another run follow from 0.
  */
 export type RequestEvent =
   | {
@@ -100,10 +105,10 @@
     }
   | {readonly kind: 'failed'; readonly error: OnyxError};
 
-/** Called for each event of one request, in order. */
+/** Receives the events of one request, in order. */
 export type RequestListener = (event: RequestEvent) => void;
 
-/** State of a request as any entry can tell it. */
+/** State of a request, as reported by any entry. */
 export interface RequestState {
   readonly id: RequestId;
   readonly state: 'none' | 'queued' | 'running' | 'ended' | 'failed';
@@ -111,12 +116,13 @@
   readonly side: Address;
   readonly dispatchId: DispatchId;
   readonly nextSeq: number;
-  /** As in `LocateRes`. */
+  /** See `LocateRes`. */
   readonly model?: string;
+  /** See `LocateRes`. */
   readonly promptTokens?: number;
 }
 
-/** To `requests`: the service that owns requests from admission to end. */
+/** Messages to `requests`, which owns requests from admission to their end. */
 export type RequestsMessage =
   | {
       readonly kind: 'submit';
@@ -124,8 +130,8 @@
       readonly listener: RequestListener;
     }
   /**
-   * The caller went away or asked to end it. With a reply, it is looked for at
-   * the sides too when another entry owns it.
+   * The caller disconnected or cancelled the request. With `reply`, the request
+   * is also searched for at the sides if another entry owns it.
    */
   | {
       readonly kind: 'cancel';
@@ -163,11 +169,11 @@
       readonly id: RequestId;
       readonly reply: (decisions: readonly RoutingDecision[]) => void;
     }
-  /** No new requests; replies when the last one has ended. */
+  /** Stops accepting requests; replies when the last one has ended. */
   | {readonly kind: 'drain'; readonly reply: () => void}
   | {readonly kind: 'count'; readonly reply: (open: number) => void};
 
-/** One routing decision, as logged and as shown by `explain`. */
+/** A routing decision, as logged and as shown by `explain`. */
 export interface RoutingDecision {
   readonly requestId: RequestId;
   readonly attempt: number;
@@ -176,7 +182,7 @@
   readonly candidates: readonly RoutingCandidate[];
 }
 
-/** A replica with the figures that the decision went by. */
+/** A candidate replica with the values on which the decision was based. */
 export interface RoutingCandidate {
   readonly address: Address;
   readonly failureDomain: FailureDomain;
@@ -187,7 +193,7 @@
   readonly loadAgeMs: number;
 }
 
-/** A side that this entry follows. */
+/** A side whose state this entry follows. */
 export interface Replica {
   readonly host: HostId;
   readonly node: NodeId;
@@ -195,19 +201,19 @@
   readonly pool: PoolId;
   readonly failureDomain: FailureDomain;
   readonly incarnation: Incarnation;
-  /** `live` takes work; `suspect` only when no live one is left. */
+  /** `live` gets work; `suspect` only gets work when no replica is live. */
   readonly state: 'live' | 'suspect' | 'leaving' | 'gone';
   readonly load: SideLoad;
-  /** On this process's clock: when the load was reported. */
+  /** Time of the load report, in milliseconds on this process's clock. */
   readonly loadAt: number;
   readonly models: readonly ModelState[];
   readonly configNumber: ConfigNumber;
   readonly fence: FencingNumber;
-  /** Round trip of the last heartbeat. */
+  /** Round-trip time of the last heartbeat, in milliseconds. */
   readonly rttMs: number;
 }
 
-/** Another entry. */
+/** Another entry, as this entry knows it. */
 export interface EntryPeer {
   readonly node: NodeId;
   readonly address: Address;
@@ -218,41 +224,42 @@
   readonly fence: FencingNumber;
 }
 
-/** What an entry knows of the others. */
+/** What an entry knows about sides and other entries. */
 export interface MembershipView {
   readonly replicas: readonly Replica[];
-  /** All hosts of the pools, followed or not, for locating runs. */
+  /** Addresses of all sides, followed or not; used to locate runs. */
   readonly allSides: readonly Address[];
   readonly entries: readonly EntryPeer[];
 }
 
-/** To `membership`. */
+/** Messages to `membership`. */
 export type MembershipMessage =
-  /** The listener is called at once and at each change of the view. */
+  /** The listener is called immediately and on each change of the view. */
   | {
       readonly kind: 'subscribe';
       readonly listener: (view: MembershipView) => void;
     }
-  /** Direct evidence about a side from the path of a request. */
+  /** Evidence about a side's state, observed while handling a request. */
   | {
       readonly kind: 'evidence';
       readonly address: Address;
       readonly what: 'unreachable' | 'leaving' | 'incarnation' | 'answered';
-      /** For `incarnation`: the new one. */
+      /** The new incarnation, when `what` is `incarnation`. */
       readonly incarnation: Incarnation;
     }
-  /** Dispatches owned at a side; sent with the next heartbeats to it. */
+  /** Adds an owned dispatch to the heartbeats sent to a side. */
   | {
       readonly kind: 'own';
       readonly address: Address;
       readonly dispatchId: DispatchId;
     }
+  /** Removes an owned dispatch from those heartbeats. */
   | {
       readonly kind: 'disown';
       readonly address: Address;
       readonly dispatchId: DispatchId;
     }
-  /** A heartbeat of another entry came in; replies with our own state. */
+  /** A heartbeat of another entry arrived; replies with this entry's state. */
   | {
       readonly kind: 'entry-heartbeat';
       readonly req: EntryHeartbeatReq;
@@ -261,26 +268,29 @@
   /** This entry is leaving. */
   | {readonly kind: 'leave'};
 
-/** To `entryPeers`: where it listens for other processes. */
+/** Message to `entryPeers`: asks for the address at which it listens. */
 export interface EntryPeersMessage {
   readonly kind: 'address';
   readonly reply: (address: Address) => void;
 }
 
-/** To `config`: holds the newest accepted declarations. */
+/** Messages to `config`, which holds the newest accepted declarations. */
 export type ConfigMessage =
-  /** The listener is called at once, if there is any, and at each number. */
+  /**
+   * The listener is called immediately if there is a configuration, and then
+   * for each new version.
+   */
   | {
       readonly kind: 'subscribe';
       readonly listener: (config: NumberedDeclarations) => void;
     }
-  /** A peer said that it holds this number. */
+  /** A peer reported its configuration version. */
   | {
       readonly kind: 'peer-number';
       readonly peer: Address;
       readonly number: ConfigNumber;
     }
-  /** A peer asks for what it lacks. */
+  /** A peer asks for a newer configuration. */
   | {
       readonly kind: 'fetch';
       readonly req: FetchConfigReq;
@@ -295,7 +305,7 @@
     }
   | {
       readonly kind: 'show';
-      /** 0 for the newest. */
+      /** Version to show; 0 selects the newest. */
       readonly number: ConfigNumber;
       readonly reply: (
         outcome: Either<OnyxError, NumberedDeclarations>,
@@ -309,46 +319,46 @@
       ) => void;
     };
 
-/** A change that an operator asks for. */
+/** A configuration change requested by an operator. */
 export interface ConfigPatch {
-  /** Made by the client; a repeat with the same id is the same patch. */
+  /** Generated by the client. A repeat with the same id is the same patch. */
   readonly patchId: string;
-  /** The number that the patch is based on. */
+  /** Configuration version on which the patch is based. */
   readonly base: ConfigNumber;
   readonly form: 'json-patch' | 'merge-patch';
   /** The patch as JSON text. */
   readonly patch: string;
-  /** Only tells what would change. */
+  /** Whether to only report what the patch would change. */
   readonly dryRun: boolean;
   readonly operator: string;
 }
 
-/** A patch that is in force; with `dryRun`, that would be accepted. */
+/** An accepted patch. With `dryRun`, the patch was only validated. */
 export interface ConfigAccepted {
   readonly number: ConfigNumber;
-  /** Paths that the patch changes, as JSON pointers. */
+  /** JSON pointers to the values that the patch changes. */
   readonly changedPaths: readonly string[];
   readonly dryRun: boolean;
 }
 
-/** One fault that a patch would bring into the declarations. */
+/** An error that a patch would introduce into the declarations. */
 export interface ConfigFault {
   /** JSON pointer into the declarations. */
   readonly path: string;
   readonly message: string;
-  /** What to write instead. */
+  /** Suggested correction. */
   readonly mend: string;
 }
 
-/** Why a patch was not accepted; nothing changed. */
+/** Why a patch was rejected. The configuration is unchanged. */
 export interface ConfigRejection {
   readonly error: OnyxError;
-  /** The number at the head. */
+  /** Newest configuration version. */
   readonly head: ConfigNumber;
   readonly faults: readonly ConfigFault[];
 }
 
-/** One accepted patch. */
+/** An accepted patch in the configuration's history. */
 export interface ConfigHistoryLine {
   readonly number: ConfigNumber;
   readonly patchId: string;
@@ -356,7 +366,7 @@
   readonly changedPaths: readonly string[];
 }
 
-/** To `limits`: organisation limits over all entries. */
+/** Messages to `limits`, which enforces limits over all entries. */
 export type LimitsMessage =
   | {
       readonly kind: 'acquire';
@@ -365,14 +375,14 @@
       readonly reply: (outcome: Either<OnyxError, void>) => void;
     }
   | {readonly kind: 'release'; readonly organisation: OrganisationId}
-  /** Another entry asks this one, as the organisation's home, for a grant. */
+  /** Another entry asks this one, as the home entry, for a grant. */
   | {
       readonly kind: 'grant';
       readonly req: GrantReq;
       readonly reply: (res: GrantRes) => void;
     };
 
-/** To `claims`: at-most-once records of idempotency keys. */
+/** Message to `claims`, which records idempotency keys at most once. */
 export type ClaimsMessage = {
   readonly kind: 'claim';
   readonly organisation: OrganisationId;
@@ -381,29 +391,33 @@
   readonly reply: (outcome: Either<OnyxError, ClaimOutcome>) => void;
 };
 
-/** Ours to run, or taken before by the request named. */
+/**
+ * `ours`: this request may run. `taken`: the request `requestId` claimed the
+ * key before.
+ */
 export type ClaimOutcome =
   | {readonly kind: 'ours'}
   | {readonly kind: 'taken'; readonly requestId: RequestId};
 
-/** To `placement`: what each engine serves. */
+/** Messages to `placement`, which decides what each engine serves. */
 export type PlacementMessage =
   | {
       readonly kind: 'status';
       readonly reply: (status: PlacementStatus) => void;
     }
-  /** A peer has seen this fencing number. */
+  /** A peer reported this fencing number. */
   | {readonly kind: 'fence-seen'; readonly fence: FencingNumber};
 
-/** Placement as this entry sees it. `placer`: it holds the lease. */
+/** Placement as known to this entry. */
 export interface PlacementStatus {
+  /** Whether this entry holds the placer's lease. */
   readonly placer: boolean;
   readonly holder: NodeId;
   readonly fence: FencingNumber;
   readonly decisions: readonly PlacementDecision[];
 }
 
-/** One placement decision, as logged and as shown by `status`. */
+/** A placement decision, as logged and as shown by `status`. */
 export interface PlacementDecision {
   readonly orderId: string;
   readonly fence: FencingNumber;
--- a/src/types/transport.ts
+++ b/src/types/transport.ts
@@ -1,6 +1,7 @@
 /**
- * How processes of the system reach each other. Two implementations: grpc for
- * processes, and an in-memory network on the virtual clock for tests.
+ * The transport between processes of the system. There are two
+ * implementations: gRPC for real processes, and an in-memory network on the
+ * virtual clock for tests.
  */
 import type {Either} from 'purify-ts';
 import type {Stream} from 'most';
@@ -8,14 +9,17 @@
 import type {Address} from './ids.js';
 import type {PeerCalls, PeerMethod, RunDown, RunUp} from './peer_messages.js';
 
-/** One end of a run's two-way channel. */
+/** One end of a run's bidirectional channel. */
 export interface Channel<Out, In> {
   /**
-   * Sends a frame. Resolves when the channel can take another (back-pressure);
-   * a frame sent on a closed channel is dropped.
+   * Sends a frame. Resolves when the channel accepts another frame
+   * (back-pressure). A frame sent on a closed channel is dropped.
    */
   send(frame: Out): Promise<void>;
-  /** Frames from the other end, one observer; ends when the channel closes. */
+  /**
+   * Frames from the other end, for one observer. The stream ends when the
+   * channel closes.
+   */
   readonly frames: Stream<In>;
   /** Closes both directions. */
   close(): void;
@@ -26,7 +30,7 @@
 /** A side's end of a run's channel. */
 export type RunServerChannel = Channel<RunDown, RunUp>;
 
-/** Answers calls of peers; a method left out is answered as an error. */
+/** Handlers of peers' calls. A call without a handler answers an error. */
 export type PeerHandlers = {
   readonly [M in PeerMethod]?: (
     req: PeerCalls[M]['req'],
@@ -36,15 +40,16 @@
 /** An open listening socket. */
 export interface Listener {
   readonly address: Address;
-  /** Stops taking connections; open ones may end. */
+  /** Stops accepting connections; open connections may finish. */
   close(): Promise<void>;
 }
 
-/** Calls and channels to other processes, and listening for theirs. */
+/** Makes calls and opens channels to peers, and listens for theirs. */
 export interface Transport {
   /**
-   * One call. Left: `peer-unreachable`, `timeout` (the peer may have done it)
-   * or `internal`, with the peer's address.
+   * Makes one call. `Left` carries the peer's address and one of these codes:
+   * `peer-unreachable`, `timeout` (the peer may have executed the call) or
+   * `internal`.
    */
   call<M extends PeerMethod>(
     peer: Address,
@@ -53,10 +58,11 @@
     timeoutMs: number,
   ): Promise<Either<OnyxError, PeerCalls[M]['res']>>;
   /**
-   * Opens a run's channel. With `fresh`, on a new connection: for when an
-   * established one has gone silent.
+   * Opens a run's channel. `fresh` forces a new connection, for use when an
+   * established connection no longer delivers data.
    */
   openRun(peer: Address, fresh: boolean): RunChannel;
+  /** Listens for calls and channels of peers. */
   listen(address: Address, handlers: PeerHandlers): Promise<Listener>;
   /** Closes all outgoing connections. */
   close(): Promise<void>;
--- a/src/types/upstream.ts
+++ b/src/types/upstream.ts
@@ -1,6 +1,6 @@
 /**
- * What stands behind a side: a model engine or a plain service. Another kind
- * takes its place by one module that implements these.
+ * Interfaces to the upstream of a side: a model engine or a plain service.
+ * Support for another upstream needs one module that implements an interface.
  */
 import type {Either} from 'purify-ts';
 import type {Stream} from 'most';
@@ -8,9 +8,9 @@
 import type {CallHead, CallResHead, ModelState} from './peer_messages.js';
 import type {FencingNumber, ModelId} from './ids.js';
 
-/** A run to be started on an engine. */
+/** A run to start on an engine. */
 export interface EngineRunReq {
-  /** The dispatch's id; an id is run once by an engine. */
+  /** Id of the dispatch. An engine runs an id at most once. */
   readonly runId: string;
   readonly model: ModelId;
   readonly adapter: string;
@@ -18,16 +18,19 @@
   readonly priority: number;
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** Memory to hold: prompt and answer, or a group member's part. */
+  /**
+   * Memory to reserve, in tokens: for prompt and answer, or for a group
+   * member's part.
+   */
   readonly memoryTokens: number;
-  /** Engines that share the prefill; 1 for a run on one engine. */
+  /** Number of engines that share the prefill; 1 for a single engine. */
   readonly groupSize: number;
-  /** True: only holds memory for a group's lead. */
+  /** Whether the run only reserves memory for a group's lead. */
   readonly holdOnly: boolean;
   readonly prefixHashes: readonly string[];
 }
 
-/** Events of an engine's run, in order. */
+/** An event of an engine's run; events arrive in order. */
 export type EngineEvent =
   | {readonly kind: 'prefill'; readonly doneTokens: number}
   | {
@@ -46,7 +49,7 @@
   | {readonly kind: 'beat'}
   | {readonly kind: 'failed'; readonly message: string};
 
-/** One line of an engine's list of runs. */
+/** One run in an engine's list of runs. */
 export interface EngineRunInfo {
   readonly runId: string;
   readonly state: 'waiting' | 'prefill' | 'decode' | 'done' | 'hold';
@@ -54,10 +57,10 @@
   readonly tokens: number;
 }
 
-/** An engine's own load report; lags. */
+/** An engine's own load report, which lags by `ageMs`. */
 export interface EngineReport {
   readonly capacityTokens: number;
-  /** Held by runs; the prefix cache is not counted. */
+  /** Memory that runs use, in tokens; excludes the prefix cache. */
   readonly usedTokens: number;
   readonly cacheTokens: number;
   readonly waiting: number;
@@ -66,14 +69,14 @@
   readonly models: readonly ModelState[];
 }
 
-/** Cache event; late and with gaps (`seq` jumps). */
+/** Prefix cache event. Events may be late or missing (gaps in `seq`). */
 export interface CacheEvent {
   readonly seq: number;
   readonly kind: 'stored' | 'evicted';
   readonly hash: string;
 }
 
-/** Order to an engine; see `OrderReq`. The engine may check `fence` or not. */
+/** Order to an engine; see `OrderReq`. Not every engine checks `fence`. */
 export interface EngineOrder {
   readonly orderId: string;
   readonly fence: FencingNumber;
@@ -84,20 +87,20 @@
   readonly role: string;
 }
 
-/** A model engine, as its side drives it. */
+/** Client of a model engine, used by its side. */
 export interface EngineClient {
   /**
-   * Starts a run and streams its events; `prompt` is pulled as it is sent.
-   * The stream errors with an `OnyxError` when the connection fails: the run
-   * may go on and can be taken up by `resume`.
+   * Starts a run and streams its events. `prompt` is read as it is sent. When
+   * the connection fails, the stream errors with an `OnyxError`; the run may
+   * continue, and `resume` can continue its events.
    */
   start(
     req: EngineRunReq,
     prompt: AsyncIterable<Uint8Array>,
   ): Stream<EngineEvent>;
-  /** Takes up the events of a run from token `fromIndex`. */
+  /** Streams the events of a run again from token `fromIndex`. */
   resume(runId: string, fromIndex: number): Stream<EngineEvent>;
-  /** Ends a run and frees its memory. Right also when it is not there. */
+  /** Ends a run and frees its memory. `Right` also for an unknown run. */
   cancel(runId: string): Promise<Either<OnyxError, void>>;
   list(): Promise<Either<OnyxError, readonly EngineRunInfo[]>>;
   report(): Promise<Either<OnyxError, EngineReport>>;
@@ -108,28 +111,28 @@
   cacheEvents(
     afterSeq: number,
   ): Promise<Either<OnyxError, readonly CacheEvent[]>>;
-  /** Left `stale` when the engine refused an old fencing number. */
+  /** Sends an order; `Left` with `stale` if the engine refused its fence. */
   order(order: EngineOrder): Promise<Either<OnyxError, void>>;
 }
 
-/** Events of a call to a plain service, in order. */
+/** An event of a call to a plain service; events arrive in order. */
 export type CallEvent =
   | {readonly kind: 'head'; readonly head: CallResHead}
   | {readonly kind: 'data'; readonly data: Uint8Array}
   | {readonly kind: 'done'};
 
-/** A plain service's own load report; lags. Counts are of calls. */
+/** A plain service's own load report, which lags by `ageMs`. Counts calls. */
 export interface ServiceReport {
   readonly running: number;
   readonly capacity: number;
   readonly ageMs: number;
 }
 
-/** A plain service, as its side drives it. */
+/** Client of a plain service, used by its side. */
 export interface ServiceClient {
   /**
-   * Makes the call once. The stream errors with an `OnyxError` whose `ran` is
-   * `no` only when no byte of the request was sent.
+   * Makes the call once. On failure the stream errors with an `OnyxError`. Its
+   * `ran` is `no` only if no byte of the request was sent.
    */
   call(
     runId: string,
