--- a/src/types/errors.ts
+++ b/src/types/errors.ts
@@ -69,7 +69,7 @@
   /** Address or name of the peer; empty when there is none. @default '' */
   readonly peer?: string;
   readonly message: string;
-  /** @default 'no' */
+  /** Whether the request's work ran. @default 'no' */
   readonly ran?: Ran;
   readonly requestId?: RequestId;
   /** Delay before a retry, in milliseconds, if a retry can succeed. */
--- a/src/types/ids.ts
+++ b/src/types/ids.ts
@@ -21,7 +21,7 @@
 export type ModelId = string;
 /** Pool of equivalent upstreams, for example `onyx-pool` or `station-app`. */
 export type PoolId = string;
-/** Failure domain (zone) of a host, from the host list. */
+/** Name of the failure domain (zone) of a host, from the host list. */
 export type FailureDomain = string;
 /** Version number of the configuration; each patch increases it by one. */
 export type ConfigNumber = number;
--- a/src/types/services.ts
+++ b/src/types/services.ts
@@ -124,6 +124,7 @@
 
 /** Messages to `requests`, which owns requests from admission to their end. */
 export type RequestsMessage =
+  /** Submits an admitted request; the listener receives its events. */
   | {
       readonly kind: 'submit';
       readonly spec: RequestSpec;
@@ -139,31 +140,36 @@
       readonly organisation: OrganisationId;
       readonly reply?: (found: boolean) => void;
     }
-  /** Takes up a run, here or of an entry that is gone, from chunk `fromSeq`. */
+  /**
+   * Resumes a run from chunk `fromSeq`. The run may belong to this entry or to
+   * one that has left.
+   */
   | {
       readonly kind: 'resume';
       readonly id: RequestId;
       readonly organisation: OrganisationId;
       readonly fromSeq: number;
-      /** Where the run was last seen, if the caller knows it. */
+      /** Address of the side that had the run, if the caller knows it. */
       readonly sideHint: Address;
-      /** As in `RequestSpec`. @default true */
+      /** See `RequestSpec`. @default true */
       readonly streamed?: boolean;
       readonly listener: RequestListener;
     }
+  /** Asks for the state of a request that any entry may own. */
   | {
       readonly kind: 'state';
       readonly id: RequestId;
       readonly organisation: OrganisationId;
       readonly reply: (state: RequestState) => void;
     }
-  /** Like `state`, from what is known here alone; for other entries. */
+  /** Like `state`, but from local knowledge only. Other entries use it. */
   | {
       readonly kind: 'local-state';
       readonly id: RequestId;
       readonly organisation: OrganisationId;
       readonly reply: (state: RequestState) => void;
     }
+  /** Asks for the routing decisions of a request. */
   | {
       readonly kind: 'explain';
       readonly id: RequestId;
@@ -171,6 +177,7 @@
     }
   /** Stops accepting requests; replies when the last one has ended. */
   | {readonly kind: 'drain'; readonly reply: () => void}
+  /** Asks for the number of open requests. */
   | {readonly kind: 'count'; readonly reply: (open: number) => void};
 
 /** A routing decision, as logged and as shown by `explain`. */
