--- a/src/entry/requests.ts
+++ b/src/entry/requests.ts
@@ -143,12 +143,7 @@
     ctx.metrics.gauge('onyxloft_owned_requests', {}, table.openCount());
   };
 
-  const resumer = createResumer({
-    deps,
-    table,
-    addRequest,
-    view: () => view,
-  });
+  const resumer = createResumer({deps, table, addRequest, view: () => view});
 
   const submit = (spec: RequestSpec, listener: RequestListener) => {
     const answerLog = createAnswerLog(spec.id, 0, ctx.invariant);
@@ -320,6 +315,7 @@
   void ctx.mailbox.observe(onMessage);
 }
 
+/** Converts an error to the final event of a request. */
 function toFinalEvent(request: OpenRequest, err: Error): FinalEvent {
   if (!(err instanceof OnyxError)) {
     return failedEvent(request, {
@@ -334,6 +330,7 @@
   return failedEvent(request, {code, step, peer, message, ran, retryAfterMs});
 }
 
+/** Logs and counts the outcome of a request. */
 function logOutcome(
   ctx: ServiceContext<'requests'>,
   request: OpenRequest,
--- a/src/entry/run/run_link.ts
+++ b/src/entry/run/run_link.ts
@@ -1,7 +1,7 @@
 /**
  * One connection of a run's channel, monitored for silence. A connection may go
- * silent for good while new ones work. Without the monitoring, such a run would
- * look slow until its deadline.
+ * silent permanently while new ones work. Without the monitoring, such a run
+ * would look slow until its deadline.
  */
 import type {Address} from '../../types/ids.js';
 import type {RunDown, RunUp} from '../../types/peer_messages.js';
@@ -9,8 +9,10 @@
 import type {Transport} from '../../types/transport.js';
 import type {RequestTiming} from '../timing.js';
 
+/** Why a link was lost: no frames for too long, or closed by the other end. */
 export type LinkLoss = 'silent' | 'closed';
 
+/** An open connection to a run. */
 export interface RunLink {
   send(frame: RunUp): Promise<void>;
   /** Closes the link without calling `onLost`. */
