--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -1,6 +1,6 @@
 /**
- * Wires the services of a process out of its settings. This is the one module
- * that knows which implementation stands behind each interface.
+ * Creates and starts the services of a process from its settings. This is the
+ * only module that chooses the implementation of each interface.
  */
 import {Right} from 'purify-ts';
 import type {Maybe} from 'purify-ts';
@@ -58,58 +58,67 @@
 import {verifyKeyAsync} from './utils/keys.js';
 import {createGrpcTransport} from './wire/grpc_transport.js';
 
-/** Bytes of text taken for one token; see `entry/admission.ts`. */
+/** Estimated bytes of text per token, as in `entry/admission`. */
 const BYTES_PER_TOKEN = 4;
+/** Random bytes in the id of a process incarnation. */
 const INCARNATION_BYTES = 6;
-/** A side beats once in a heartbeat; half of one more is for the way. */
-const FIRST_WORD_BEATS = 1.5;
+/**
+ * Heartbeat periods within which a side's first frame must arrive, unless the
+ * channel's silence limit is shorter. A side sends a frame once per period; the
+ * extra half allows for network delay.
+ */
+const FIRST_FRAME_HEARTBEATS = 1.5;
 
-/** What the services of both roles are made of. */
-export interface CoreParts {
+/** Options of the services that both roles run. */
+export interface ServicesOptions {
   readonly node: NodeId;
   readonly failureDomain: FailureDomain;
   readonly incarnation: Incarnation;
-  /** Where to listen for peers. */
+  /** Address on which to listen for peers. */
   readonly listen: Address;
   readonly timing: TimingSettings;
   readonly transport: Transport;
   readonly store: ObjectStore;
 }
 
-export interface EntryParts extends CoreParts {
+/** Options of an entry's services. */
+export interface EntryServicesOptions extends ServicesOptions {
   readonly host: HostId;
-  /** Where peers reach this entry. */
+  /** Address at which peers reach this entry. */
   readonly address: Address;
   readonly limits: Pick<LimitSettings, 'followReplicas'>;
   readonly hostList: HostList;
   readonly weightStore: WeightStore;
+  /** Finds a routing policy by its name. */
   readonly routingPolicy: (name: string) => RoutingPolicy;
 }
 
-export interface SideParts extends CoreParts {
+/** Options of a side's services. */
+export interface SideServicesOptions extends ServicesOptions {
   readonly pool: PoolId;
   readonly upstream: SideUpstream;
   readonly queuePolicy: QueuePolicy;
 }
 
 /**
- * Starts an entry's services but its HTTP fronts. Randomised runs and benches
- * start these same services on a virtual clock and an in-memory network.
+ * Starts an entry's services except its HTTP front ends. Randomised runs and
+ * benchmarks start the same services on a virtual clock and an in-memory
+ * network.
  */
-export async function startEntryCore(
+export async function startEntryServices(
   kernel: Kernel,
-  parts: EntryParts,
+  options: EntryServicesOptions,
 ): Promise<void> {
-  const {node, failureDomain, timing, transport, store} = parts;
+  const {node, failureDomain, timing, transport, store} = options;
   await kernel.start(
     createMembershipService({
-      ...parts,
+      ...options,
       timing: {
         heartbeatMs: timing.heartbeatMs,
         suspectAfterMs: timing.suspectAfterMs,
         hostListPollMs: timing.hostListPollMs,
       },
-      followReplicas: parts.limits.followReplicas,
+      followReplicas: options.limits.followReplicas,
     }),
   );
   await kernel.start(
@@ -118,20 +127,20 @@
       role: 'entry',
       store,
       transport,
-      liveHostCounts: () => readKnownFleet(parts.hostList),
+      liveHostCounts: () => readLiveHostCounts(options.hostList),
     }),
   );
   await kernel.start(createClaimsService({store}));
   await kernel.start(
-    createLimitsService({node, address: parts.address, transport}),
+    createLimitsService({node, address: options.address, transport}),
   );
   await kernel.start(
     createPlacementService({
       node,
       store,
       transport,
-      weightStore: parts.weightStore,
-      pollerIdentity: parts,
+      weightStore: options.weightStore,
+      pollerIdentity: options,
     }),
   );
   await kernel.start(
@@ -139,25 +148,28 @@
       transport,
       node,
       failureDomain,
-      routingPolicy: parts.routingPolicy,
+      routingPolicy: options.routingPolicy,
       prefixBlockTokens: PREFIX_BLOCK_BYTES / BYTES_PER_TOKEN,
       timing: {
         heartbeatMs: timing.heartbeatMs,
         silenceTimeoutMs: timing.channelSilenceMs,
         firstFrameTimeoutMs: Math.min(
           timing.channelSilenceMs,
-          FIRST_WORD_BEATS * timing.heartbeatMs,
+          FIRST_FRAME_HEARTBEATS * timing.heartbeatMs,
         ),
       },
     }),
   );
   await kernel.start(
-    createEntryPeersService({transport, address: parts.listen}),
+    createEntryPeersService({transport, address: options.listen}),
   );
 }
 
-/** Nothing while the host list is out or empty: then no wish is judged by it. */
-async function readKnownFleet(
+/**
+ * Live hosts by pool. `Nothing` while the host list is unavailable or empty, so
+ * that placement declarations are not validated against missing data.
+ */
+async function readLiveHostCounts(
   hostList: HostList,
 ): Promise<Maybe<LiveHostCounts>> {
   return (await hostList())
@@ -166,18 +178,18 @@
     .map(countLiveHosts);
 }
 
-/** Starts a side's services but its HTTP front; see `startEntryCore`. */
-export async function startSideCore(
+/** Starts a side's services except its HTTP front end. */
+export async function startSideServices(
   kernel: Kernel,
-  parts: SideParts,
+  options: SideServicesOptions,
 ): Promise<void> {
-  const {node, transport, store, upstream} = parts;
+  const {node, transport, store, upstream} = options;
   await kernel.start(
     createConfigService({node, role: 'side', store, transport}),
   );
   await kernel.start(
     createRunsService({
-      ...parts,
+      ...options,
       readFence:
         upstream.kind === 'engine'
           ? () => readLeaseFence(store)
@@ -187,7 +199,7 @@
   await kernel.start(
     createSidePeersService({
       transport,
-      address: parts.listen,
+      address: options.listen,
       extraHandlers: {
         fetchConfig: req =>
           kernel.ask('config', (reply: (res: FetchConfigRes) => void) => ({
@@ -201,30 +213,30 @@
 }
 
 /** A process with its services running. */
-export interface WiredProcess {
+export interface RunningProcess {
   readonly kernel: Kernel;
-  /** Takes no new work and resolves when what is in progress has ended. */
+  /** Stops accepting work and resolves when the work in progress has ended. */
   drain(): Promise<void>;
-  /** Requests or runs in progress. */
-  open(): Promise<number>;
-  /** Ends all services at once. */
+  /** Number of requests (entry) or runs (side) in progress. */
+  countOpen(): Promise<number>;
+  /** Stops all services without waiting for the work in progress. */
   stop(): Promise<void>;
 }
 
-/** Reads a PEM file of the TLS settings. */
+/** Reads a PEM file that the TLS settings name. */
 export type ReadFile = (path: string) => Buffer;
 
-/** Starts the services of the role that the settings give. */
-export function wire(
+/** Starts the services of the role given in the settings. */
+export function startProcess(
   settings: Settings,
   runtime: Runtime,
   readFile: ReadFile,
   requestDrain: () => void,
-): Promise<WiredProcess> {
+): Promise<RunningProcess> {
   const transport = createTransport(settings, runtime, readFile);
   return settings.role === 'entry'
-    ? wireEntry(settings, runtime, transport, requestDrain)
-    : wireSide(settings, runtime, transport, requestDrain);
+    ? startEntry(settings, runtime, transport, requestDrain)
+    : startSide(settings, runtime, transport, requestDrain);
 }
 
 function createTransport(
@@ -244,7 +256,7 @@
   });
 }
 
-function platformOf(settings: Settings, runtime: Runtime) {
+function createPlatformClients(settings: Settings, runtime: Runtime) {
   const {objectApi, hostList, weightStore} = settings.platform;
   return {
     store: createHttpObjectStore(objectApi, {runtime}),
@@ -253,8 +265,8 @@
   };
 }
 
-/** Tells a service to drain; resolves when what it has has ended. */
-function drained(
+/** Drains a service; resolves when its work in progress has ended. */
+function drainService(
   kernel: Kernel,
   service: 'callers' | 'requests' | 'runs',
 ): Promise<void> {
@@ -269,8 +281,8 @@
   await transport.close();
 }
 
-/** Both roles have the same front for operators, with handlers of their own. */
-function startOperators(
+/** Starts the operators' HTTP front end with the handlers of the role. */
+function startOperatorsService(
   kernel: Kernel,
   settings: Settings,
   handlers: OperatorsOptions['handlers'],
@@ -286,17 +298,20 @@
   );
 }
 
-async function wireEntry(
+async function startEntry(
   settings: EntrySettings,
   runtime: Runtime,
   transport: Transport,
   requestDrain: () => void,
-): Promise<WiredProcess> {
+): Promise<RunningProcess> {
   const {node, limits, listen} = settings;
   const incarnation = runtime.random.hex(INCARNATION_BYTES);
   const kernel = createKernel(runtime);
-  const {store, hostList, weightStore} = platformOf(settings, runtime);
-  await startEntryCore(kernel, {
+  const {store, hostList, weightStore} = createPlatformClients(
+    settings,
+    runtime,
+  );
+  await startEntryServices(kernel, {
     ...settings,
     incarnation,
     listen: listen.peers,
@@ -318,7 +333,7 @@
       loopDelayMs: createLoopDelayProbe(),
     }),
   );
-  await startOperators(kernel, settings, ctx =>
+  await startOperatorsService(kernel, settings, ctx =>
     createEntryHandlers(ctx, {
       node,
       incarnation,
@@ -331,11 +346,11 @@
     drain: async () => {
       kernel.send('membership', {kind: 'leave'});
       await Promise.all([
-        drained(kernel, 'callers'),
-        drained(kernel, 'requests'),
+        drainService(kernel, 'callers'),
+        drainService(kernel, 'requests'),
       ]);
     },
-    open: () =>
+    countOpen: () =>
       kernel.ask('requests', (reply: (open: number) => void) => ({
         kind: 'count',
         reply,
@@ -344,7 +359,10 @@
   };
 }
 
-function upstreamOf(settings: SideSettings, runtime: Runtime): SideUpstream {
+function createUpstreamClient(
+  settings: SideSettings,
+  runtime: Runtime,
+): SideUpstream {
   const {kind, url} = settings.upstream;
   const {clock} = runtime;
   return kind === 'engine'
@@ -352,27 +370,27 @@
     : {kind, client: createHttpService({url, clock})};
 }
 
-async function wireSide(
+async function startSide(
   settings: SideSettings,
   runtime: Runtime,
   transport: Transport,
   requestDrain: () => void,
-): Promise<WiredProcess> {
+): Promise<RunningProcess> {
   const {node, listen, upstream} = settings;
   const incarnation = runtime.random.hex(INCARNATION_BYTES);
   const kernel = createKernel(runtime);
-  const {store} = platformOf(settings, runtime);
-  await startSideCore(kernel, {
+  const {store} = createPlatformClients(settings, runtime);
+  await startSideServices(kernel, {
     ...settings,
     incarnation,
     listen: listen.peers,
     pool: upstream.pool,
-    upstream: upstreamOf(settings, runtime),
+    upstream: createUpstreamClient(settings, runtime),
     transport,
     store,
     queuePolicy: classQueue,
   });
-  await startOperators(kernel, settings, ctx =>
+  await startOperatorsService(kernel, settings, ctx =>
     createSideOperatorHandlers(ctx, {node, drain: requestDrain}),
   );
   const status = () =>
@@ -382,8 +400,8 @@
     }));
   return {
     kernel,
-    drain: () => drained(kernel, 'runs'),
-    open: async () => (await status()).runs.length,
+    drain: () => drainService(kernel, 'runs'),
+    countOpen: async () => (await status()).runs.length,
     stop: () => stopAll(kernel, transport),
   };
 }
