--- a/src/config/apply_patch.ts
+++ b/src/config/apply_patch.ts
@@ -47,8 +47,9 @@
   /** Returns the documents that this process holds, as JSON text by hash. */
   readonly knownDocuments: () => ReadonlyMap<string, string>;
   /**
-   * Resolves to the live hosts. A placement wish that they cannot meet is
-   * refused. When it resolves to Nothing, that check is left out.
+   * Resolves to the numbers of live hosts. A patch with a placement wish that
+   * these hosts cannot meet is rejected. When it resolves to Nothing, that
+   * check is skipped.
    */
   readonly liveHostCounts: () => Promise<Maybe<LiveHostCounts>>;
   /** Time after which store calls are not repeated any more, in milliseconds. */
@@ -259,12 +260,13 @@
   }
 
   /**
-   * Updates the head, or finds out which patch did. The reply may be lost after
-   * the update took effect. A repeat of the update then gets a conflict, as if
-   * another patch had been accepted. An operator who is told of a conflict
-   * would apply the same change again, under a second number. So a conflict is
-   * resolved by the patch id stored under the new number. A repeat cannot take
-   * effect twice, since it has the same condition on the head's version.
+   * Updates the head, or determines which patch updated it. The reply may be
+   * lost after the update took effect. A repeat of the update then gets a
+   * conflict, as if another patch had been accepted. If that conflict were
+   * returned, the operator would apply the same change again, under a second
+   * number. So a conflict is resolved by the patch id stored under the new
+   * number. A repeat cannot take effect twice, since it has the same condition
+   * on the head's version.
    */
   private async updateHead(
     manifest: Manifest,
@@ -287,7 +289,8 @@
    * by an earlier attempt of this patch or by another patch.
    */
   private async resolveConflict(version: number): PatchResult<void> {
-    // Until the head is read, an earlier attempt of this patch may have won.
+    // Until the head is read, it is unknown whether an earlier attempt of
+    // this patch took effect.
     this.ran = 'unknown';
     for (;;) {
       const read = await this.options.store.readHead('operator');
--- a/src/direct/collection_follower.ts
+++ b/src/direct/collection_follower.ts
@@ -95,8 +95,8 @@
    */
   relistNow(): void;
   /**
-   * Tells the follower that the store is in this era now. The follower lists the
-   * collection again if its position is from an older era.
+   * Called with the era that the store is in now. Lists the collection again if
+   * the follower's position is from an older era.
    */
   observeEra(era: StoreEra): void;
   stop(): void;
--- a/src/direct/crash_watch.ts
+++ b/src/direct/crash_watch.ts
@@ -44,7 +44,7 @@
   runSucceeded(exchange: Exchange): void;
   /** The replica with this id has ended. */
   replicaEnded(replicaId: string): void;
-  /** The replica's record was removed, though it was not told to leave. */
+  /** The record of a replica that was not shutting down was removed. */
   recordRemoved(replicaId: string): void;
 }
 
@@ -54,7 +54,7 @@
   readonly probePort: ProbePort;
   /** Name of this entry. */
   readonly node: string;
-  /** Whether the replica was told to leave, so that its end is no crash. */
+  /** Whether the replica is shutting down, so that its end is not a crash. */
   isLeaving(replicaId: string): boolean;
   /** Sends a report to the peers, which are the other entries. */
   shareReport(report: CrashReport): void;
--- a/src/direct/decide/place_or_wait.ts
+++ b/src/direct/decide/place_or_wait.ts
@@ -44,9 +44,11 @@
 const MIN_WAIT_GAIN = 0.01;
 /**
  * Price of one millisecond of engine time on full engines, as a share of the
- * requests' usual weight per millisecond of prefill. Late prompts of 100,000
- * tokens and more cost more than that, and late short ones far less. Without the
- * price, fewer short prompts are in time when the load exceeds the capacity.
+ * requests' usual weight per millisecond of prefill. At this price, the engine
+ * time of a late prompt of 100,000 tokens or more costs more than the weight
+ * that its placement still saves, and that of a late short prompt costs far
+ * less. Without the price, fewer short prompts are in time when the load
+ * exceeds the capacity.
  */
 const ENGINE_TIME_PRICE_SHARE = 0.2;
 /**
--- a/src/direct/lost_runs.ts
+++ b/src/direct/lost_runs.ts
@@ -60,7 +60,7 @@
 export interface LostRunsOptions {
   readonly clock: Clock;
   readonly probePort: ProbePort;
-  /** Whether the replica was told to leave, so that its end is no crash. */
+  /** Whether the replica is shutting down, so that its end is not a crash. */
   isLeaving(replicaId: string): boolean;
   /** The replica ended during a run of the request with this digest. */
   onEnded(digest: string, replicaId: string): void;
--- a/src/direct/replica_table.ts
+++ b/src/direct/replica_table.ts
@@ -5,7 +5,7 @@
  * its service has no other one.
  *
  * A replica may restart under its name, and a restarted one has none of the
- * earlier state. The start time in the records tells which start is the later.
+ * earlier state. The start time in the records shows which start is the later.
  */
 import type {Clock} from '../types/runtime.js';
 import type {DirectReplica} from './types.js';
@@ -51,7 +51,7 @@
   storeRestored(): void;
   /** Replicas of a service that may get new work. */
   availableFor(service: string): readonly DirectReplica[];
-  /** Whether the replica was told to leave or has no record any more. */
+  /** Whether the replica is shutting down or has no record any more. */
   isLeaving(replicaId: string): boolean;
   size(): number;
 }
--- a/src/direct/types.ts
+++ b/src/direct/types.ts
@@ -291,7 +291,10 @@
   readonly lastEventId: string | undefined;
 }
 
-/** What an entry tells a replica in addition to the caller's own headers. */
+/**
+ * Values that an entry sends to a replica in headers, in addition to the
+ * caller's own headers.
+ */
 export interface DispatchFacts {
   /**
    * Name of the replica that the request is meant for; any other replica has to
--- a/src/entry/claims/claims_per_key.ts
+++ b/src/entry/claims/claims_per_key.ts
@@ -52,7 +52,8 @@
    */
   readonly timeLimitMs?: number;
   /**
-   * Minimum retry time given to refused callers, in milliseconds. @default 1000
+   * Minimum delay before a retry that is sent to refused callers, in
+   * milliseconds. @default 1000
    */
   readonly retryAfterMs?: number;
 }
@@ -60,7 +61,10 @@
 /** Result of one attempt: an outcome for the caller, or none yet. */
 type AttemptResult =
   | {readonly kind: 'settled'; readonly outcome: ClaimOutcome}
-  /** The key is not claimed, as far as can be told. */
+  /**
+   * No claim with another nonce was found, and this request's claim is not
+   * confirmed.
+   */
   | {readonly kind: 'open'}
   /** The store did not answer, so nothing is known of the key. */
   | {readonly kind: 'no-answer'};
@@ -134,8 +138,8 @@
     if (kind === 'unavailable' && effect === 'none') return NO_ANSWER;
     if (kind === 'unavailable') unresolvedByKey.set(key, mine);
     // A conflict may be with this claim's own earlier attempt, whose response
-    // was lost. After a lost response the record may or may not be stored.
-    // Reading it tells.
+    // was lost. After a lost response the record may or may not be stored. The
+    // read below shows whether it is, and whose claim it is.
     return readBack(key, mine);
   };
 
--- a/src/membership/member_table.ts
+++ b/src/membership/member_table.ts
@@ -26,7 +26,7 @@
  */
 const MAX_FOLLOWED_ENTRIES = 8;
 
-/** This entry, and how it follows others. */
+/** Identity of this entry, and the settings by which it follows peers. */
 export interface MemberTableOptions {
   readonly node: NodeId;
   /** Where this entry listens for peers. */
@@ -111,8 +111,8 @@
     memberStateOf(member, now(), timing);
 
   /**
-   * True when the member has been silent for so long that another one is
-   * followed besides.
+   * True when the member has been suspect for longer than `replaceAfterMs`, so
+   * that another one is followed as well.
    */
   const isReplaceable = (member: Member) =>
     member.suspectSince !== undefined &&
@@ -135,7 +135,8 @@
     const wanted = chooseFrom(hosts, limit);
     const reachable = hosts.filter(member => !isReplaceable(member));
     // When half of the members or more have been silent for long, it is more
-    // likely that this process is cut off than that all of them failed.
+    // likely that this process has lost its network connection than that all of
+    // them failed.
     // Replacing them would change the subset of every entry at once.
     if (reachable.length * 2 <= hosts.length) return wanted;
     return new Set([...wanted, ...chooseFrom(reachable, limit)]);
@@ -218,8 +219,8 @@
   };
 
   /**
-   * State of an entry. No heartbeats go to an entry that is not followed, so
-   * only the host list tells its state.
+   * State of an entry. This entry sends no heartbeats to an entry that it does
+   * not follow, so that entry's state is taken from the host list.
    */
   const entryState = (member: Member): MemberState => {
     if (followed.has(member.address)) return stateOf(member);
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -160,8 +160,9 @@
 
   /**
    * Compares the configuration and fencing numbers that each heartbeat carries
-   * with this entry's own. When a peer's number is higher, the service that
-   * needs it is told, and fetches what is missing.
+   * with this entry's own. A higher configuration number is sent to the
+   * `config` service, which fetches the newer configuration. A higher fencing
+   * number is sent to the `placement` service.
    */
   const observeNumbers = (
     peer: Address,
@@ -306,7 +307,10 @@
     observeNumbers(peer.address, peer.configNumber, peer.fence);
   };
 
-  /** Tells the followed entries at once that this entry is leaving. */
+  /**
+   * Marks this entry as leaving, and sends that state to the followed entries
+   * in a heartbeat at once.
+   */
   const announceLeaving = () => {
     leaving = true;
     for (const address of members.followed()) {
--- a/src/side/offers.ts
+++ b/src/side/offers.ts
@@ -20,7 +20,7 @@
 
 /** Minimum delay before a retry; applies when the prediction is shorter. */
 const MIN_RETRY_AFTER_MS = 100;
-/** Tells the entry not to retry here: this side can never accept the offer. */
+/** Sent when this side can never accept the offer: the entry does not retry. */
 const NO_RETRY_MS = 0;
 
 /** Why an offer is refused, and when a retry makes sense. */
--- a/src/side/tombstones.ts
+++ b/src/side/tombstones.ts
@@ -2,8 +2,8 @@
  * Records dispatch ids that must not run, or not run again. A copy of an offer
  * or go can arrive long after the original was refused, lapsed, abandoned or
  * answered. Without a tombstone the copy would count as new. The run would then
- * execute although its caller was told that it did not, or execute twice. A
- * tombstone is kept for as long as a copy can still arrive.
+ * execute although its caller had received the answer that it did not, or
+ * execute twice. A tombstone is kept for as long as a copy can still arrive.
  */
 import type {DispatchId, OrganisationId} from '../types/ids.js';
 import type {OfferRes} from '../types/peer_messages.js';
--- a/src/side/upstream_runner.ts
+++ b/src/side/upstream_runner.ts
@@ -98,7 +98,7 @@
   const sendToUpstream = (run: Run, enginePriority: number) => {
     const {offer} = run;
     if (upstream.kind === 'service') {
-      // `call` is set when the run is told to go, with the method, path and
+      // `call` is set from the entry's `go` frame, with the method, path and
       // headers. The request below is sent if it was not set.
       const head = run.call ?? {method: 'GET', path: '/', headers: []};
       const answer = upstream.client.call(run.id, head, run.prompt.take());
@@ -122,7 +122,7 @@
     listenToEngine(run, upstream.client.start(req, prompt));
   };
 
-  /** Tells the learned rates whether any run is in prefill. */
+  /** Sets in the learned rates whether any run is in prefill. */
   const updatePrefillBusy = () => {
     const isBusy = table
       .runsInSlots()
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -43,7 +43,7 @@
 type PackedHeartbeat = WireMessage &
   Omit<SideHeartbeatReq, 'owned'> & {readonly owned: readonly Buffer[]};
 
-/** A member of a union that is told apart by `kind`. */
+/** A member of a union whose members are distinguished by `kind`. */
 interface TaggedUnion {
   readonly kind: string;
 }
