--- a/src/direct/catch_up.ts
+++ b/src/direct/catch_up.ts
@@ -1,13 +1,13 @@
 /**
  * Decides when an entry fetches the configuration or the replicas from a peer
- * (another entry). The store may refuse this entry and still serve the peer, and
- * then only the peer knows the newest state.
+ * (another entry). This entry's calls to the store may fail while the peer's
+ * succeed, and then only the peer knows the newest state.
  *
  * Two configurations with the same version have the same content, and a higher
- * version replaces a lower one. A configuration may therefore be fetched whether
- * or not the store answers this entry. The fetch starts at the second answer in
- * a row that names a newer version, so that this entry's own watch of the store
- * can deliver that version first.
+ * version replaces a lower one. A configuration may therefore be fetched
+ * whether or not this entry's calls to the store fail. The fetch starts at the
+ * second answer in a row that names a newer version, so that this entry's own
+ * watch of the store can deliver that version first.
  *
  * A list of replicas has no version, so a peer's list may be older than this
  * entry's. It is fetched only while this entry's calls to the store fail. The
@@ -16,9 +16,9 @@
 import type {DirectConfig, DirectReplica, PeerAnswer} from './types.js';
 
 /**
- * Consecutive answers of peers with a newer version than this entry's. At this
- * count the configuration is fetched from the peer; below it only the store is
- * called.
+ * Consecutive answers of peers with a newer version than this entry's. From
+ * this count on the configuration is fetched from the peer. Below it nothing is
+ * fetched, and the caller of this module lists the store's configuration.
  */
 const NEWER_ANSWERS_BEFORE_FETCH = 2;
 
@@ -28,7 +28,10 @@
    * none.
    */
   ownVersion(): number | undefined;
-  /** Whether this entry's last call to the store failed. */
+  /**
+   * Whether this entry's calls to the store fail: one has failed, and none for
+   * the configuration has been confirmed since.
+   */
   isStoreLost(): boolean;
   /** Resolves to undefined when no valid configuration was received. */
   fetchConfig(from: PeerAnswer): Promise<DirectConfig | undefined>;
@@ -39,16 +42,17 @@
   /** Called with a configuration that was fetched. */
   onConfig(config: DirectConfig, from: PeerAnswer): void;
   /**
-   * Called with replicas that were fetched, if the store still does not answer
-   * this entry.
+   * Called with replicas that were fetched, if this entry's calls to the store
+   * still fail.
    */
   onReplicas(
     replicas: ReadonlyMap<string, DirectReplica>,
     from: PeerAnswer,
   ): void;
   /**
-   * Called when a fetch rejects. A fetch that resolves to undefined is not
-   * reported. A later answer may start another fetch.
+   * Called when a fetch rejects, or when `onConfig` or `onReplicas` throws. A
+   * fetch that resolves to undefined is not reported. A later answer may start
+   * another fetch.
    */
   onFetchFailed(cause: unknown): void;
 }
@@ -58,15 +62,15 @@
    * Handles a peer's answer whose configuration differs from this entry's.
    * Returns true if enough answers in a row named a newer version to fetch the
    * configuration from the peer. The caller then does not list the store's
-   * configuration. The result is also true while another fetch, perhaps of
-   * replicas, is running; no fetch of the configuration is started then.
+   * configuration. If another fetch, perhaps of replicas, is running, the
+   * result is still true, but no fetch is started.
    */
   handleDifferentConfig(answer: PeerAnswer): boolean;
   /** Handles a peer's answer with the configuration that this entry has. */
   handleSameConfig(): void;
   /**
-   * Handles a peer's answer whose replicas differ from this entry's. Fetches the
-   * peer's replicas if the store does not answer this entry.
+   * Handles a peer's answer whose replicas differ from this entry's. Fetches
+   * the peer's replicas if this entry's calls to the store fail.
    */
   handleDifferentReplicas(answer: PeerAnswer): void;
 }
--- a/src/direct/collection_follower.ts
+++ b/src/direct/collection_follower.ts
@@ -17,16 +17,18 @@
  * doubles with each further failure, up to `maxRetryMs`. The pause is between
  * half and one and a half times the base, at random.
  */
-const MIN_RETRY_MS = 100;
+const FIRST_RETRY_BASE_MS = 100;
 /**
- * When a watch fails because the store no longer has its history, the collection
- * is listed again without a pause, but at most once within this time, in
- * milliseconds. A further list waits for the pause of failed calls. Otherwise a
- * store that keeps losing its history would be listed in a tight loop.
+ * When a watch fails because the store no longer has its history, the
+ * collection is listed again without a pause, but at most once within this
+ * time, in milliseconds. If an earlier watch gave up its position, one must
+ * also have succeeded since. Otherwise the list waits for the pause for failed
+ * calls. Without these limits a store that keeps losing its history would be
+ * listed in a tight loop.
  */
 const IMMEDIATE_RELIST_INTERVAL_MS = 1_000;
 
-/** When to make the next call: without a pause, or after that of failed calls. */
+/** When to make the next call: without the pause for failed calls, or after it. */
 type NextCall = 'at once' | 'wait';
 
 /**
@@ -43,7 +45,7 @@
   | 'overtaken'
   /** The store was restored from an older copy since the known position. */
   | 'restored'
-  /** The answer is from an earlier era than another answer. */
+  /** The answer is from an earlier era than one whose position was taken over. */
   | 'older era';
 
 /** What to follow and whom to notify. */
@@ -51,7 +53,10 @@
   readonly collection: Collection<T>;
   readonly clock: Clock;
   readonly random: Random;
-  /** How long the next watch waits for a change, in milliseconds. */
+  /**
+   * How long the next watch waits for a change, in milliseconds. It does not
+   * wait if the last watch failed.
+   */
   waitMs(): number;
   /**
    * Upper bound of the base of the pause after a failed call, in milliseconds.
@@ -65,17 +70,23 @@
    */
   readonly changePauseMs: number;
   /**
-   * Called with all listed items. `isPartial` is true where part of the list
-   * could not be decoded; an item that is missing may then still exist.
+   * Called with all listed items. `isPartial` is true where the answer was not
+   * valid JSON; an item that is missing may then still exist. An item whose own
+   * content cannot be decoded is left out too, but does not set `isPartial`.
    */
   onList(items: ReadonlyMap<string, T>, isPartial: boolean): void;
-  /** Called with the items that changed; a removed item is undefined. */
+  /**
+   * Called with the items that changed. An item is undefined if it was removed
+   * or if its content cannot be decoded.
+   */
   onChanges(items: ReadonlyMap<string, T | undefined>): void;
   /**
    * Called after the answer to a list or a watch that was sent at `sentAt`, on
-   * this process's clock, unless a newer answer made it outdated. The items that
-   * were passed to `onList` and `onChanges` include every write that the store
-   * acknowledged before `sentAt`.
+   * this process's clock. The items that were passed to `onList` and
+   * `onChanges` include every write that the store acknowledged before
+   * `sentAt`, except for items that could not be decoded. Not called for an
+   * answer that is from an older era or that a newer answer made outdated, nor
+   * for a watch whose answer shows that its position is from before a restore.
    */
   onConfirmed(sentAt: number): void;
   /**
@@ -83,7 +94,10 @@
    * The restored collection is listed.
    */
   onRestored(): void;
-  /** Called for each failed list or watch. */
+  /**
+   * Called with the fault of each list or watch that failed. An answer from an
+   * older era is not used either, but it is not reported here.
+   */
   onFault(fault: StoreFault): void;
 }
 
@@ -111,12 +125,13 @@
   let position: StorePosition | undefined;
   /** Time on this process's clock at which the position was set. */
   let positionSetAt = Number.NEGATIVE_INFINITY;
-  /** The newest era in any answer. */
+  /** The newest era of the answers whose position was taken over. */
   let era: StoreEra;
   /**
-   * Whether the last watch failed so that its position had to be given up: the
-   * store no longer had the history, or its answer could not be decoded. A list
-   * leaves this as it is.
+   * Whether a watch failed and gave up its position, and none has succeeded
+   * since. A watch gives it up if the store no longer has the history, or if
+   * the answer cannot be decoded. An answer from an older era is not a success
+   * here. A list leaves this as it is.
    */
   let hasLostPosition = false;
   /**
@@ -128,11 +143,12 @@
    * Whether the last watch failed. The store may have been restored from an
    * older copy since the position was set.
    */
-  let isPositionDoubtful = false;
-  let retryMs = MIN_RETRY_MS;
+  let hasLastWatchFailed = false;
+  let retryBaseMs = FIRST_RETRY_BASE_MS;
   let cancelPause: Cancel | undefined;
   let isRelisting = false;
   let relistFailedAt = Number.NEGATIVE_INFINITY;
+  /** Whether the last call of `run` was a watch that brought changes. */
   let hasChanged = false;
 
   /**
@@ -200,12 +216,13 @@
   const watchOnce = async (from: StorePosition): Promise<NextCall> => {
     const sentAt = clock.now();
     // After a restore the store may assign the revision of `from` to another
-    // change. A long watch from that revision might then report nothing until it
-    // ends. A watch that does not wait shows the store's era.
-    const waitMs = isPositionDoubtful ? 0 : options.waitMs();
+    // change. A long watch from that revision might then report nothing until
+    // it ends. A watch that does not wait is answered at once, and its answer
+    // shows the store's era.
+    const waitMs = hasLastWatchFailed ? 0 : options.waitMs();
     const res = await collection.watch(from, waitMs);
     if (isStopped) return 'wait';
-    isPositionDoubtful = res.isLeft();
+    hasLastWatchFailed = res.isLeft();
     return res.caseOf<NextCall>({
       Left: fault => {
         options.onFault(fault);
@@ -221,11 +238,12 @@
         const order = classifyAnswer(changes.position, sentAt);
         if (order === 'older era') return 'wait';
         hasLostPosition = false;
-        retryMs = MIN_RETRY_MS;
+        retryBaseMs = FIRST_RETRY_BASE_MS;
         if (order === 'overtaken') return 'at once';
-        // The store was restored and has assigned the revision of `from` to
-        // another change. The changes before that one in the restored history
-        // are unknown, so the collection is listed again.
+        // The store was restored. In its history the revision of `from` may be
+        // missing or may belong to another change. The changes before that
+        // revision in the restored history are unknown, so the collection is
+        // listed again.
         if (order === 'restored') {
           position = undefined;
           options.onRestored();
@@ -246,9 +264,10 @@
   /** Lists the collection to get a position for the next watch. */
   const listBeforeWatch = async (): Promise<NextCall> => {
     if (!(await listItems())) return 'wait';
-    // After a watch that gave up its position, the pause stays long. The list
-    // succeeded, but that does not show that the next watch will.
-    if (!hasLostPosition) retryMs = MIN_RETRY_MS;
+    // After a watch that gave up its position, the base of the pause is not
+    // reset. The list succeeded, but that does not show that the next watch
+    // will.
+    if (!hasLostPosition) retryBaseMs = FIRST_RETRY_BASE_MS;
     return 'at once';
   };
 
@@ -258,8 +277,8 @@
     });
 
   const pauseAfterFault = (): Promise<void> => {
-    const delayMs = retryMs * (0.5 + random.next());
-    retryMs = Math.min(options.maxRetryMs(), retryMs * 2);
+    const delayMs = retryBaseMs * (0.5 + random.next());
+    retryBaseMs = Math.min(options.maxRetryMs(), retryBaseMs * 2);
     return pause(delayMs);
   };
 
--- a/src/direct/settings.ts
+++ b/src/direct/settings.ts
@@ -40,10 +40,10 @@
     metrics: string,
   }),
   /**
-   * Whether the whole system starts for the first time, so that no earlier state
-   * can be lost. The store then has no record of a settled era, which would say
-   * that writes lost by a restore were repeated. This entry writes the record at
-   * once instead of assuming such a restore. @default false
+   * Whether the whole system starts for the first time, so that no earlier
+   * state can be lost. If the store has no record of a settled era, an entry
+   * assumes that a restore has lost writes and that they are not repeated yet.
+   * With `bootstrap`, it writes the record at once instead. @default false
    */
   bootstrap: optional(boolean),
   /**
@@ -78,24 +78,26 @@
      */
     leavingMs: optional(number),
     /**
-     * How long leased memory may stay reserved after its last use, in
-     * milliseconds. @default unlimited
+     * How long the platform lets leased memory stay reserved after its last
+     * use, in milliseconds. @default unlimited
      */
     freeMs: optional(number),
     /**
-     * How long leased memory may stay reserved if it is never used, in
-     * milliseconds. @default unlimited
+     * How long the platform lets leased memory stay reserved if it is never
+     * used, in milliseconds. @default unlimited
      */
     unusedMs: optional(number),
   }),
   retries: Codec.interface({
     /** Retries as a share of requests, over all entries. */
     ratio: number,
-    /** Most retries beyond that share in one window, over all entries. */
+    /** Most retries that can be saved up, over all entries. */
     slack: number,
     /**
-     * Length of that window, in seconds. The retry budget does not read it: it
-     * is a token bucket that each request refills by `ratio`, up to `slack`.
+     * Length of a window, in seconds. It is required, but this process does not
+     * read it. The retry budget is a token bucket without a window. Each
+     * request adds `ratio` of a retry, up to this entry's equal part of
+     * `slack`. Both are reduced by `BUDGET_SHARE` in `serving.ts`.
      */
     windowS: number,
   }),
@@ -142,8 +144,8 @@
 }
 
 /**
- * Splits IP:PORT at its last colon. Returns undefined without a text before the
- * colon or without a port from 1 to 65535 after it. The IP is not checked.
+ * Splits IP:PORT at its last colon. Returns undefined if there is no text
+ * before the colon or no port from 1 to 65535 after it. The IP is not checked.
  */
 export function splitAddress(
   address: string,
