--- a/src/policy/side_queue.ts
+++ b/src/policy/side_queue.ts
@@ -2,10 +2,11 @@
  * Queue policies of a side; they select the waiting run that starts next.
  *
  * `classQueue` orders runs by urgency level, which combines length class,
- * priority and age. Within a level it prefers the organisation that has received
- * the least service for its weight, and then the run with the least slack. It
- * limits the concurrent runs of each length class, and keeps memory free for
- * each class that has a memory floor.
+ * priority and age. Within a level it prefers the organisation that has
+ * received the least service for its weight, and then the run with the least
+ * slack. It limits the concurrent runs of each length class. While any run is
+ * running, it keeps the memory floor of a class free from runs of longer
+ * classes.
  *
  * `fcfsQueue` serves in order of arrival and is the baseline for comparisons.
  */
@@ -23,15 +24,18 @@
  * prefill would block short prompts on the engine.
  */
 const PRIORITIES_PER_CLASS = 100;
-/** All runs get this engine priority, so the engine serves by arrival. */
+/**
+ * With `fcfsQueue`, all runs get this engine priority, so the engine serves by
+ * arrival.
+ */
 const FCFS_ENGINE_PRIORITY = 0;
 /**
- * A run that has been queued for this many ageing steps and cannot start for lack
- * of memory is overtaken only by runs that fit into the memory floor of the
- * shortest class. The steps count from when the run was queued, whatever it
- * waited for.
+ * A run that has been queued for this many ageing steps and cannot start for
+ * lack of memory is overtaken only by runs of the shortest class that fit into
+ * the unused part of that class's memory floor. The steps count from when the
+ * run was queued, whatever it waited for.
  */
-const MAX_OVERTAKEN_STEPS = 3;
+const OLD_RUN_STEPS = 3;
 
 /**
  * Milliseconds between the predicted end of the run, if it started now, and its
@@ -59,7 +63,7 @@
  * Service that the run's organisation has received. The values in `view.served`
  * are already divided by the organisation's weight.
  */
-function servedShare(view: QueueView, item: QueueItem): number {
+function servicePerWeight(view: QueueView, item: QueueItem): number {
   return view.served.get(item.organisation) ?? 0;
 }
 
@@ -91,8 +95,8 @@
 
 /**
  * Whether the run fits into the free memory without using the memory floors of
- * shorter classes. Always true where the upstream has no memory to account for,
- * which a capacity of 0 means.
+ * shorter classes. While nothing runs, it may use these too. Always true where
+ * the upstream has no memory to account for, which a capacity of 0 means.
  */
 function fitsMemory(view: QueueView, item: QueueItem): boolean {
   if (view.capacityTokens === 0) return true;
@@ -104,7 +108,7 @@
 }
 
 /** Unused memory floor of the shortest class, in tokens. */
-function unusedShortFloor(view: QueueView): number {
+function shortestFloorLeft(view: QueueView): number {
   const floorTokens = (view.classes[0]?.memoryFloor ?? 0) * view.capacityTokens;
   const usedTokens = view.running
     .filter(r => r.classIndex === 0)
@@ -116,7 +120,7 @@
 function byUrgency(view: QueueView): (a: QueueItem, b: QueueItem) => number {
   return (a, b) =>
     urgencyLevel(view, a) - urgencyLevel(view, b) ||
-    servedShare(view, a) - servedShare(view, b) ||
+    servicePerWeight(view, a) - servicePerWeight(view, b) ||
     slackMs(view, a) - slackMs(view, b) ||
     a.enqueuedAt - b.enqueuedAt;
 }
@@ -142,13 +146,14 @@
   for (const item of order) {
     if (!hasFreeSlot(view, item)) continue;
     // If short runs always took the memory that becomes free, a long run would
-    // never start. After an old run that could not start, only runs that fit
-    // into the memory floor of the shortest class may start.
-    const mayStart = !isOldRunBlocked || fitsShortFloor(view, item);
+    // never start. After an old run that could not start for lack of memory,
+    // only runs of the shortest class that fit into the unused part of its
+    // memory floor may start.
+    const mayStart = !isOldRunBlocked || fitsShortestFloor(view, item);
     if (mayStart && fitsMemory(view, item)) {
       return choiceOf(item, reasonOf(view, item, order));
     }
-    if (ageingSteps(view, item) >= MAX_OVERTAKEN_STEPS) isOldRunBlocked = true;
+    if (ageingSteps(view, item) >= OLD_RUN_STEPS) isOldRunBlocked = true;
   }
   return undefined;
 }
@@ -157,13 +162,13 @@
  * Whether the run belongs to the shortest class and fits into the unused part of
  * its memory floor.
  */
-function fitsShortFloor(view: QueueView, item: QueueItem): boolean {
-  return item.classIndex === 0 && item.memoryTokens <= unusedShortFloor(view);
+function fitsShortestFloor(view: QueueView, item: QueueItem): boolean {
+  return item.classIndex === 0 && item.memoryTokens <= shortestFloorLeft(view);
 }
 
 /**
- * Why the run was chosen, for the log: runs before it could not start, ageing
- * has raised it, or it was the most urgent.
+ * Why the run was chosen, for the log: runs before it could not start, it is
+ * the first and has aged by a step or more, or it is the first and has not.
  */
 function reasonOf(
   view: QueueView,
@@ -174,11 +179,16 @@
   return ageingSteps(view, item) > 0 ? 'aged' : 'most-urgent';
 }
 
-/** Orders runs by length class, priority, age, fair share and slack. */
+/**
+ * Orders runs by urgency level, which combines length class, priority and age,
+ * and then by fair share, slack and arrival.
+ */
 export const classQueue: QueuePolicy = {
   name: 'class',
   choose: chooseMostUrgent,
   enginePriority: enginePriorityOf,
+  // `item` waits for all runs at its own level and at lower ones. Fair share
+  // and slack do not count.
   waitsFor: (view, item, other) =>
     urgencyLevel(view, other) <= urgencyLevel(view, item),
 };
--- a/src/side/learned_rates.ts
+++ b/src/side/learned_rates.ts
@@ -2,11 +2,16 @@
  * Estimates the speed of the side's upstream from observed events: prompt
  * tokens prefilled per second over all runs, the time of one decode step, and
  * the time of one call to a plain service. The side predicts from them whether
- * work would end in time. Assumed rates, the priors, apply until there are
- * observations.
+ * work would end in time. The estimates start with assumed rates, the priors.
+ * The first sample replaces the assumed prefill rate. The assumed times of a
+ * step and of a call stay in their moving averages, with a weight that each
+ * sample reduces.
  */
 
-/** Rates that are assumed before anything was observed. */
+/**
+ * Rates that are assumed before anything was observed, and two constants that
+ * always apply: `newestWeight` and `contextMsPerTokenSquared`.
+ */
 export interface RatePriors {
   /** Prompt tokens prefilled per second, over all runs. @default 8000 */
   readonly prefillTokensPerSec: number;
@@ -35,9 +40,10 @@
 };
 
 /**
- * Minimum time with a prompt in prefill that a sample of the prefill rate spans,
- * in milliseconds. Time and tokens are accumulated until they reach it. If no
- * prompt is in prefill any more before that, they are dropped.
+ * Minimum time with a prompt in prefill that a sample of the prefill rate
+ * spans, in milliseconds. Time and tokens are accumulated until the time
+ * reaches it. If no prompt is in prefill any more before that, they are
+ * dropped.
  */
 const MIN_SAMPLE_MS = 20;
 
@@ -58,18 +64,22 @@
  */
 const MIN_LEARNED_CALLS = 8;
 /**
- * Factor by which an upstream may be faster than an assumed rate. Minimum times
- * are divided by it. Without it, a refusal based only on the priors would repeat
- * forever, because refused work gives no observations.
+ * Factor by which an upstream may be faster than an assumed rate. A predicted
+ * time that rests on an assumed rate is divided by it, which gives the minimum
+ * time. Without it, a refusal based only on the priors would repeat forever,
+ * because refused work gives no observations. The time of a decode step counts
+ * as learned from the start, so the factor does not apply to an assumed one
+ * until a period of refusals has passed; see `REFUSAL_PERIOD_MS`.
  */
 const OPTIMISM_FACTOR = 4;
 /**
- * The factor applies once more after each period of this length, in
- * milliseconds, since the first refusal that no observation has followed. The
- * rate that is learned from an engine with a fault is too low. Without the
- * further factors the side would refuse long prompts even after the engine has
- * recovered, and would observe none of them. A sample of the prefill rate, a
- * decoded token or a finished call ends the count of periods.
+ * Length of a period of refusals, in milliseconds. Periods are counted from the
+ * first refusal since the last observation, and the factor applies once more
+ * after each of them. The rate that is learned from an engine with a fault is
+ * too low. Without the further factors the side would refuse long prompts even
+ * after the engine has recovered, and would observe none of them. An
+ * observation, which ends the count of periods, is a sample of the prefill
+ * rate, a recorded decode of tokens or a finished call.
  */
 const REFUSAL_PERIOD_MS = 5_000;
 /**
@@ -89,7 +99,7 @@
   recordPrefill(tokens: number, now: number): void;
   /**
    * Records `count` decoded tokens of one run, which arrived `elapsedMs` after
-   * the run's previous tokens.
+   * the run's previous tokens. Not called for a run's first tokens.
    */
   recordDecode(count: number, elapsedMs: number): void;
   /** Records the duration of a call to a plain service. */
@@ -130,7 +140,8 @@
 
   /**
    * Factor by which a prediction may be too long. It is 1 for a learned rate
-   * until a period with refusals has passed.
+   * until `REFUSAL_PERIOD_MS` after the first refusal since the last
+   * observation.
    */
   const optimism = (isLearned: boolean, now: number) => {
     const refusingMs = refusingSince === undefined ? 0 : now - refusingSince;
@@ -155,9 +166,9 @@
     refusingSince = undefined;
   };
 
-  const prefillMs = (count: number) =>
-    (count / tokensPerSec) * 1_000 +
-    priors.contextMsPerTokenSquared * count * count;
+  const prefillMs = (tokens: number) =>
+    (tokens / tokensPerSec) * 1_000 +
+    priors.contextMsPerTokenSquared * tokens * tokens;
 
   return {
     setPrefillBusy: (isBusy, now) => {
@@ -169,8 +180,8 @@
       busySince = undefined;
       sampleTokens = 0;
     },
-    recordPrefill: (count, now) => {
-      sampleTokens += count;
+    recordPrefill: (tokens, now) => {
+      sampleTokens += tokens;
       takeSample(now);
     },
     recordDecode: (count, elapsedMs) => {
@@ -190,8 +201,8 @@
     stepMs: () => meanStepMs,
     callMs: () => meanCallMs,
     prefillMs,
-    minPrefillMs: (count, now) =>
-      prefillMs(count) / optimism(weightedTokens >= MIN_LEARNED_TOKENS, now),
+    minPrefillMs: (tokens, now) =>
+      prefillMs(tokens) / optimism(weightedTokens >= MIN_LEARNED_TOKENS, now),
     minStepMs: now => meanStepMs / optimism(true, now),
     minCallMs: now =>
       meanCallMs / optimism(callCount >= MIN_LEARNED_CALLS, now),
--- a/src/side/upstream_runner.ts
+++ b/src/side/upstream_runner.ts
@@ -30,7 +30,8 @@
   resume(run: Run, generation: number): void;
   /**
    * Treats an engine stream as broken if no event arrived on it for
-   * `engineSilenceMs`, or `firstEventTimeoutMs` before its first event.
+   * `engineSilenceMs`. The limit is `firstEventTimeoutMs` until the run has its
+   * first event other than a heartbeat, on this stream or an earlier one.
    */
   sweep(): void;
 }
@@ -50,7 +51,7 @@
   const {upstream} = options;
 
   /** Returns an `OnyxError` as it is, and wraps any other cause in one. */
-  const toLostError = (run: Run, cause: unknown) =>
+  const asOnyxError = (run: Run, cause: unknown) =>
     cause instanceof OnyxError
       ? cause
       : new OnyxError({
@@ -63,7 +64,7 @@
 
   /**
    * Starts a new stream generation of the run and sends its events to the
-   * `runs` service. The end of the stream counts as a break there.
+   * `runs` service. The end of the stream is sent as a break too.
    */
   const listen = <E>(
     run: Run,
@@ -80,7 +81,7 @@
         event,
       });
     const sendBroken = (cause: unknown) =>
-      sendEvent({from: 'stream', error: toLostError(run, cause)});
+      sendEvent({from: 'stream', error: asOnyxError(run, cause)});
     const subscription = source.subscribe({
       next: event => sendEvent(wrap(event)),
       error: sendBroken,
@@ -99,7 +100,7 @@
     const {offer} = run;
     if (upstream.kind === 'service') {
       // `call` is set from the entry's `go` frame, with the method, path and
-      // headers. The request below is sent if it was not set.
+      // headers. If the frame has none, `GET /` without headers is sent.
       const head = run.call ?? {method: 'GET', path: '/', headers: []};
       const answer = upstream.client.call(run.id, head, run.prompt.take());
       listen(run, answer, event => ({from: 'service', event}));
@@ -122,7 +123,10 @@
     listenToEngine(run, upstream.client.start(req, prompt));
   };
 
-  /** Sets in the learned rates whether any run is in prefill. */
+  /**
+   * Sets in the learned rates whether any run is in prefill. A run counts from
+   * its first event other than a heartbeat.
+   */
   const updatePrefillBusy = () => {
     const isBusy = table
       .runsInSlots()
@@ -192,10 +196,11 @@
   /**
    * Frees the slot of a late call when its stream has ended or broken. A late
    * call is finished here, for example cancelled, but its service has not
-   * replied yet. It keeps its slot until then, because the service may still
-   * be working on it.
+   * finished its reply yet. It keeps its slot until then, because the service
+   * may still be working on it. After `deadline-exceeded` it keeps the slot for
+   * at most `lateCallMs`.
    */
-  const releaseSlot = (run: Run) => {
+  const releaseLateCall = (run: Run) => {
     stopListening(run);
     run.lateCall = false;
     core.queueChanged = true;
@@ -205,7 +210,7 @@
   const handleCallEvent = (run: Run, event: CallEvent) => {
     run.progress.eventSeen = true;
     if (isFinished(run)) {
-      if (event.kind === 'done') releaseSlot(run);
+      if (event.kind === 'done') releaseLateCall(run);
       return;
     }
     switch (event.kind) {
@@ -222,7 +227,10 @@
     }
   };
 
-  /** Adds a chunk to the run's answer and sends what the entry may receive. */
+  /**
+   * Adds a chunk to the run's answer, and sends the next pending chunk if the
+   * run's channel can accept it.
+   */
   const appendChunk = (
     run: Run,
     data: Uint8Array,
@@ -234,7 +242,7 @@
 
   /** Fails a call whose stream broke. Calls are never resumed. */
   const handleCallBreak = (run: Run, error: OnyxError) => {
-    if (isFinished(run)) return releaseSlot(run);
+    if (isFinished(run)) return releaseLateCall(run);
     stopListening(run);
     // `error.ran` is `no` if the upstream's HTTP client sent no byte. An event
     // from the service shows that the request was sent, whatever the error says.
@@ -300,7 +308,7 @@
         if (now - lastEventAt <= limitMs) continue;
         handleEngineBreak(
           run,
-          toLostError(run, new Error('the stream went silent')),
+          asOnyxError(run, new Error('the stream went silent')),
         );
       }
     },
