--- a/src/entry/front/callers_exchange.ts
+++ b/src/entry/front/callers_exchange.ts
@@ -1,8 +1,9 @@
 /**
- * What the route handlers of the callers' service share: their dependencies, the
- * HTTP exchange that they answer, the refusal of an exchange, and the link that
- * writes the events of a submitted request to the exchange. A submitted request
- * is one that the `requests` service runs; it can outlive its exchange.
+ * What the route handlers of the callers' service share: their dependencies,
+ * the HTTP exchange that they answer, the refusal of an exchange, the link that
+ * writes the events of a submitted request to the exchange, and the time limit
+ * of a lookup of such a request. A submitted request is one that the `requests`
+ * service runs; it can outlive its exchange.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {OnyxError} from '../../types/errors.js';
@@ -93,9 +94,9 @@
   /** Sequence number of the first chunk to write. */
   readonly fromSeq: number;
   /**
-   * End of the submitted request's time limit, in milliseconds on this process's
-   * clock. Undefined for a resumed request, which another entry may have
-   * admitted.
+   * End of the submitted request's time limit, in milliseconds on this
+   * process's clock. Undefined for a resumed request: another entry may have
+   * admitted it, and this entry then does not know its time limit.
    */
   readonly deadlineAt: number | undefined;
   /** Released when the link ends, even if the submitted request goes on. */
@@ -119,7 +120,7 @@
   const {id, res, arrivedAt} = exchange;
   const {organisation, slot} = options;
   // Time from the exchange's arrival to the first chunk; 0 before that.
-  let firstTokenMs = 0;
+  let firstChunkMs = 0;
 
   const link = createCallerLink(ctx, {
     ...options,
@@ -129,7 +130,7 @@
     maxUnsentResponseBytes: deps.maxUnsentResponseBytes,
     cancelRun: () => ctx.send('requests', {kind: 'cancel', id, organisation}),
     onFirstChunk: () => {
-      firstTokenMs = ctx.clock.now() - arrivedAt;
+      firstChunkMs = ctx.clock.now() - arrivedAt;
       options.onFirstChunk();
     },
     onEnd: (outcome, error) => {
@@ -142,7 +143,7 @@
       } else if (outcome === 'complete') {
         ctx.log(FRONT_EVENTS.answered, {
           requestId: id,
-          firstTokenMs,
+          firstTokenMs: firstChunkMs,
           totalMs,
         });
       }
@@ -153,8 +154,8 @@
 }
 
 /**
- * Settles as `pending` does, which is a lookup of the state of a submitted
- * request. Rejects with the code `timeout` if it takes longer than
+ * `pending` is a lookup of the state of a submitted request. The result settles
+ * as it does, but rejects with the code `timeout` if it takes longer than
  * `lookupTimeoutMs`.
  */
 export function withLookupTimeout<T>(
--- a/src/entry/front/operator_handlers.ts
+++ b/src/entry/front/operator_handlers.ts
@@ -38,7 +38,8 @@
   options: EntryHandlersOptions,
 ): OperatorHandlers {
   // `allSides` has the addresses of all sides of the pools. `replicas` has the
-  // sides that this entry follows, with their state.
+  // sides that this entry follows, with their state. `entries` has the other
+  // entries, with their state.
   let membership: MembershipView = {replicas: [], allSides: [], entries: []};
   let configNumber: ConfigNumber = 0;
   followMembership(ctx, view => {
@@ -79,8 +80,9 @@
   };
 
   /**
-   * Returns all known hosts. The time of a replica's load report is on this
-   * process's clock, so its age is shown instead.
+   * Returns all known sides and entries. The time of a side's load report is on
+   * this process's clock, which means nothing outside it, so its age is shown
+   * instead.
    */
   const hosts = () => {
     const now = ctx.clock.now();
@@ -151,8 +153,9 @@
 
 /**
  * Resolves to undefined when the service does not reply, for example because it
- * is not running. The status then shows no placement (null), or for the callers'
- * service that the entry is not ready and has no open requests.
+ * is not running. If `placement` does not reply, the status shows no placement
+ * (null). If `callers` does not reply, the status shows that the entry is not
+ * ready and has no open requests, and `ready` resolves to false.
  */
 function orUndefined<T>(reply: Promise<T>): Promise<T | undefined> {
   return reply.catch(() => undefined);
--- a/src/upstream/http_connection.ts
+++ b/src/upstream/http_connection.ts
@@ -1,9 +1,10 @@
 /**
  * Connection for one HTTP exchange with an upstream. The clients in this folder
- * create a new one for each exchange. A connection that is kept idle may silently
- * stop delivering data. The server may also close it just as a request is sent
- * on it, and then nobody can tell whether the request ran. With a new connection
- * the client knows that nothing was sent until the connection was established.
+ * create a new one for each exchange. A connection that is kept idle may
+ * silently stop delivering data. The server may also close it just as a request
+ * is sent on it, and then nobody can tell whether the request ran. With a new
+ * connection the client knows that nothing can have been sent before the
+ * connection was established.
  */
 import {Client} from 'undici';
 import type {Dispatcher} from 'undici';
@@ -36,7 +37,7 @@
 ): HttpConnection {
   let established = false;
   // The library's timeouts for the head and the body are disabled, because they
-  // do not use our `Clock`.
+  // do not use our `Clock`. The connect timeout is the library's too.
   const client = new Client(options.url, {
     bodyTimeout: 0,
     headersTimeout: 0,
@@ -82,9 +83,9 @@
   context: ErrorContext,
 ): OnyxError {
   const isEstablished = connection.isEstablished();
-  // The source of the request's body may fail with `ran: 'no'`, which is about
-  // its own step. If bytes may have been sent by then, that value would let the
-  // request run twice.
+  // The source of the request's body may fail with `ran: 'no'`. That value is
+  // about the source's own step, not about this exchange. If bytes may have
+  // been sent by then, it would let the request run twice.
   if (err instanceof OnyxError && !(isEstablished && err.ran === 'no'))
     return err;
   const {step, peer} = context;
