--- a/src/direct/decide/waiting_loss.ts
+++ b/src/direct/decide/waiting_loss.ts
@@ -3,10 +3,11 @@
  * to be lost because an event is late. Most of the weight is lost when the
  * latency objective is missed, and the rest when the caller gives up.
  *
- * The loss rises gradually before each of these two bounds. A single step at the
- * latency objective would have two faults under load. Further delay of a late
- * request would cost nothing, so other requests would be placed before it until
- * its caller gives up. A slightly late request would count as much as a lost one.
+ * The loss rises gradually before each of these two bounds. A single step at
+ * the latency objective would have two faults under load. Further delay of a
+ * late request would cost nothing, so other requests would be given preference
+ * over it until its caller gives up. A slightly late request would count as
+ * much as a lost one.
  */
 import {minCallerTimeoutMs} from './caller_timeout.js';
 
@@ -17,22 +18,26 @@
  */
 const LATE_LOSS = 0.85;
 /**
- * The slack of a first event is the time from its predicted arrival to a bound,
- * either the latency objective or the caller's timeout. The event is at risk of
- * exceeding the bound if its slack is below this share of the bound.
+ * Share of a bound on the first event, which is either the latency objective or
+ * the caller's timeout. The event is at risk of exceeding the bound if its
+ * slack is below this share of the bound. Its slack is the time from its
+ * predicted arrival to the bound.
  */
 const MARGIN_SHARE = 0.25;
 /** A pause is at risk of being too long from this share of its objective on. */
 const PAUSE_RISK_START = 0.85;
 /**
  * A pause is at risk of exceeding the caller's timeout from this share of the
- * timeout on. The timeout is several times the pause objective, so it is further
- * from the predicted pause. The share is lower than `PAUSE_RISK_START`, so that
- * the risk counts long before the caller gives up.
+ * timeout on. The share is lower than `PAUSE_RISK_START`, so that the risk
+ * counts long before the caller gives up. The timeout is several times the
+ * pause objective, so it is further from the predicted pause.
  */
 const TIMEOUT_RISK_START = 0.7;
 
-/** Bounds on a request's first event, both counted from its arrival. */
+/**
+ * Two bounds on a request's first event, counted from the request's arrival,
+ * and the time that has passed since then.
+ */
 export interface FirstEventBounds {
   /** Latency objective, in milliseconds. */
   readonly aimMs: number;
@@ -42,7 +47,10 @@
   readonly elapsedMs: number;
 }
 
-/** Expected loss if the first event is predicted to arrive in `firstEventMs`. */
+/**
+ * Expected loss if the first event is predicted to arrive `firstEventMs`
+ * milliseconds from now.
+ */
 export function firstEventLoss(
   {aimMs, callerTimeoutMs, elapsedMs}: FirstEventBounds,
   firstEventMs: number,
--- a/src/direct/load_codec.ts
+++ b/src/direct/load_codec.ts
@@ -1,17 +1,19 @@
 /**
- * Encodes an entry's load for a datagram, as arrays instead of objects. An entry
- * sends its load to every other entry at each change. In objects, the names of
- * the fields made up three quarters of the bytes of these datagrams.
+ * Encodes an entry's load for a datagram, as arrays instead of objects, and
+ * checks and decodes it. An entry sends its load to every other entry at each
+ * change. In objects, the names of the fields made up three quarters of the
+ * bytes of these datagrams.
  */
 import {Just, Nothing} from 'purify-ts/Maybe';
 import type {Maybe} from 'purify-ts/Maybe';
 import type {ReplicaLoad} from './replica_load.js';
 
 /**
- * A `ReplicaLoad` as an array. `readMs` is prefill time that is still to be done.
- * `readers` are requests in prefill, each as [slackMs, marginMs, weight].
- * `writers` are groups of requests in decode, each as [pauseAimMs, weight].
- * `packLoads` rounds all numbers except `running` and `pauseAimMs` to whole ones.
+ * A `ReplicaLoad` as an array. `readMs` is prefill time that is still to be
+ * done. `readers` are requests in prefill, each as [slackMs, marginMs, weight].
+ * `writers` are groups of requests in decode, each as [pauseAimMs, weight]. The
+ * other fields are those of `ReplicaLoad` and of its items. `packLoads` rounds
+ * all numbers except `running` and `pauseAimMs` to whole ones.
  */
 type PackedLoad = readonly [
   replicaId: string,
@@ -50,9 +52,10 @@
 }
 
 /**
- * Decodes the result of `packLoads`. Returns Nothing if a load in it has the
- * wrong length, a value of the wrong type or a negative `running`, `tokens` or
- * `readMs`. Fractions are accepted.
+ * Decodes the result of `packLoads`. Returns Nothing if the value is not an
+ * array, or if a load in it has the wrong length, a value of the wrong type or
+ * a negative `running`, `tokens` or `readMs`. Fractions are accepted. In
+ * `readers` and `writers`, negative numbers are accepted too.
  */
 export function unpackLoads(packed: unknown): Maybe<readonly ReplicaLoad[]> {
   return Array.isArray(packed) && packed.every(isPackedLoad)
@@ -106,10 +109,10 @@
   return (
     Array.isArray(value) &&
     value.every(
-      each =>
-        Array.isArray(each) &&
-        each.length === length &&
-        each.every(one => typeof one === 'number'),
+      tuple =>
+        Array.isArray(tuple) &&
+        tuple.length === length &&
+        tuple.every(item => typeof item === 'number'),
     )
   );
 }
--- a/src/direct/messages.ts
+++ b/src/direct/messages.ts
@@ -29,7 +29,8 @@
       readonly asOf: number;
       /**
        * When this entry sent the call or the query whose answer shows this, on
-       * the same clock. It is later than `asOf` if a peer answered.
+       * the same clock. For a peer's answer, `asOf` is earlier by the age of
+       * the peer's evidence.
        */
       readonly askedAt: number;
     }
@@ -44,10 +45,10 @@
       readonly replicas: ReadonlyMap<string, DirectReplica | undefined>;
     }
   /**
-   * This entry started, and the store may have been restored from an older copy,
-   * which may still have callers' keys that were removed. Until `until`, in
-   * milliseconds on this process's clock, the store's answers do not confirm
-   * that a key is valid; only a peer's answer does.
+   * Until `until`, in milliseconds on this process's clock, only a peer's
+   * answer confirms that a key is valid; the store's answers do not. This entry
+   * started, and the store may have been restored from an older copy, which may
+   * still have callers' keys that were removed.
    */
   | {readonly kind: 'keys-unconfirmed'; readonly until: number}
   /**
@@ -63,7 +64,7 @@
   | {readonly kind: 'store-restored'}
   /**
    * Asks for the age of the newest evidence that the configuration, and so the
-   * keys in it, is the newest. The age is in milliseconds, infinite without
+   * keys in it, is up to date. The age is in milliseconds, infinite without
    * evidence.
    */
   | {readonly kind: 'evidence-age'; readonly reply: (ageMs: number) => void}
@@ -73,7 +74,9 @@
       /** Name of the peer. */
       readonly node: string;
       readonly loads: readonly ReplicaLoad[];
-      /** See `LoadTracker.setPeerLoad`. */
+      /**
+       * How long the load counts unless a newer one arrives, in milliseconds.
+       */
       readonly keepMs: number;
     }
   /** A peer or the store reports requests that crash replicas. */
@@ -111,10 +114,10 @@
   | {readonly kind: 'resend-state'}
   /**
    * Trial runs of a quarantined request ended well, so it is no longer
-   * quarantined. A request is quarantined, which means that it is refused,
-   * because equal requests crashed replicas. A trial is a single run of it that
-   * shows whether it still does. `isOwn` is true if this entry saw the last
-   * trial; it then removes the record from the store.
+   * quarantined. If `isOwn` is true, this entry saw the last trial, and the
+   * service removes the record from the store. A request is quarantined, which
+   * means that it is refused, because equal requests crashed replicas. A trial
+   * is a single run of it that shows whether it still does.
    */
   | {
       readonly kind: 'quarantine-cleared';
@@ -137,9 +140,10 @@
   /** Number of live entries, including this one. */
   | {readonly kind: 'entries'; readonly count: number}
   /**
-   * Asks to make sure that the store has a quarantine record of the report.
-   * `isOwn` is true if this entry saw the last crash; it then writes the record
-   * first.
+   * Asks to make sure that the store has a quarantine record of the report. If
+   * `isOwn` is true, this entry saw the last crash, and the service writes the
+   * record at once. Otherwise it waits and writes the record if no other entry
+   * has.
    */
   | {
       readonly kind: 'quarantined';
@@ -203,7 +207,10 @@
       /** Whether a long prefill was added since the last such message. */
       readonly hasLongPrefill: boolean;
     }
-  /** Sends crash reports to all peers, or to one live peer chosen at random. */
+  /**
+   * Sends crash reports to all peers if `toAll` is true, and otherwise to one
+   * live peer chosen at random.
+   */
   | {
       readonly kind: 'crash-reports';
       readonly reports: readonly CrashReport[];
--- a/src/direct/serve_stream.ts
+++ b/src/direct/serve_stream.ts
@@ -21,7 +21,10 @@
 import {startProgress} from './stream_progress.js';
 import type {StreamProgress} from './stream_progress.js';
 
-/** Serves the request until its final answer or until the caller leaves. */
+/**
+ * Serves the request until its final answer, until its time is up or until the
+ * caller leaves.
+ */
 export async function serveStream(
   ctx: ServeContext,
   exchange: Exchange,
@@ -86,21 +89,23 @@
     // The stream is complete. It is written to the caller up to its last event.
     case 'whole':
       logAnswered(ctx, exchange, 200, progress);
-      // The headers are written with the first event. A stream without events
-      // has none to write, so the headers are written here.
+      // The headers are written with the first event. If there was no event,
+      // they are not yet written.
       if (!res.headersSent) writeHead(ctx, res, outcome.head);
       res.end();
       return true;
-    // The request ended before its answer: its time is up or the caller left.
-    // No answer is written here.
+    // The request ended before its answer was complete: its time is up or the
+    // caller left. No answer is written here.
     case 'ended':
       return true;
     case 'quarantined':
       refuseQuarantined(ctx, exchange);
       return true;
     case 'failure':
-      // The caller already has part of a stream, so the error status cannot be
-      // sent to it. The attempt counts as failed and another may follow.
+      // The replica answered with an error status, which is passed on to the
+      // caller if nothing was written to it yet. If the caller already has part
+      // of a stream, the error status cannot be sent to it. The attempt then
+      // counts as failed and another may follow.
       if (res.headersSent) break;
       logAnswered(ctx, exchange, outcome.head.status, progress);
       writeHead(ctx, res, outcome.head, outcome.body.length);
