--- a/src/config/settings_faults.ts
+++ b/src/config/settings_faults.ts
@@ -1,7 +1,7 @@
 /**
  * Faults of a settings file. This module parses the text with its line numbers,
  * and converts schema issues into faults. A fault names the line, the option,
- * the problem, and the mend, which is what to write instead.
+ * the problem, and the mend (what to do about it).
  */
 import {
   findNodeAtLocation,
@@ -22,12 +22,18 @@
 /** One fault of a settings file. */
 export interface SettingsFault {
   readonly file: string;
-  /** Line number from 1; 0 when the file could not be read. */
+  /**
+   * Line number from 1. `createUnreadableFault` in `settings.ts` sets 0 when the
+   * file could not be read.
+   */
   readonly line: number;
-  /** Dotted path, such as `timing.holdMs`; empty for the whole file. */
+  /**
+   * Dotted path, such as `timing.holdMs`. Empty when the fault is in the syntax
+   * of the text or concerns the whole file.
+   */
   readonly option: string;
   readonly message: string;
-  /** What to write instead. */
+  /** What to do about it: what to write instead, or to remove the option. */
   readonly mend: string;
 }
 
@@ -38,7 +44,12 @@
   readonly value: unknown;
   /** Faults of the text itself: syntax errors and duplicate options. */
   readonly faults: readonly SettingsFault[];
-  /** Returns the line of an option, or else of the nearest enclosing object. */
+  /**
+   * Returns the line of an option's name, or for an element of an array the line
+   * where the array starts. For an option that the file does not contain, returns
+   * the line of the nearest enclosing option, or else the line where the file's
+   * value starts; 1 when there is no value.
+   */
   lineOf(path: readonly PropertyKey[]): number;
   /** Returns whether the file contains the option. */
   has(path: readonly PropertyKey[]): boolean;
@@ -108,7 +119,8 @@
   issues: readonly Issue[],
 ): readonly SettingsFault[] {
   // After a syntax error, the parser may lose options. They must not be
-  // reported as missing, since they may be present in the file.
+  // reported as missing, since they may be present in the file. Among the faults
+  // of the text, syntax errors have no option and duplicates have one.
   const hasSyntaxFault = document.faults.some(fault => fault.option === '');
   return issues
     .filter(issue => !hasSyntaxFault || document.has(issue.path))
@@ -162,11 +174,15 @@
     return `write at least ${issue.minimum}`;
   }
   if (issue.code === 'too_big') return `write at most ${issue.maximum}`;
-  const example = OPTION_EXAMPLES[option] ?? defaultOf(option);
+  const example = OPTION_EXAMPLES[option] ?? defaultExample(option);
   return missing ? `add it: ${example}` : `write ${example}`;
 }
 
-function defaultOf(option: string): string {
+/**
+ * Describes a value of an option that is not in `OPTION_EXAMPLES`. These are the
+ * options of `timing` and `limits`, and each of them has a default.
+ */
+function defaultExample(option: string): string {
   const name = option.split('.').pop() ?? '';
   const defaults: Readonly<Record<string, number>> = {
     ...TIMING_DEFAULTS,
@@ -175,7 +191,10 @@
   return `a whole number, such as the default ${defaults[name]}`;
 }
 
-/** Options that only one role has. In the other role, the fault says so. */
+/**
+ * The role of each option that only one role has. When the option is given in
+ * the other role, the fault names the role that has it.
+ */
 const ROLE_OF_OPTION: Readonly<Record<string, string>> = {
   'listen.callers': 'entry',
   upstream: 'side',
@@ -199,6 +218,7 @@
     const mend = `remove it, or set role to "${role}"`;
     return {...at, message: `is an option of role "${role}" only`, mend};
   }
+  // There is no such option. The mend says where the logs go instead.
   if (option === 'log.file') {
     const mend = 'remove it; logs go to standard output';
     return {...at, message: 'is not an option', mend};
--- a/src/entry/front/http_server.ts
+++ b/src/entry/front/http_server.ts
@@ -18,18 +18,20 @@
   readonly handler: HttpHandler;
   /**
    * Largest request line and headers together, in bytes. Larger ones are
-   * answered 431.
+   * answered 431, or the connection is closed without an answer if anything was
+   * sent on it before.
    * @default 16384
    */
   readonly maxHeaderBytes?: number;
   /**
    * Time limit for all headers to arrive, in milliseconds. Slower ones are
-   * answered 408.
+   * answered 408, or the connection is closed without an answer if anything was
+   * sent on it before.
    * @default 10000
    */
   readonly headersTimeoutMs?: number;
   /**
-   * Number of open connections. Further ones are closed.
+   * Largest number of open connections. Further ones are closed.
    * @default 10000
    */
   readonly maxConnections?: number;
@@ -45,10 +47,13 @@
 const DEFAULT_MAX_HEADER_BYTES = 16 * 1024;
 const DEFAULT_HEADERS_TIMEOUT_MS = 10_000;
 const DEFAULT_MAX_CONNECTIONS = 10_000;
-/** Longest interval at which Node checks connections for the time limit. */
+/**
+ * Interval at which Node looks for connections over the time limit for headers.
+ * It is shorter when that limit is shorter.
+ */
 const TIMEOUT_CHECK_INTERVAL_MS = 1_000;
 
-/** Status and message by the error code of Node's HTTP parser. */
+/** Status and message by the error code with which Node rejects a request. */
 const RESPONSE_BY_ERROR_CODE: Readonly<
   Record<string, readonly [number, string]>
 > = {
@@ -106,12 +111,14 @@
 }
 
 /**
- * Answers a request that Node's parser rejected. The response is written to the
- * socket, because Node creates no response object for such a request.
+ * Answers a request that Node rejected for its syntax, its size or the time of
+ * its headers. The response is written to the socket, because Node creates no
+ * response object for such a request. A connection on which anything was sent
+ * before, also an earlier complete response, is closed without an answer.
  */
 function sendClientError(err: NodeJS.ErrnoException, socket: Duplex): void {
-  const responseStarted = (socket as Socket).bytesWritten > 0;
-  if (!socket.writable || responseStarted || err.code === 'ECONNRESET') {
+  const hasWrittenBefore = (socket as Socket).bytesWritten > 0;
+  if (!socket.writable || hasWrittenBefore || err.code === 'ECONNRESET') {
     socket.destroy();
     return;
   }
--- a/src/entry/groups/group_reserve.ts
+++ b/src/entry/groups/group_reserve.ts
@@ -1,8 +1,10 @@
 /**
  * Reserves all engines of a group, or none. Every entry reserves in the same
- * global order, by address, and holds reservations only for a short time. Two
- * groups that need the same engines therefore meet at the first of them, and
- * neither waits for the other while it holds an engine that the other needs.
+ * global order, by address, in which `planGroup` sorts the parts. It holds
+ * reservations only for a short time. Two groups that need the same engines
+ * therefore compete for the first of them. A group that is refused there
+ * releases what it holds and tries again later. Neither group waits for the
+ * other while it holds an engine that the other needs.
  */
 import type {ErrorDetails} from '../../types/errors.js';
 import type {RequestSpec} from '../../types/services.js';
@@ -23,7 +25,9 @@
 
 export type ReserveGroupResult =
   | {readonly kind: 'reserved'; readonly parts: readonly ReservedPart[]}
+  /** Not reserved; `details` is the failure to report. */
   | {readonly kind: 'none'; readonly details: ErrorDetails}
+  /** The request has finished meanwhile. Nothing is reserved. */
   | {readonly kind: 'over'};
 
 /**
@@ -33,8 +37,10 @@
 const MAX_BACKOFF_MS = 2_000;
 
 /**
- * Retries until the whole group is reserved or too little time is left to run
- * the request. `rank` returns fresh candidates for each attempt.
+ * Retries until one of these is the case: the whole group is reserved; no group
+ * can be planned; the request has finished; the next pause and the predicted
+ * time to the first token would reach the deadline. `rank` returns fresh
+ * candidates for each attempt.
  */
 export async function reserveGroup(
   deps: OfferDeps,
@@ -43,7 +49,7 @@
   rank: () => Parameters<typeof planGroup>[1],
 ): Promise<ReserveGroupResult> {
   const startedAt = deps.clock.now();
-  for (let tries = 0; ; tries++) {
+  for (let failedAttempts = 0; ; failedAttempts++) {
     const ranked = rank();
     const plan = planGroup(spec, ranked);
     if (plan.kind !== 'group') {
@@ -66,11 +72,12 @@
       return {kind: 'over'};
     }
     if (outcome.kind === 'reserved') return outcome;
-    const neededMs = Math.min(
+    // The smallest of the times that are predicted for the parts.
+    const firstTokenMs = Math.min(
       ...plan.parts.map(part => part.ranked.predictedFirstTokenMs),
     );
-    const pauseMs = backoffMs(deps, tries);
-    if (deps.clock.now() + pauseMs + neededMs >= spec.deadlineAt) {
+    const pauseMs = backoffMs(deps, failedAttempts);
+    if (deps.clock.now() + pauseMs + firstTokenMs >= spec.deadlineAt) {
       return outcome;
     }
     await new Promise<void>(resolve => deps.clock.after(pauseMs, resolve));
@@ -87,8 +94,8 @@
 }
 
 /**
- * Makes one attempt to reserve all parts; releases them if one is refused or
- * late.
+ * Makes one attempt to reserve all parts. Releases them if one is refused, if
+ * the attempt takes longer than `groupHoldMs`, or if the request has finished.
  */
 async function reserveOnce(
   deps: OfferDeps,
@@ -111,8 +118,9 @@
       },
     });
     if (answer.kind === 'accepted') reserved.push({part, offer: answer});
-    // Reserved memory is unused memory. If the group can't be reserved at once,
-    // its reservations are released and it tries again later.
+    // Memory that is reserved for an incomplete group serves no other request.
+    // If the group can't be reserved at once, its reservations are released, and
+    // `reserveGroup` tries again later.
     const isLate = deps.clock.now() > reserveBy;
     if (answer.kind === 'refused' || isLate || isFinished(open)) {
       withdrawParts(deps, reserved);
@@ -123,8 +131,8 @@
 }
 
 /**
- * The refusals to report. An accepted offer that came too late counts as
- * `full`.
+ * The refusals to report. An accepted offer that came too late, or after the
+ * request had finished, counts as `full`.
  */
 function refusalsOf(
   answer: AcceptedOffer | ({kind: 'refused'} & Refusal),
@@ -135,8 +143,9 @@
 }
 
 /**
- * Raises the priority of a group the longer it waits, so that short requests
- * cannot starve it.
+ * Makes a group more urgent the longer it waits, so that short requests cannot
+ * starve it. Lower numbers are more urgent. The group gains one level for each
+ * `ageingMs` that it has waited in `reserveGroup`.
  */
 function agedPriority(spec: RequestSpec, waitedMs: number): number {
   const {ageingMs} = spec.config.declarations.policy;
@@ -145,16 +154,20 @@
 }
 
 /** Jittered delay before the next attempt, in milliseconds. */
-function backoffMs(deps: OfferDeps, tries: number): number {
-  const exponentialMs = deps.timing.retryBackoffMs * 2 ** Math.min(tries, 10);
+function backoffMs(deps: OfferDeps, failedAttempts: number): number {
+  const exponentialMs =
+    deps.timing.retryBackoffMs * 2 ** Math.min(failedAttempts, 10);
   return Math.min(MAX_BACKOFF_MS, exponentialMs) * (0.5 + deps.random.next());
 }
 
-/** The failure when no group can be formed from the known engines. */
+/**
+ * The failure when `planGroup` plans no group: one engine suffices or may
+ * suffice (`single`), or the known engines together are too small.
+ */
 function reservationFailure(
   spec: RequestSpec,
   plan: Exclude<GroupPlan, {kind: 'group'}>,
-  someUnavailable: boolean,
+  hasUnavailableReplica: boolean,
 ): ReserveGroupResult {
   if (plan.kind === 'single') return {kind: 'none', details: refusalError([])};
   const message =
@@ -162,7 +175,7 @@
     `the engines in reach have ${plan.haveTokens}`;
   return {
     kind: 'none',
-    details: someUnavailable
+    details: hasUnavailableReplica
       ? {
           code: 'no-upstream',
           step: 'route',
--- a/src/membership/state_log.ts
+++ b/src/membership/state_log.ts
@@ -1,7 +1,9 @@
 /**
- * Logs each change of a peer's state once. Also warns when more than half of
- * the followed replicas are suspect, because then it is more likely that this
- * process is cut off than that all of them failed.
+ * Logs the changes of followed peers' states between two calls. Also warns when
+ * more than half of the followed replicas that have ever answered are suspect,
+ * and at least two have answered. Then it is more likely that this process is
+ * cut off than that all of them failed. It warns once, and again only after a
+ * call at which this was not so.
  */
 import type {Address} from '../types/ids.js';
 import type {Runtime} from '../types/runtime.js';
@@ -10,7 +12,7 @@
 import type {Member, MemberState} from './member.js';
 import type {MemberTable} from './member_table.js';
 
-/** Logs state changes by comparing with the states of the call before. */
+/** Logs state changes by comparing with the states at the previous call. */
 export interface StateLog {
   /** Logs what has changed since the last call. */
   logChanges(members: MemberTable): void;
@@ -21,7 +23,7 @@
   /** State of each followed peer at the last call. */
   const lastStates = new Map<Address, MemberState>();
   let lastFollowedCount = 0;
-  let hasWarned = false;
+  let wereMostSuspect = false;
 
   const logChange = (member: Member, from: MemberState, to: MemberState) => {
     const event = isEntry(member)
@@ -40,16 +42,17 @@
     });
   };
 
-  const warnIfMostSuspect = (states: readonly MemberState[]) => {
-    const suspects = states.filter(state => state === 'suspect').length;
-    const areMostSuspect = states.length > 1 && suspects * 2 > states.length;
-    if (areMostSuspect && !hasWarned) {
+  const warnIfMostSuspect = (replicaStates: readonly MemberState[]) => {
+    const suspects = replicaStates.filter(state => state === 'suspect').length;
+    const areMostSuspect =
+      replicaStates.length > 1 && suspects * 2 > replicaStates.length;
+    if (areMostSuspect && !wereMostSuspect) {
       runtime.log(MEMBERSHIP_EVENTS.manySuspect, {
         suspects,
-        followed: states.length,
+        followed: replicaStates.length,
       });
     }
-    hasWarned = areMostSuspect;
+    wereMostSuspect = areMostSuspect;
   };
 
   return {
@@ -68,6 +71,8 @@
       for (const [address, from] of lastStates) {
         if (seen.has(address)) continue;
         lastStates.delete(address);
+        // A peer that is not followed any more is logged under this event also
+        // when it is an entry. `lastStates` does not tell entries from replicas.
         runtime.log(MEMBERSHIP_EVENTS.replicaState, {
           peer: address,
           from,
