--- a/src/config/peer_exchange.ts
+++ b/src/config/peer_exchange.ts
@@ -18,10 +18,13 @@
 import {matchesHash, parseManifest} from './documents.js';
 import type {Manifest} from './documents.js';
 
-/** Time limit of one call to a peer, in milliseconds. The fetch then fails. */
-const FETCH_TIMEOUT_MS = 2_000;
+/**
+ * Time limit of one call to a peer, in milliseconds. A slower call fails the
+ * whole fetch.
+ */
+const CALL_TIMEOUT_MS = 2_000;
 /** Limit on documents requested in one call. Further calls fetch the rest. */
-const MAX_DOCUMENTS_PER_FETCH = 64;
+const MAX_DOCUMENTS_PER_CALL = 64;
 /**
  * Limit on the bytes of documents in one reply, unless the first document alone
  * is larger. It keeps messages far below the limit of gRPC. The requester asks
@@ -31,7 +34,8 @@
 
 /**
  * Creates the reply to a peer. It has the manifest if the peer's number is
- * lower, and those of the wanted documents that this process holds.
+ * lower. It also has those of the wanted documents that this process holds, in
+ * the order of the request, as many as `MAX_REPLY_BYTES` allows.
  */
 export function createFetchReply(
   state: ConfigState,
@@ -62,7 +66,10 @@
   return selected;
 }
 
-/** A manifest from a peer, with the JSON text of its documents by hash. */
+/**
+ * A manifest from a peer, with JSON text by hash of all its documents and of
+ * any others that this process already had.
+ */
 export interface FetchedConfig {
   readonly manifest: Manifest;
   readonly jsonByHash: ReadonlyMap<string, string>;
@@ -81,8 +88,8 @@
 
 /**
  * Fetches a newer configuration from a peer. Returns Right of undefined when
- * the peer has none. Returns a Left when the peer cannot be reached, or does
- * not send a readable manifest and all documents.
+ * the peer has no newer one. Returns a Left when the peer cannot be reached, or
+ * does not send a readable manifest and all documents.
  */
 export async function fetchFromPeer(
   options: PeerFetchOptions,
@@ -93,7 +100,7 @@
     peer,
     'fetchConfig',
     {haveNumber, wantHashes: []},
-    FETCH_TIMEOUT_MS,
+    CALL_TIMEOUT_MS,
   );
   if (manifestReply.isLeft()) return manifestReply;
   const res = manifestReply.extract() as FetchConfigRes;
@@ -121,9 +128,9 @@
       'fetchConfig',
       {
         haveNumber: options.haveNumber,
-        wantHashes: missing.slice(0, MAX_DOCUMENTS_PER_FETCH),
+        wantHashes: missing.slice(0, MAX_DOCUMENTS_PER_CALL),
       },
-      FETCH_TIMEOUT_MS,
+      CALL_TIMEOUT_MS,
     );
     if (documentsReply.isLeft()) return documentsReply;
     const {documents} = documentsReply.extract() as FetchConfigRes;
@@ -132,8 +139,9 @@
       options.onCorruptDocument(document.hash);
       return false;
     });
-    // The peer has dropped these documents for those of a later number, or it
-    // sends corrupt ones. Another call would not help.
+    // The peer has replaced its configuration by a later one and no longer
+    // holds these documents, or it sends corrupt ones. Asking for them again
+    // would not help.
     if (intact.length === 0) {
       return Left(
         createFetchError(peer, `${missing.length} documents are missing`),
--- a/src/membership/heartbeats.ts
+++ b/src/membership/heartbeats.ts
@@ -22,7 +22,7 @@
  */
 const FIRST_HEARTBEAT_SPREAD_MS = 100;
 
-/** What to send to a peer, and who receives the reply. */
+/** What to send to a peer, when and by what, and who receives the reply. */
 export interface HeartbeatOptions {
   readonly clock: Clock;
   readonly random: Random;
@@ -35,15 +35,15 @@
   /** Builds the request to another entry. */
   readonly entryRequest: () => EntryHeartbeatReq;
   /**
-   * Receives the reply of a side or the error. `sentAt` is the time of the
-   * request on this process's clock, in milliseconds.
+   * Receives a side's reply or the error of the call. `sentAt` is the time of
+   * the request on this process's clock, in milliseconds.
    */
   readonly onSideReply: (
     address: Address,
     res: Either<OnyxError, SideHeartbeatRes>,
     sentAt: number,
   ) => void;
-  /** Receives the reply of an entry or the error. */
+  /** Receives an entry's reply or the error of the call. */
   readonly onEntryReply: (
     address: Address,
     res: Either<OnyxError, EntryHeartbeatRes>,
@@ -53,11 +53,14 @@
 
 /** Heartbeats to a set of peers. */
 export interface Heartbeats {
-  /** Sends heartbeats to these peers from now on, and to no others. */
+  /**
+   * Sends heartbeats to these peers from now on, and to no others. The reply to
+   * a heartbeat in flight to another peer is dropped.
+   */
   setPeers(addresses: ReadonlySet<Address>): void;
   /**
    * Sends the next heartbeat to this peer at once, or as soon as the one in
-   * flight has ended.
+   * flight has ended. Does nothing for a peer outside the set.
    */
   sendSoon(address: Address): void;
   /** Stops all heartbeats, and drops the replies that are still to come. */
@@ -67,14 +70,18 @@
 /** Creates heartbeats without any peer. */
 export function createHeartbeats(options: HeartbeatOptions): Heartbeats {
   const {clock, timing, transport} = options;
-  const timers = new Map<Address, Cancel>();
+  /**
+   * The latest timer of each peer, which may have fired. An address is a key as
+   * long as it is in the set of peers.
+   */
+  const timerByPeer = new Map<Address, Cancel>();
   const inFlight = new Set<Address>();
   /** Peers whose next heartbeat follows the one in flight without a pause. */
   const sendAgainSoon = new Set<Address>();
 
   const schedule = (address: Address, delayMs: number) => {
-    timers.get(address)?.();
-    timers.set(
+    timerByPeer.get(address)?.();
+    timerByPeer.set(
       address,
       clock.after(delayMs, () => void sendHeartbeat(address)),
     );
@@ -85,10 +92,10 @@
     inFlight.add(address);
     sendAgainSoon.delete(address);
     try {
-      await exchange(address);
+      await callPeer(address);
     } finally {
       inFlight.delete(address);
-      if (timers.has(address)) schedule(address, nextDelayMs(address));
+      if (timerByPeer.has(address)) schedule(address, nextDelayMs(address));
     }
   };
 
@@ -97,7 +104,7 @@
       ? 0
       : timing.heartbeatMs * (0.9 + 0.2 * options.random.next());
 
-  const exchange = async (address: Address) => {
+  const callPeer = async (address: Address) => {
     const sentAt = clock.now();
     const timeoutMs = timing.heartbeatTimeoutMs;
     if (options.isEntry(address)) {
@@ -108,34 +115,34 @@
         req,
         timeoutMs,
       );
-      if (timers.has(address)) options.onEntryReply(address, res, sentAt);
+      if (timerByPeer.has(address)) options.onEntryReply(address, res, sentAt);
       return;
     }
     const req = options.sideRequest(address);
     const res = await transport.call(address, 'sideHeartbeat', req, timeoutMs);
-    if (timers.has(address)) options.onSideReply(address, res, sentAt);
+    if (timerByPeer.has(address)) options.onSideReply(address, res, sentAt);
   };
 
   return {
     setPeers: addresses => {
-      for (const [address, cancel] of timers) {
+      for (const [address, cancel] of timerByPeer) {
         if (addresses.has(address)) continue;
         cancel();
-        timers.delete(address);
+        timerByPeer.delete(address);
       }
       for (const address of addresses) {
-        if (timers.has(address)) continue;
+        if (timerByPeer.has(address)) continue;
         schedule(address, options.random.next() * FIRST_HEARTBEAT_SPREAD_MS);
       }
     },
     sendSoon: address => {
-      if (!timers.has(address)) return;
+      if (!timerByPeer.has(address)) return;
       if (inFlight.has(address)) sendAgainSoon.add(address);
       else schedule(address, 0);
     },
     stop: () => {
-      for (const cancel of timers.values()) cancel();
-      timers.clear();
+      for (const cancel of timerByPeer.values()) cancel();
+      timerByPeer.clear();
     },
   };
 }
--- a/src/membership/state_log.ts
+++ b/src/membership/state_log.ts
@@ -72,7 +72,8 @@
         if (seen.has(address)) continue;
         lastStates.delete(address);
         // A peer that is not followed any more is logged under this event also
-        // when it is an entry. `lastStates` does not tell entries from replicas.
+        // when it is an entry. `lastStates` does not tell entries from
+        // replicas.
         runtime.log(MEMBERSHIP_EVENTS.replicaState, {
           peer: address,
           from,
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -1,9 +1,10 @@
 /**
  * The placement service, which runs on each entry. The entry that holds the
- * lease is the placer: it plans once a second, and sends orders to sides under
- * its fencing number. An entry that was paused or cut off may wrongly believe
- * that it holds the lease. Its orders do no harm, because sides refuse fencing
- * numbers lower than the highest they have seen.
+ * lease is the placer: it plans once a second by default, and sends orders to
+ * sides under its fencing number. An entry that was paused or cut off may
+ * wrongly believe that it holds the lease. Sides refuse its orders once they
+ * have seen a higher fencing number. A new placer waits for that, but not
+ * without limit; see `isHandoverComplete`.
  */
 import type {NumberedDeclarations} from '../types/config.js';
 import type {Address, FencingNumber, NodeId} from '../types/ids.js';
@@ -45,13 +46,13 @@
 
 /** Random bytes in an order's id. */
 const ORDER_ID_BYTES = 8;
-/** Duration of the lease unless the options say otherwise. */
+/** Default of `leaseTtlMs` and of `leaseCreateAfterMs`. */
 const LEASE_TTL_MS = 10_000;
 /**
- * How long a new placer waits until all sides know its fencing number.
- * Heartbeats deliver the number within seconds. After this time the placer goes
- * on without the missing sides, because a side that stays cut off must not stop
- * placement.
+ * Longest time that a new placer waits for the sides to know its fencing
+ * number; see `isHandoverComplete`. Heartbeats and polls deliver the number
+ * within seconds. After this time the placer goes on without the missing sides,
+ * because a side that stays cut off must not stop placement.
  */
 const HANDOVER_TIMEOUT_MS = 10_000;
 
@@ -75,7 +76,10 @@
   readonly leaseCreateAfterMs?: number;
   /** The placer stops this long before its lease ends. @default 2000 */
   readonly leaseMarginMs?: number;
-  /** Time between two plans. @default 1000 */
+  /**
+   * Time between two ticks. A tick starts a plan if this entry is the placer
+   * and no plan is being made. @default 1000
+   */
   readonly tickMs?: number;
   /** Timeout of an order's answer. @default 5000 */
   readonly orderTimeoutMs?: number;
@@ -86,8 +90,9 @@
   /** Bounds of the planner that differ from the defaults. */
   readonly limits?: Partial<PlannerLimits>;
   /**
-   * Introduces this entry to the sides that it does not follow, which the
-   * placer polls as well. @default models are placed only on followed sides
+   * Identity that this entry sends to the sides that it does not follow when it
+   * polls them as the placer. Without it, these sides are not polled, and
+   * models are placed only on followed sides.
    */
   readonly pollerIdentity?: Pick<PollerIdentity, 'address' | 'incarnation'>;
 }
@@ -114,12 +119,16 @@
   /** Highest fencing number received from any side or entry. */
   private highestFence: FencingNumber = 0;
   /**
-   * Fencing number under which this process is the placer; 0 when it is not.
+   * Fencing number under which this process was the placer at the last tick; 0
+   * when it was not. `isPlacer` tells whether it is the placer now.
    */
   private placerFence: FencingNumber = 0;
   /** When this process became the placer. */
   private placerStartedAt = 0;
-  /** Wishes that were not met by the last plan, as `pool/model`. */
+  /**
+   * Wishes that were unmet at the last plan, as `pool/model`. A wish is a model
+   * that the declarations place in a pool.
+   */
   private unmetWishes: ReadonlySet<string> = new Set();
   /** True while a plan is being made. Plans never overlap. */
   private isPlanning = false;
@@ -168,8 +177,9 @@
   }
 
   /**
-   * Subscribes to views and configurations. The subscriptions are repeated,
-   * because the services behind them may be restarted.
+   * Subscribes to views and configurations. `followMembership` and
+   * `followConfig` repeat the subscriptions, because the services behind them
+   * may be restarted.
    */
   private subscribe(): void {
     followMembership(this.ctx, view => {
@@ -209,7 +219,7 @@
     return view.allSides.filter(address => !followed.has(address));
   }
 
-  /** Followed and polled sides. */
+  /** The followed sides, and the polled sides that have answered. */
   private allReplicas(view: MembershipView): readonly Replica[] {
     const followed = new Set(view.replicas.map(({address}) => address));
     const others = this.sidePoller.replicas();
@@ -228,7 +238,8 @@
    * True when this process may act as the placer. This is checked before each
    * order and not only once for each plan, because the process may have been
    * paused in between and another entry may hold the lease. A higher fencing
-   * number from any side or entry shows that before the store does.
+   * number from any side or entry shows the loss of the lease before the store
+   * does.
    */
   private isPlacer(): boolean {
     return this.lease.valid() && this.lease.fence() >= this.highestFence;
@@ -236,7 +247,7 @@
 
   /** Starts a plan if this process is the placer and no plan is being made. */
   private tick(): void {
-    this.updatePlacerRole();
+    this.updatePlacerFence();
     if (this.placerFence === 0 || this.isPlanning) return;
     this.isPlanning = true;
     this.runPlan()
@@ -247,10 +258,11 @@
   }
 
   /**
-   * Follows changes of the lease. A new lease starts with no pending orders and
-   * no role history, because earlier orders were another placer's.
+   * Follows changes of the lease. Each time that this process becomes the
+   * placer, it starts with no pending orders and no role history, also when it
+   * was the placer before, because earlier orders may be another placer's.
    */
-  private updatePlacerRole(): void {
+  private updatePlacerFence(): void {
     const fence = this.isPlacer() ? this.lease.fence() : 0;
     if (fence === this.placerFence) return;
     const before = this.placerFence;
@@ -281,7 +293,7 @@
     const now = this.ctx.clock.now();
     const replicas = this.allReplicas(view);
     if (!this.isHandoverComplete(replicas, now)) return;
-    this.closeSettledOrders(replicas, now);
+    this.pollAndCloseOrders(replicas, now);
     const plan = planPlacement({
       now,
       fence,
@@ -299,10 +311,11 @@
 
   /**
    * True when the first order may be sent. A new placer waits until every live
-   * side knows its fencing number, which the heartbeats deliver. Otherwise a
-   * late order of the previous placer could take effect at a side that this
-   * placer has not sent an order to yet, and the plans of two placers would be
-   * mixed.
+   * side with capacity knows its fencing number, but no longer than
+   * `HANDOVER_TIMEOUT_MS`. Without the wait, a late order of the previous
+   * placer could take effect at a side that this placer has not sent an order
+   * to yet, and the plans of two placers would be mixed. Heartbeats deliver the
+   * number to followed sides, and polls deliver it to the others.
    */
   private isHandoverComplete(
     replicas: readonly Replica[],
@@ -315,7 +328,7 @@
       .every(({fence}) => fence >= this.placerFence);
   }
 
-  /** Status of the weight store; undefined when it gives no answer. */
+  /** Status of the weight store; undefined without one or when it fails. */
   private async fetchWeightStoreStatus(): Promise<
     WeightStoreStatus | undefined
   > {
@@ -327,7 +340,7 @@
    * Polls the sides with pending orders. Closes orders that took effect or
    * expired, and logs them.
    */
-  private closeSettledOrders(replicas: readonly Replica[], now: number): void {
+  private pollAndCloseOrders(replicas: readonly Replica[], now: number): void {
     this.sidePoller.pollPending(
       this.orders.pending().map(({address}) => address),
     );
@@ -349,7 +362,7 @@
     }
   }
 
-  /** Logs each wish when it becomes unmet and when it is met again. */
+  /** Logs each wish when it becomes unmet, and when it is met or withdrawn. */
   private reportUnmetWishes({unmet}: Plan): void {
     const keyOf = ({pool, model}: UnmetWish) => `${pool}/${model}`;
     for (const wish of unmet) {
--- a/src/placement/placement_lease.ts
+++ b/src/placement/placement_lease.ts
@@ -1,7 +1,7 @@
 /**
- * Reads the placer's lease from the object API, for a side. A side that was
- * just started has seen no order, and must not accept one from a placer that
- * was replaced before it started.
+ * Reads the fencing number of the placer's lease from the object API, for a
+ * side. A side that was just started has seen no order, and must not accept one
+ * from a placer that was replaced before the side started.
  */
 import {Left, Right} from 'purify-ts';
 import type {Either} from 'purify-ts';
@@ -13,7 +13,11 @@
 /** Key of the lease's object. */
 export const PLACER_LEASE_KEY = 'lease/placer';
 
-/** Fencing number of the current lease; 0 when there has never been a lease. */
+/**
+ * Reads the fencing number in the lease's record, which may have expired; 0
+ * when there is no record. Returns a Left when the store cannot be read or the
+ * record cannot be parsed.
+ */
 export async function readLeaseFence(
   store: ObjectStore,
 ): Promise<Either<OnyxError, FencingNumber>> {
