--- a/src/stores/http_client.ts
+++ b/src/stores/http_client.ts
@@ -1,8 +1,8 @@
 /**
  * HTTP client for the platform's services, with pooled connections and a
  * timeout for each request. Failures are returned as values. A failure states
- * whether any byte of the request may have been sent. The caller of a write
- * needs this to tell "did not happen" from "outcome unknown".
+ * whether the request may have reached the service. The caller of a write needs
+ * this to tell "did not happen" from "outcome unknown".
  */
 import {Agent, request} from 'node:http';
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
@@ -21,13 +21,13 @@
 /** Time limit of a request, in milliseconds. A slower request is aborted. */
 const DEFAULT_TIMEOUT_MS = 1_000;
 /** Maximum number of open connections. Further requests wait for a free one. */
-const DEFAULT_CONNECTIONS = 16;
+const DEFAULT_MAX_CONNECTIONS = 16;
 /**
  * The client closes a connection that was idle for this many milliseconds.
  * Servers close idle connections after five seconds or more. A request that is
  * sent while the server closes the connection fails with an unknown outcome.
- * The client therefore closes first. The margin is large enough for a busy
- * process.
+ * The client therefore closes first. The two seconds between are enough for a
+ * busy process, which may close late.
  */
 const IDLE_TIMEOUT_MS = 3_000;
 
@@ -53,7 +53,11 @@
 
 /** Failure of a request that got no complete response. */
 export interface HttpFailure {
-  /** False only when the request cannot have reached the service. */
+  /**
+   * False only when the request cannot have reached the service, because no
+   * connection existed. True also for other failures before anything was sent,
+   * such as a timeout while the request waited for a connection.
+   */
   readonly sent: boolean;
   readonly timedOut: boolean;
   readonly message: string;
@@ -75,7 +79,8 @@
 
 /** Client of one platform service, with pooled connections. */
 export interface HttpClient {
-  call(call: HttpRequest): Promise<Either<HttpFailure, HttpResponse>>;
+  call(req: HttpRequest): Promise<Either<HttpFailure, HttpResponse>>;
+  /** Closes all connections, also those of requests in progress. */
   close(): Promise<void>;
 }
 
@@ -101,7 +106,7 @@
     keepAlive: true,
     // Closes idle connections only. The timer below limits each request.
     timeout: IDLE_TIMEOUT_MS,
-    maxSockets: options.connections ?? DEFAULT_CONNECTIONS,
+    maxSockets: options.connections ?? DEFAULT_MAX_CONNECTIONS,
   });
 
   const exchange = (
@@ -123,15 +128,15 @@
     });
 
   return {
-    call: async call => {
-      // A connection can stop delivering data for good while new connections
-      // work. Without a limit the caller would wait forever. The abort destroys
-      // the connection, so the next request opens a new one.
+    call: async req => {
+      // A connection can stop delivering data forever, although a new
+      // connection would work. Without a limit the caller would wait forever.
+      // The abort destroys the connection, so the next request opens a new one.
       const abort = new AbortController();
-      const limitMs = call.timeoutMs ?? timeoutMs;
+      const limitMs = req.timeoutMs ?? timeoutMs;
       const cancel = clock.after(limitMs, () => abort.abort());
       try {
-        return Right(await exchange(call, abort.signal));
+        return Right(await exchange(req, abort.signal));
       } catch (err) {
         return Left({
           sent: !NOT_SENT_CODES.has(errorCode(err)),
--- a/src/utils/bounded_sink.ts
+++ b/src/utils/bounded_sink.ts
@@ -1,8 +1,10 @@
 /**
  * Writes log lines to standard output without blocking on its reader. A
- * synchronous write to a full pipe would stop the process. Lines are queued
- * while a write is in progress. The queue is bounded; lines that do not fit
- * are dropped and counted.
+ * synchronous write to a full pipe would block the process until the reader
+ * catches up. Every line is queued, and the queue is written as one batch when
+ * no write is in progress. The queue is bounded; lines that do not fit are
+ * dropped and counted. A failed write loses the rest of its batch and counts as
+ * one.
  */
 import {write} from 'node:fs';
 import {Writable} from 'node:stream';
@@ -10,19 +12,25 @@
 
 /** File descriptor of standard output. */
 const STDOUT = 1;
-/** Maximum size of the queue, in bytes. A line beyond it is dropped. */
+/**
+ * Maximum size of the queue, in bytes. A line beyond it is dropped. The batch
+ * that is being written does not count.
+ */
 const MAX_QUEUED_BYTES = 1024 * 1024;
 /**
  * Share of the queue reserved for warnings and errors, so that a burst of
  * other lines does not displace them.
  */
-const RESERVED_FOR_FAILURES = 0.25;
+const RESERVED_SHARE = 0.25;
 /** Matches the JSON lines of warnings and errors. */
-const FAILURE_LINE = /"level":"(?:warn|error)"/;
-/** Counter of dropped lines, by kind. */
+const WARNING_OR_ERROR_LINE = /"level":"(?:warn|error)"/;
+/**
+ * Counter of dropped lines, by kind. A failed write adds one under the kind
+ * `write-failed`, whatever the number of lines lost.
+ */
 const DROPPED_METRIC = 'onyxloft_log_lines_dropped_total';
 
-/** Writes bytes to a file descriptor and calls back like `fs.write`. */
+/** Writes bytes and calls back like `fs.write`. */
 export type WriteFd = (
   bytes: Buffer,
   done: (err: Error | null, written: number) => void,
@@ -39,11 +47,11 @@
 ): Writable {
   let queue: Buffer[] = [];
   let queuedBytes = 0;
-  let writing = false;
+  let isWriting = false;
 
   const flush = (): void => {
-    if (writing || queue.length === 0) return;
-    writing = true;
+    if (isWriting || queue.length === 0) return;
+    isWriting = true;
     const batch = Buffer.concat(queue);
     queue = [];
     queuedBytes = 0;
@@ -57,7 +65,7 @@
         writeAll(batch.subarray(written));
         return;
       }
-      writing = false;
+      isWriting = false;
       flush();
     });
   };
@@ -65,10 +73,14 @@
   return new Writable({
     decodeStrings: true,
     write: (line: Buffer, _encoding, done) => {
-      const isFailure = FAILURE_LINE.test(line.toString('latin1'));
-      const share = isFailure ? 1 : 1 - RESERVED_FOR_FAILURES;
+      const isWarningOrError = WARNING_OR_ERROR_LINE.test(
+        line.toString('latin1'),
+      );
+      const share = isWarningOrError ? 1 : 1 - RESERVED_SHARE;
       if (queuedBytes + line.length > MAX_QUEUED_BYTES * share) {
-        metrics.count(DROPPED_METRIC, {kind: isFailure ? 'failure' : 'other'});
+        metrics.count(DROPPED_METRIC, {
+          kind: isWarningOrError ? 'failure' : 'other',
+        });
       } else {
         queue.push(line);
         queuedBytes += line.length;
--- a/src/utils/nearest_name.ts
+++ b/src/utils/nearest_name.ts
@@ -9,7 +9,10 @@
  */
 const MAX_DISTANCE_RATIO = 0.5;
 
-/** The known name with the smallest edit distance, if close enough. */
+/**
+ * Returns the known name with the smallest edit distance, ignoring case;
+ * undefined when even that one is too far.
+ */
 export function nearestName(
   name: string,
   known: readonly string[],
--- a/src/wire/byte_counter.ts
+++ b/src/wire/byte_counter.ts
@@ -1,15 +1,16 @@
 /**
- * Counts the bytes of connections between the system's processes at their
- * sockets, including TLS and framing. Control and request traffic are counted
- * separately. Each connection carries only one of the two kinds.
+ * Counts the bytes of connections between the system's processes as their
+ * sockets report them, so with TLS and framing. Control and request traffic are
+ * counted separately. Each connection carries only one of the two kinds.
  */
 import type {Socket} from 'node:net';
 import type {PeerMethod} from '../types/peer_messages.js';
 import type {Cancel, Clock, Metrics} from '../types/runtime.js';
 
 /**
- * Kind of traffic on a connection: `request` for the messages of a request,
- * `control` for all other messages, such as heartbeats and configuration.
+ * Kind of traffic on a connection: `request` for runs and for the calls in
+ * `REQUEST_TRAFFIC_METHODS`, `control` for all other messages, such as
+ * heartbeats and configuration.
  */
 export type TrafficKind = 'control' | 'request';
 
@@ -17,6 +18,10 @@
 /** Interval at which the counters are updated, in milliseconds. */
 const SAMPLE_PERIOD_MS = 1_000;
 
+/**
+ * Calls that are request traffic. Runs are request traffic too; both ends give
+ * their connections that kind without `trafficKindOf`.
+ */
 const REQUEST_TRAFFIC_METHODS: ReadonlySet<string> = new Set<PeerMethod>([
   'offer',
   'abandon',
@@ -32,10 +37,14 @@
 export interface ByteCounter {
   /**
    * Counts the bytes of a socket until it closes. `kind` is called at each
-   * sample. While it returns undefined, the bytes are left for a later sample.
+   * sample and at the close. While it returns undefined, the bytes are left for
+   * a later sample. They are never counted if it still does so at the close.
    */
   watch(socket: Socket, kind: () => TrafficKind | undefined): void;
-  /** Stops sampling after a last sample. */
+  /**
+   * Stops the periodic samples after a last sample. Sockets that are watched
+   * before or after it are still counted when they close.
+   */
   close(): void;
 }
 
@@ -49,18 +58,18 @@
   countedWritten: number;
 }
 
-/** Creates a counter that samples its sockets until `close`. */
+/** Creates a counter that samples its sockets each second until `close`. */
 export function createByteCounter(clock: Clock, metrics: Metrics): ByteCounter {
   const watchedSockets = new Set<WatchedSocket>();
 
-  const countNewBytes = (entry: WatchedSocket): void => {
-    const kind = entry.kind();
+  const countNewBytes = (watched: WatchedSocket): void => {
+    const kind = watched.kind();
     if (kind === undefined) return;
-    const {bytesRead, bytesWritten} = entry.socket;
-    const read = bytesRead - entry.countedRead;
-    const written = bytesWritten - entry.countedWritten;
-    entry.countedRead = bytesRead;
-    entry.countedWritten = bytesWritten;
+    const {bytesRead, bytesWritten} = watched.socket;
+    const read = bytesRead - watched.countedRead;
+    const written = bytesWritten - watched.countedWritten;
+    watched.countedRead = bytesRead;
+    watched.countedWritten = bytesWritten;
     if (read > 0) metrics.count(BYTES_METRIC, {direction: 'in', kind}, read);
     if (written > 0) {
       metrics.count(BYTES_METRIC, {direction: 'out', kind}, written);
@@ -68,26 +77,26 @@
   };
 
   const cancel: Cancel = clock.every(SAMPLE_PERIOD_MS, () => {
-    for (const entry of watchedSockets) countNewBytes(entry);
+    for (const watched of watchedSockets) countNewBytes(watched);
   });
 
   return {
     watch: (socket, kind) => {
-      const entry: WatchedSocket = {
+      const watched: WatchedSocket = {
         socket,
         kind,
         countedRead: 0,
         countedWritten: 0,
       };
-      watchedSockets.add(entry);
+      watchedSockets.add(watched);
       socket.once('close', () => {
-        countNewBytes(entry);
-        watchedSockets.delete(entry);
+        countNewBytes(watched);
+        watchedSockets.delete(watched);
       });
     },
     close: () => {
       cancel();
-      for (const entry of watchedSockets) countNewBytes(entry);
+      for (const watched of watchedSockets) countNewBytes(watched);
     },
   };
 }
