--- a/src/entry/admission/admission.ts
+++ b/src/entry/admission/admission.ts
@@ -1,7 +1,7 @@
 /**
- * Builds the spec of a request from the caller's fields and the newest
- * declarations: model, classes, time limit and prefix hashes. It contacts no
- * upstream, so a refused request costs upstreams nothing.
+ * Builds the spec of a request from the caller's fields and the declarations in
+ * force at its arrival: model, classes, time limit and prefix hashes. It
+ * contacts no upstream, so a refused request costs upstreams nothing.
  */
 import type {
   Declarations,
@@ -27,7 +27,10 @@
  */
 export const BYTES_PER_TOKEN = 4;
 
-/** Length class that metrics report for calls. */
+/**
+ * Length class in the spec of a call, which has no declared one. Metrics report
+ * it for calls.
+ */
 export const CALL_LENGTH_CLASS = 'call';
 
 /** What is known of a request before its body is examined. */
@@ -47,7 +50,10 @@
   return Math.ceil(bytes / BYTES_PER_TOKEN);
 }
 
-/** Throws an `OnyxError` when the request cannot be admitted. */
+/**
+ * Builds the spec of a completion. Throws an `OnyxError` when the request
+ * cannot be admitted.
+ */
 export function admitCompletion(
   arrival: ArrivedRequest,
   fields: CompletionFields,
@@ -55,11 +61,12 @@
 ): RequestSpec {
   const {declarations} = arrival.config;
   const {model, adapter} = findModel(declarations, fields.model);
-  const promptTokens = estimateTokens(fields.prompt.bytes);
-  if (promptTokens > model.maxPromptTokens) {
-    throw promptTooLong(promptTokens, model);
+  const estimatedTokens = estimateTokens(fields.prompt.bytes);
+  if (estimatedTokens > model.maxPromptTokens) {
+    throw promptTooLong(estimatedTokens, model);
   }
-  const lengthClass = findLengthClass(declarations, promptTokens);
+  const lengthClass = findLengthClass(declarations, estimatedTokens);
+  // Prefixes are shared only within an organisation, model and adapter.
   const scope = `${arrival.organisation.id}\n${model.id}\n${adapter}`;
   return {
     ...commonFields(arrival, options, lengthClass.defaultTimeLimitMs),
@@ -69,7 +76,7 @@
     adapter,
     lengthClass: lengthClass.name,
     body: fields.prompt,
-    promptTokens,
+    promptTokens: estimatedTokens,
     maxTokens: fields.maxTokens,
     streamed: fields.stream,
     repeatable: options.repeatable ?? true,
@@ -78,7 +85,10 @@
   };
 }
 
-/** Throws an `OnyxError` when the call cannot be admitted. */
+/**
+ * Builds the spec of a call to a plain service. Throws an `OnyxError` when the
+ * call cannot be admitted.
+ */
 export function admitCall(
   arrival: ArrivedRequest,
   service: PlainService,
@@ -104,7 +114,10 @@
   };
 }
 
-/** Throws `not-found` when no plain service is declared for the pool. */
+/**
+ * Finds the plain service of the pool, an HTTP service without a model. Throws
+ * `not-found` when none is declared for the pool.
+ */
 export function findService(
   declarations: Declarations,
   pool: PoolId,
@@ -132,6 +145,7 @@
     priorityClass: priorityClass.name,
     priority: priorityClass.priority,
     deadlineAt: arrival.arrivedAt + timeLimitMs,
+    // The arrival counts as the admission.
     admittedAt: arrival.arrivedAt,
     idempotencyKey: options.idempotencyKey,
     config: arrival.config,
@@ -174,7 +188,10 @@
   );
 }
 
-/** Finds a priority class by name; the default class when no name is given. */
+/**
+ * Finds a priority class by name. When no name is given, finds the default
+ * class, or else the first one.
+ */
 function findPriorityClass(
   declarations: Declarations,
   name: string | undefined,
@@ -191,7 +208,7 @@
 
 /**
  * Finds the smallest length class that holds the prompt, else the largest
- * class.
+ * class. Declarations list the classes in ascending order of `maxTokens`.
  */
 function findLengthClass(
   declarations: Declarations,
--- a/src/entry/front/new_request_routes.ts
+++ b/src/entry/front/new_request_routes.ts
@@ -45,7 +45,8 @@
 ): Promise<void> {
   return withSlot(deps, exchange, async (arrival, slot) => {
     const {req, res} = exchange;
-    // Bad headers are refused here, before the body is read.
+    // Bad headers are refused here, before the body is read. The options are
+    // read again below, with those of the body.
     readRequestOptions(req.headers, EMPTY_BODY_OPTIONS, deps.wallTimeMs());
     const parsed = await deps.bodyReader.readCompletion(req, res);
     const fields = validateCompletion(parsed);
@@ -102,7 +103,8 @@
 
 /**
  * Reserves a slot and authenticates the caller before any of the body is read,
- * then runs `handler`. Releases the slot if either fails.
+ * then runs `handler`. Releases the slot if the authentication or the handler
+ * fails. After a success, the link to the request releases it at its end.
  */
 async function withSlot(
   deps: CallersDeps,
@@ -128,6 +130,10 @@
   }
 }
 
+/**
+ * Submits an admitted request and links it to the exchange. Throws an
+ * `OnyxError` if its time is over or the caller has disconnected.
+ */
 function submit(
   deps: CallersDeps,
   exchange: Exchange,
@@ -145,12 +151,14 @@
       'deadline-exceeded',
     );
   }
-  // The link notices a disconnect by the response's `close` event. That event
-  // is already over for a caller that has disconnected by now.
+  // The link notices a disconnect by the response's `close` event. If the
+  // caller has disconnected already, the event came before the link listens,
+  // and the link would never notice.
   if (req.socket.destroyed) {
     throw badRequest('the caller left', 'read', 'cancelled');
   }
   slot.setBodyBytes(spec.body.bytes);
+  // The classes are in ascending order of `maxTokens`.
   const [shortestClass] = spec.config.declarations.lengthClasses;
   const listener = linkToRequest(deps, exchange, {
     organisation: spec.organisation,
--- a/src/entry/front/operator_auth.ts
+++ b/src/entry/front/operator_auth.ts
@@ -12,8 +12,9 @@
 import type {VerifyKey} from './authenticator.js';
 
 /**
- * Number of concurrent verifications. Further ones get `overloaded`, so that a
- * flood of wrong tokens does not use up the CPU.
+ * Largest number of concurrent verifications. A request that needs a further
+ * one is refused with `overloaded`, so that a flood of wrong tokens does not
+ * use up the CPU.
  */
 const MAX_PENDING_VERIFICATIONS = 4;
 /** `Retry-After` of a request that found too many verifications pending. */
@@ -33,7 +34,7 @@
   let pendingVerifications = 0;
 
   const verify = async (token: string, hash: string) => {
-    if (pendingVerifications >= MAX_PENDING_VERIFICATIONS) throw busy();
+    if (pendingVerifications >= MAX_PENDING_VERIFICATIONS) throw busyError();
     pendingVerifications += 1;
     try {
       return await verifyKey(token, hash);
@@ -44,11 +45,14 @@
 
   const authenticate = async (header: string | undefined) => {
     if (tokenHash === undefined) {
-      throw accessDenied('forbidden', 'this process has no operator token set');
+      throw accessDeniedError(
+        'forbidden',
+        'this process has no operator token set',
+      );
     }
     const token = bearerToken(header);
     if (token === undefined) {
-      throw accessDenied('unauthorised', 'no operator token was given');
+      throw accessDeniedError('unauthorised', 'no operator token was given');
     }
     const fingerprint = keyFingerprint(token);
     if (
@@ -58,7 +62,7 @@
       return;
     }
     if (!(await verify(token, tokenHash))) {
-      throw accessDenied('unauthorised', 'the operator token is wrong');
+      throw accessDeniedError('unauthorised', 'the operator token is wrong');
     }
     acceptedFingerprint = fingerprint;
   };
@@ -66,14 +70,14 @@
   return {authenticate};
 }
 
-function accessDenied(
+function accessDeniedError(
   code: 'forbidden' | 'unauthorised',
   message: string,
 ): OnyxError {
   return new OnyxError({code, step: 'authenticate', message});
 }
 
-function busy(): OnyxError {
+function busyError(): OnyxError {
   return new OnyxError({
     code: 'overloaded',
     step: 'authenticate',
--- a/src/entry/front/response_writers.ts
+++ b/src/entry/front/response_writers.ts
@@ -15,17 +15,25 @@
 type EndEvent = Extract<RequestEvent, {kind: 'end'}>;
 type ChunkEvent = Extract<RequestEvent, {kind: 'chunk'}>;
 
-/** Writes one response. It is called in the order of `RequestEvent`. */
+/**
+ * Writes one response. Its methods are called in the order in which the events
+ * come; see `RequestEvent`.
+ */
 export interface ResponseWriter {
   /**
-   * Sets the dispatch that the next chunks come from. Throws an `OnyxError` if
-   * the caller has received chunks of another one.
+   * Sets the dispatch that the next chunks come from. Only the event stream
+   * uses it. Throws an `OnyxError` there if `writeChunk` was called before, or
+   * if the stream resumes after the first chunk, and the dispatch of these
+   * chunks is known and is another one.
    */
   setDispatch(dispatchId: string): void;
   writeChunk(event: ChunkEvent): void;
   /**
-   * Drops the chunks so far, because another run replaces theirs. Throws an
-   * `OnyxError` if the caller has received some of them.
+   * Drops the chunks so far, because another run replaces the run that they
+   * came from. Only the JSON form can drop chunks. The others throw an
+   * `OnyxError`: the event stream if `writeChunk` was called before or the
+   * stream resumes after the first chunk, the forwarded response if its head
+   * was sent.
    */
   discardChunks(): void;
   /** Completes the response. */
@@ -45,7 +53,10 @@
   readonly model: ModelId;
   /** Unix time in seconds. */
   readonly created: number;
-  /** Undefined when the side that runs the request did not report it. */
+  /**
+   * Estimated length of the prompt. Undefined for a resumed request whose state
+   * does not contain it.
+   */
   readonly promptTokens: number | undefined;
 }
 
@@ -93,8 +104,9 @@
 
 /**
  * Writes server-sent events. The `id` of each chunk is
- * `<request>:<dispatch>:<seq>`; a caller resumes with it. The response head is
- * sent with the first chunk or the first keep-alive, whichever is earlier.
+ * `<request>:<dispatch>:<seq>`; a caller that reconnects sends it to resume.
+ * The end event has no `id`. The response head is sent with the first chunk
+ * that has text, the first keep-alive or the end event, whichever is earliest.
  * Until then, a refusal can be sent with its own HTTP status.
  */
 export function createEventStreamWriter(
@@ -104,7 +116,7 @@
 ): ResponseWriter {
   const decoder = createChunkTextDecoder();
   let dispatchId = resumePoint.dispatchId;
-  let started = resumePoint.fromSeq > 0;
+  let hasChunks = resumePoint.fromSeq > 0;
 
   const writeEvent = (event: string) => {
     if (!res.headersSent) {
@@ -129,14 +141,15 @@
   const setDispatch = (newDispatchId: string) => {
     // Two runs generate different texts. If their chunks were joined, the
     // caller would receive a text that the model never generated.
-    if (started && dispatchId !== '' && newDispatchId !== dispatchId) {
-      throw runReplaced(metadata.id);
+    if (hasChunks && dispatchId !== '' && newDispatchId !== dispatchId) {
+      throw runReplacedError(metadata.id);
     }
     dispatchId = newDispatchId;
   };
 
   const writeChunk = (event: ChunkEvent) => {
-    started = true;
+    // This holds also for a chunk without text, for which nothing is sent.
+    hasChunks = true;
     const text = decoder.decode(event.data);
     if (text === '') return;
     const id = `${metadata.id}:${dispatchId}:${event.seq}`;
@@ -149,7 +162,7 @@
   };
 
   const discardChunks = () => {
-    if (started) throw runReplaced(metadata.id);
+    if (hasChunks) throw runReplacedError(metadata.id);
   };
 
   return {
@@ -162,7 +175,7 @@
   };
 }
 
-function runReplaced(id: RequestId): OnyxError {
+function runReplacedError(id: RequestId): OnyxError {
   return new OnyxError({
     code: 'answer-incomplete',
     step: 'resume',
@@ -200,7 +213,7 @@
   res: ServerResponse,
   id: RequestId,
 ): ResponseWriter {
-  const begin = (head: CallResHead) => {
+  const writeHead = (head: CallResHead) => {
     for (const {name, value} of withoutHopHeaders(head.headers)) {
       res.appendHeader(name, value);
     }
@@ -209,14 +222,15 @@
   return {
     setDispatch: () => undefined,
     writeChunk: event => {
-      if (!res.headersSent) begin(event.callHead ?? {status: 200, headers: []});
+      if (!res.headersSent)
+        writeHead(event.callHead ?? {status: 200, headers: []});
       res.write(event.data);
     },
     discardChunks: () => {
-      if (res.headersSent) throw runReplaced(id);
+      if (res.headersSent) throw runReplacedError(id);
     },
     end: () => {
-      if (!res.headersSent) begin({status: 200, headers: []});
+      if (!res.headersSent) writeHead({status: 200, headers: []});
       res.end();
     },
     fail: error => {
--- a/src/entry/groups/group_reserve.ts
+++ b/src/entry/groups/group_reserve.ts
@@ -119,8 +119,8 @@
     });
     if (answer.kind === 'accepted') reserved.push({part, offer: answer});
     // Memory that is reserved for an incomplete group serves no other request.
-    // If the group can't be reserved at once, its reservations are released, and
-    // `reserveGroup` tries again later.
+    // If the group can't be reserved at once, its reservations are released,
+    // and `reserveGroup` tries again later.
     const isLate = deps.clock.now() > reserveBy;
     if (answer.kind === 'refused' || isLate || isFinished(open)) {
       withdrawParts(deps, reserved);
