--- a/src/cli/config_commands.ts
+++ b/src/cli/config_commands.ts
@@ -94,11 +94,12 @@
 
   file = Option.String({name: 'FILE'});
 
+  /** Sends the file as a patch. With `dryRun` the entry only checks it. */
   protected async sendPatch(patchId: string, dryRun: boolean): Promise<number> {
     const base = parseCount(this.base, '--base');
-    const read = readPatchFile(this.file);
+    const patchFile = readPatchFile(this.file);
     const operator = this.operator ?? '';
-    const patch: ConfigPatch = {...read, patchId, base, dryRun, operator};
+    const patch: ConfigPatch = {...patchFile, patchId, base, dryRun, operator};
     const outcome = await this.client().patch(patch);
     return outcome.caseOf({
       Left: rejection => this.printRejection(patch, rejection),
@@ -123,8 +124,9 @@
     patch: ConfigPatch,
     rejection: ConfigRejection,
   ): number {
+    // `head` is the newest accepted number; 0 when the entry did not report it.
     const {error, head, faults} = rejection;
-    const code = this.printFailure(error, {
+    const exitCode = this.printFailure(error, {
       head,
       faults,
       patchId: patch.patchId,
@@ -142,7 +144,7 @@
         `it may have been accepted; repeat it with --patch-id ${patch.patchId}, which never applies it twice`,
       );
     }
-    return code;
+    return exitCode;
   }
 }
 
@@ -195,10 +197,10 @@
   const text = readText(file);
   const errors: ParseError[] = [];
   const value: unknown = parse(text, errors, {allowTrailingComma: true});
-  const [error] = errors;
-  if (error !== undefined) {
-    const line = text.slice(0, error.offset).split('\n').length;
-    const problem = printParseErrorCode(error.error);
+  const [firstError] = errors;
+  if (firstError !== undefined) {
+    const line = text.slice(0, firstError.offset).split('\n').length;
+    const problem = printParseErrorCode(firstError.error);
     throw new UsageError(
       `${file}:${line}: is not JSON with comments: ${problem}`,
     );
--- a/src/cli/fleet_commands.ts
+++ b/src/cli/fleet_commands.ts
@@ -1,4 +1,7 @@
-/** Commands for running processes: status, hosts, explain, drain. */
+/**
+ * Commands that call running processes: status, hosts, explain, drain.
+ * `explain` can also read log lines instead.
+ */
 import {readFile} from 'node:fs/promises';
 import {text} from 'node:stream/consumers';
 import {Command, Option} from 'clipanion';
@@ -70,24 +73,31 @@
     return this.printOutcome(await this.client().explain(this.request));
   }
 
-  private async explainLogs(files: readonly string[]): Promise<number> {
-    const texts = await Promise.all(files.map(file => this.readLog(file)));
+  private async explainLogs(sources: readonly string[]): Promise<number> {
+    const texts = await Promise.all(
+      sources.map(source => this.readLog(source)),
+    );
     const lines = linesAboutRequest(texts.join('\n'), this.request);
+    // What became of the request; `renderExplanation` includes it too.
     const cause = describeCause(lines);
     this.print(
       this.json
         ? JSON.stringify({cause, lines}, null, 2)
         : renderExplanation(lines),
     );
+    // That no line is about the request counts as wrong usage.
     return lines.length > 0 ? EXIT_OK : EXIT_USAGE;
   }
 
-  private async readLog(file: string): Promise<string> {
-    if (file === '-') return text(this.context.stdin);
+  /** Reads a file of log lines, or standard input when the source is `-`. */
+  private async readLog(source: string): Promise<string> {
+    if (source === '-') return text(this.context.stdin);
     try {
-      return await readFile(file, 'utf8');
+      return await readFile(source, 'utf8');
     } catch {
-      throw new UsageError(`${file} cannot be read; give a file of log lines`);
+      throw new UsageError(
+        `${source} cannot be read; give a file of log lines`,
+      );
     }
   }
 }
--- a/src/cli/operator_command.ts
+++ b/src/cli/operator_command.ts
@@ -1,6 +1,7 @@
 /**
- * Base classes of the commands. They define the options for the entry's URL and
- * the token, the exit codes, and the output of results and errors.
+ * Base classes of the commands. They define the options for the entry's URL,
+ * the token and JSON output, the exit codes, and the output of results and
+ * errors.
  */
 import {Command, Option} from 'clipanion';
 import type {BaseContext} from 'clipanion';
@@ -16,7 +17,10 @@
 export const EXIT_OK = 0;
 /** The operation failed, or the patch was rejected. */
 export const EXIT_FAILED = 1;
-/** Wrong usage, or a settings or patch file with faults. */
+/**
+ * Wrong usage, a settings file with faults, a patch file that cannot be read or
+ * parsed, or logs without a line about the request to explain.
+ */
 export const EXIT_USAGE = 2;
 
 /** Wrong usage that is found after the options were parsed. */
@@ -79,15 +83,17 @@
     description: 'Print JSON for scripts',
   });
 
-  /** Creates a client for `--url` or for another address. */
-  /** `source` names the origin of the URL in the error about a wrong one. */
+  /**
+   * Creates a client for `url`, by default `--url`. The error about a missing
+   * or wrong URL says by `urlSource` where to give it.
+   */
   protected client(
     url: string | undefined = this.url,
-    source = '--url or ONYXLOFT_URL',
+    urlSource = '--url or ONYXLOFT_URL',
   ): OperatorClient {
     if (url === undefined || !/^https?:/.test(url) || !URL.canParse(url)) {
       throw new UsageError(
-        `give ${source}, an http(s) URL such as http://10.0.0.5:7200`,
+        `give ${urlSource}, an http(s) URL such as http://10.0.0.5:7200`,
       );
     }
     if (this.token === undefined || this.token === '') {
@@ -110,6 +116,10 @@
     });
   }
 
+  /**
+   * Prints the error as text to standard error, and with `--json` also as JSON
+   * to standard output. Only the JSON includes `extra`.
+   */
   protected printFailure(err: OnyxError, extra: object = {}): number {
     if (this.json)
       this.print(JSON.stringify({error: toErrorJson(err), ...extra}));
@@ -118,7 +128,7 @@
   }
 }
 
-/** Parses a whole number from an argument or option. */
+/** Parses a whole number of at most 15 digits from an argument or option. */
 export function parseCount(text: string, name: string): number {
   if (!/^\d{1,15}$/.test(text)) {
     throw new UsageError(`${name} is not a whole number: "${text}"`);
--- a/src/config/settings_faults.ts
+++ b/src/config/settings_faults.ts
@@ -23,8 +23,8 @@
 export interface SettingsFault {
   readonly file: string;
   /**
-   * Line number from 1. `createUnreadableFault` in `settings.ts` sets 0 when the
-   * file could not be read.
+   * Line number from 1. `createUnreadableFault` in `settings.ts` sets 0 when
+   * the file could not be read.
    */
   readonly line: number;
   /**
@@ -33,7 +33,7 @@
    */
   readonly option: string;
   readonly message: string;
-  /** What to do about it: what to write instead, or to remove the option. */
+  /** What to do about it, such as what to write instead. */
   readonly mend: string;
 }
 
@@ -45,10 +45,10 @@
   /** Faults of the text itself: syntax errors and duplicate options. */
   readonly faults: readonly SettingsFault[];
   /**
-   * Returns the line of an option's name, or for an element of an array the line
-   * where the array starts. For an option that the file does not contain, returns
-   * the line of the nearest enclosing option, or else the line where the file's
-   * value starts; 1 when there is no value.
+   * Returns the line of an option's name, or for an element of an array the
+   * line where the array starts. For an option that the file does not contain,
+   * returns the line of the nearest enclosing option, or else the line where
+   * the file's value starts; 1 when there is no value.
    */
   lineOf(path: readonly PropertyKey[]): number;
   /** Returns whether the file contains the option. */
@@ -119,8 +119,8 @@
   issues: readonly Issue[],
 ): readonly SettingsFault[] {
   // After a syntax error, the parser may lose options. They must not be
-  // reported as missing, since they may be present in the file. Among the faults
-  // of the text, syntax errors have no option and duplicates have one.
+  // reported as missing, since they may be present in the file. Among the
+  // faults of the text, syntax errors have no option and duplicates have one.
   const hasSyntaxFault = document.faults.some(fault => fault.option === '');
   return issues
     .filter(issue => !hasSyntaxFault || document.has(issue.path))
@@ -179,8 +179,8 @@
 }
 
 /**
- * Describes a value of an option that is not in `OPTION_EXAMPLES`. These are the
- * options of `timing` and `limits`, and each of them has a default.
+ * Describes a value of an option that is not in `OPTION_EXAMPLES`. These are
+ * the options of `timing` and `limits`, and each of them has a default.
  */
 function defaultExample(option: string): string {
   const name = option.split('.').pop() ?? '';
--- a/src/side/output_lengths.ts
+++ b/src/side/output_lengths.ts
@@ -28,7 +28,10 @@
 
 /** Creates an empty distribution. */
 export function createOutputLengths(): OutputLengths {
-  /** Weight at index i: answers of at least 2^(i-1) and under 2^i tokens. */
+  /**
+   * Index i holds the weight of answers whose length is in [2^(i-1), 2^i)
+   * tokens.
+   */
   const weights: number[] = [];
   let answerCount = 0;
 
